--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -8,13 +8,13 @@
 use lynxtally_dns::server;
 use lynxtally_dns::settings::{self, Checked};
 use lynxtally_dns::tsig::Key;
-use lynxtally_journal::Journal;
-use lynxtally_names::change::{between, Change};
-use lynxtally_names::file;
-use lynxtally_names::follow::Brought;
-use lynxtally_names::keeper::{decode, Entry, Snapshot};
-use lynxtally_names::zone::Record;
-use lynxtally_names::{Kind, Name, Zone};
+use lynxtally_wal::Journal;
+use lynxtally_zones::change::{between, Change};
+use lynxtally_zones::file;
+use lynxtally_zones::follow::Brought;
+use lynxtally_zones::keeper::{decode, Entry, Snapshot};
+use lynxtally_zones::zone::Record;
+use lynxtally_zones::{Kind, Name, Zone};
 use rand::Rng;
 use serde_json::json;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -370,7 +370,7 @@
         Brought::Nothing(serial) => println!("; nothing is newer than {serial}"),
         Brought::Changes(changes) => changes.iter().for_each(show_change),
         Brought::Whole(records) => {
-            let version = lynxtally_names::follow::version(zone, None, &records).map_err(wrong)?;
+            let version = lynxtally_zones::follow::version(zone, None, &records).map_err(wrong)?;
             print!("{}", file::write(&version));
         }
     }
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -4,9 +4,9 @@
 use crate::{Failed, Format};
 use lynxtally_dns::client::Client;
 use lynxtally_dns::codec::Question;
-use lynxtally_names::kind::{read_time, Word};
-use lynxtally_names::update::{Raw, Sense};
-use lynxtally_names::{Kind, Name};
+use lynxtally_zones::kind::{read_time, Word};
+use lynxtally_zones::update::{Raw, Sense};
+use lynxtally_zones::{Kind, Name};
 use rand::Rng;
 use std::path::Path;
 
--- a/crates/core/coordination/tests/stories.rs
+++ b/crates/core/coordination/tests/stories.rs
@@ -3,9 +3,9 @@
 mod world;
 
 use lynxtally::Pcg;
+use lynxtally_coordination::budgets::division::wants;
+use lynxtally_coordination::*;
 use lynxtally_messages::*;
-use lynxtally_shares::budgets::division::wants;
-use lynxtally_shares::*;
 use world::{terms, want, Log};
 
 #[test]
--- a/crates/core/coordination/tests/wallets.rs
+++ b/crates/core/coordination/tests/wallets.rs
@@ -3,8 +3,8 @@
 mod world;
 
 use lynxtally::Pcg;
+use lynxtally_coordination::wallets::Books;
 use lynxtally_messages::*;
-use lynxtally_shares::wallets::Books;
 use std::collections::BTreeMap;
 use world::{terms, Log};
 
--- a/crates/core/coordination/tests/world/mod.rs
+++ b/crates/core/coordination/tests/world/mod.rs
@@ -3,8 +3,8 @@
 #![allow(dead_code)] // Each file of stories uses a part of it.
 
 use lynxtally::Instant;
+use lynxtally_coordination::*;
 use lynxtally_messages::*;
-use lynxtally_shares::*;
 use std::collections::BTreeMap;
 
 pub struct Log {
--- a/crates/core/engine/src/repeats.rs
+++ b/crates/core/engine/src/repeats.rs
@@ -6,7 +6,7 @@
 //! were copied or guessed and such as a client uses twice; harms a client whose further tries differ in their bodies:
 //! they fail, and nothing runs twice.
 
-use lynxtally::{Instant, Repeat, Span, TaskId};
+use lynxtally::{Duplicate, Instant, RequestId, Span};
 use std::collections::BTreeMap;
 
 /// By what repeats are known: the stage's index, and the mark or subject.
@@ -29,14 +29,14 @@
 }
 
 struct Entry {
-    task: TaskId,
+    task: RequestId,
     fingerprint: Fingerprint,
     /// Whether the module has taken the task's index back.
     released: bool,
     until: Option<Instant>,
     first: First,
     /// Repeats that wait for the result.
-    waiting: Vec<TaskId>,
+    waiting: Vec<RequestId>,
     /// Whether an answer under this key was paid for.
     paid: bool,
 }
@@ -54,7 +54,7 @@
 }
 
 /// A repeat and the result it is answered with, if there is one.
-pub type Settled = (TaskId, Option<Vec<u8>>);
+pub type Settled = (RequestId, Option<Vec<u8>>);
 
 /// The keys now known.
 pub struct Repeats {
@@ -84,12 +84,12 @@
         came: Instant,
         key: &Key,
         fingerprint: Fingerprint,
-        task: TaskId,
-    ) -> Result<Repeat, Conflict> {
+        task: RequestId,
+    ) -> Result<Duplicate, Conflict> {
         match self.entries.get(key).filter(|entry| entry.known(came)) {
             Some(entry) if entry.fingerprint != fingerprint => Err(Conflict),
-            Some(entry) if entry.released => Ok(Repeat::OfReleased),
-            Some(entry) => Ok(Repeat::Of(entry.task)),
+            Some(entry) if entry.released => Ok(Duplicate::OfReleased),
+            Some(entry) => Ok(Duplicate::Of(entry.task)),
             None => {
                 self.remove(key);
                 let entry = Entry {
@@ -102,13 +102,13 @@
                     paid: false,
                 };
                 self.entries.insert(key.clone(), entry);
-                Ok(Repeat::No)
+                Ok(Duplicate::No)
             }
         }
     }
 
     /// Keeps a task's key for so long; a newer repeat takes the entry over.
-    pub fn keep(&mut self, now: Instant, key: &Key, task: TaskId, span: Span) {
+    pub fn keep(&mut self, now: Instant, key: &Key, task: RequestId, span: Span) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.until = Some(now + span);
             (entry.task, entry.released) = (task, false);
@@ -116,7 +116,7 @@
     }
 
     /// Drops a task's key.
-    pub fn forget(&mut self, key: &Key, task: TaskId) -> Vec<Settled> {
+    pub fn forget(&mut self, key: &Key, task: RequestId) -> Vec<Settled> {
         if self.entries.get(key).is_some_and(|entry| entry.task == task) {
             return self.remove(key);
         }
@@ -124,7 +124,7 @@
     }
 
     /// A repeat is to be answered with the first's result: now, or when there is one.
-    pub fn reuse(&mut self, key: &Key, task: TaskId) -> Option<Settled> {
+    pub fn reuse(&mut self, key: &Key, task: RequestId) -> Option<Settled> {
         let Some(entry) = self.entries.get_mut(key) else { return Some((task, None)) };
         match &entry.first {
             First::Open if entry.task != task => {
@@ -137,7 +137,7 @@
     }
 
     /// A task's run ended; the repeats that waited for it are settled.
-    pub fn ended(&mut self, key: &Key, task: TaskId, result: Option<&[u8]>) -> Vec<Settled> {
+    pub fn ended(&mut self, key: &Key, task: RequestId, result: Option<&[u8]>) -> Vec<Settled> {
         let Some(entry) = self.entries.get_mut(key).filter(|e| e.task == task && e.first == First::Open)
         else {
             return Vec::new();
@@ -154,7 +154,7 @@
     }
 
     /// The module took a task's index back: nothing more comes of it.
-    pub fn release(&mut self, now: Instant, key: &Key, task: TaskId) -> Vec<Settled> {
+    pub fn release(&mut self, now: Instant, key: &Key, task: RequestId) -> Vec<Settled> {
         let settled = self.ended(key, task, None);
         // One that waited is over: its index may soon be another's.
         if let Some(entry) = self.entries.get_mut(key) {
--- a/crates/core/flow/src/repeats.rs
+++ b/crates/core/flow/src/repeats.rs
@@ -35,7 +35,7 @@
     /// Whether a stream may be repeated; it is paid for then.
     pub fn may(&mut self, effect: Effect, sent: Sent) -> bool {
         let untouched = !sent.head && sent.octets == 0;
-        let again = effect == Effect::Restartable && sent.held;
+        let again = effect == Effect::Idempotent && sent.held;
         !sent.answered && (untouched || again) && self.0.pay()
     }
 }
--- a/crates/core/membership/tests/stories.rs
+++ b/crates/core/membership/tests/stories.rs
@@ -1,7 +1,7 @@
 //! Members and views, each story one thing that goes wrong.
 
 use lynxtally::{Instant, Pcg, Span};
-use lynxtally_fleet::*;
+use lynxtally_membership::*;
 use proptest::prelude::*;
 
 fn at(millis: u64) -> Instant {
--- a/crates/core/wal/tests/power.rs
+++ b/crates/core/wal/tests/power.rs
@@ -1,7 +1,7 @@
 //! The power goes at every step of a journal's life, and octets flip: what was acknowledged is there.
 
-use lynxtally_journal::{Disk, Fault, Journal};
-use lynxtally_standins::disk::{MemoryDisk, LEFT};
+use lynxtally_test_doubles::disk::{MemoryDisk, LEFT};
+use lynxtally_wal::{Disk, Fault, Journal};
 
 /// Adds entries, two a batch, with a snapshot on the way; tells how many were acknowledged. A snapshot holds
 /// the count of entries before it.
--- a/crates/core/zones/tests/following.rs
+++ b/crates/core/zones/tests/following.rs
@@ -1,11 +1,11 @@
 //! Secondaries: when they ask whom, what they take, and that they never go back; floods by prefix.
 
 use lynxtally::{Instant, Span};
-use lynxtally_names::change::{between, Change};
-use lynxtally_names::file::{self, Limits};
-use lynxtally_names::flood::{prefix, Shares, Sketch};
-use lynxtally_names::follow::{version, Brought, Follower, Incoming, Notices, Step, Times, Unusable};
-use lynxtally_names::{Kind, Name, Record, Serial, Zone};
+use lynxtally_zones::change::{between, Change};
+use lynxtally_zones::file::{self, Limits};
+use lynxtally_zones::flood::{prefix, Shares, Sketch};
+use lynxtally_zones::follow::{version, Brought, Follower, Incoming, Notices, Step, Times, Unusable};
+use lynxtally_zones::{Kind, Name, Record, Serial, Zone};
 
 fn apex() -> Name {
     "example.org".parse().expect("a name")
--- a/crates/core/zones/tests/props.rs
+++ b/crates/core/zones/tests/props.rs
@@ -1,8 +1,8 @@
 //! Properties of versions: a trie that shares is never told from a plain map that does not.
 
-use lynxtally_names::change::between;
-use lynxtally_names::kind::Word;
-use lynxtally_names::{file, Kind, Name, Record, Zone};
+use lynxtally_zones::change::between;
+use lynxtally_zones::kind::Word;
+use lynxtally_zones::{file, Kind, Name, Record, Zone};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/zones/tests/zones.rs
+++ b/crates/core/zones/tests/zones.rs
@@ -1,9 +1,9 @@
 //! Zone files and what a version answers.
 
-use lynxtally_names::change::between;
-use lynxtally_names::file::{self, Limits, Read};
-use lynxtally_names::lookup::{lookup, Entry, Outcome};
-use lynxtally_names::{Kind, Name, Record, Serial, Zone};
+use lynxtally_zones::change::between;
+use lynxtally_zones::file::{self, Limits, Read};
+use lynxtally_zones::lookup::{lookup, Entry, Outcome};
+use lynxtally_zones::{Kind, Name, Record, Serial, Zone};
 
 fn name(text: &str) -> Name {
     text.parse().expect("a name")
--- a/crates/frontends/dns/src/client.rs
+++ b/crates/frontends/dns/src/client.rs
@@ -2,9 +2,9 @@
 
 use crate::codec::{Answered, Question};
 use crate::tsig::{Key, Signer};
-use lynxtally_names::follow::{Brought, Incoming};
-use lynxtally_names::zone::Record;
-use lynxtally_names::{Kind, Name, Serial};
+use lynxtally_zones::follow::{Brought, Incoming};
+use lynxtally_zones::zone::Record;
+use lynxtally_zones::{Kind, Name, Serial};
 use std::fmt;
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, TcpStream, UdpSocket};
@@ -162,7 +162,7 @@
         let answered = self.ask(&query(id, zone, Kind::SOA))?;
         refused(&answered)?;
         let soa = answered.sections[0].iter().find(|record| record.kind == Kind::SOA && record.name == *zone);
-        let soa = soa.and_then(|record| lynxtally_names::Soa::of(&record.data));
+        let soa = soa.and_then(|record| lynxtally_zones::Soa::of(&record.data));
         soa.filter(|_| answered.authoritative).map(|soa| soa.serial).ok_or(Fault::Garbled("no SOA came"))
     }
 
@@ -174,7 +174,7 @@
         most: usize,
         id: u16,
     ) -> Result<Brought, Fault> {
-        let from = have.and_then(|soa| lynxtally_names::Soa::of(&soa.data)).map(|soa| soa.serial);
+        let from = have.and_then(|soa| lynxtally_zones::Soa::of(&soa.data)).map(|soa| soa.serial);
         let kind = if have.is_some() { Kind::IXFR } else { Kind::AXFR };
         let question = Question { soa: have, ..query(id, zone, kind) };
         let mut signer = self.signer();
--- a/crates/frontends/dns/src/codec.rs
+++ b/crates/frontends/dns/src/codec.rs
@@ -7,11 +7,11 @@
 use domain::base::rdata::{ComposeRecordData, UnknownRecordData};
 use domain::base::{Message, MessageBuilder, ParsedName, ParsedRecord, StaticCompressor, Ttl};
 use domain::rdata::AllRecordData;
-use lynxtally_names::change::Change;
-use lynxtally_names::lookup::Entry;
-use lynxtally_names::update::{Raw, Sense};
-use lynxtally_names::zone::{Record, Zone};
-use lynxtally_names::{Kind, Name, Serial};
+use lynxtally_zones::change::Change;
+use lynxtally_zones::lookup::Entry;
+use lynxtally_zones::update::{Raw, Sense};
+use lynxtally_zones::zone::{Record, Zone};
+use lynxtally_zones::{Kind, Name, Serial};
 use sha2::{Digest, Sha256};
 use smallvec::SmallVec;
 use std::fmt;
@@ -319,7 +319,7 @@
     if record.rtype() != Rtype::SOA {
         return None;
     }
-    lynxtally_names::Soa::of(&data_of(record)?).map(|soa| soa.serial)
+    lynxtally_zones::Soa::of(&data_of(record)?).map(|soa| soa.serial)
 }
 
 /// By what a repeated update is known: who signed it, and its octets but for the signature.
--- a/crates/frontends/dns/src/connection.rs
+++ b/crates/frontends/dns/src/connection.rs
@@ -2,13 +2,13 @@
 //! answers in whatever order they are ready (RFC 7766).
 
 use crate::serving::{Peer, Stream};
-use lynxtally::TaskId;
-use lynxtally_wire::alarm::Alarm;
-use lynxtally_wire::end::End;
-use lynxtally_wire::gate::Gate;
-use lynxtally_wire::line::{self, Filled, Line, Outbox};
-use lynxtally_wire::seats::Seats;
-use lynxtally_wire::turnstile::Turnstile;
+use lynxtally::RequestId;
+use lynxtally_net::alarm::Alarm;
+use lynxtally_net::end::End;
+use lynxtally_net::gate::Gate;
+use lynxtally_net::line::{self, Filled, Line, Outbox};
+use lynxtally_net::seats::Seats;
+use lynxtally_net::turnstile::Turnstile;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     /// A connection ended; what is open on it nobody waits for.
     Ended(Tcp, End),
     /// A transfer ended, well or not.
-    Streamed(TaskId, u64, bool),
+    Streamed(RequestId, u64, bool),
 }
 
 /// A connection, as the owner knows it.
--- a/crates/frontends/dns/src/disk.rs
+++ b/crates/frontends/dns/src/disk.rs
@@ -1,10 +1,10 @@
 //! The thread that makes logs durable: all that waits is written, and then made durable once for all of it.
 
-use lynxtally_journal::{Batch, Disk};
+use lynxtally_wal::{Batch, Disk};
 use std::collections::BTreeMap;
 use std::sync::mpsc::Receiver;
 
-pub use lynxtally_wire::folder::Folder;
+pub use lynxtally_net::folder::Folder;
 
 /// What the log's thread is to make durable.
 pub struct Job {
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -12,20 +12,20 @@
 use crate::tsig::Keys;
 use crate::udp;
 use lynxtally::{CallOutcome, Instant, Policy, Span};
-use lynxtally_host::{Answer, Answerer, Decide, Denied, Entry, Host, RunEnd};
-use lynxtally_journal::{Disk, Journal, Rotation};
-use lynxtally_names::change::{between, Change};
-use lynxtally_names::file;
-use lynxtally_names::flood::{prefix, Shares};
-use lynxtally_names::follow::{version, Brought, Follower, Notices, Step};
-use lynxtally_names::keeper::{
+use lynxtally_engine::{Engine, FinalResponse, IncomingRequest, Rejection, Responder, RunEnd, Scheduler};
+use lynxtally_net::alarm::Alarm;
+use lynxtally_net::clock::Clock;
+use lynxtally_net::line::{guarded, lock, spawn};
+use lynxtally_net::turnstile::Turnstile;
+use lynxtally_wal::{Disk, Journal, Rotation};
+use lynxtally_zones::change::{between, Change};
+use lynxtally_zones::file;
+use lynxtally_zones::flood::{prefix, Shares};
+use lynxtally_zones::follow::{version, Brought, Follower, Notices, Step};
+use lynxtally_zones::keeper::{
     decode, decode_base, encode, encode_base, Frozen, Keeper, Outline, Ready, Snapshot,
 };
-use lynxtally_names::{Serial, Zone};
-use lynxtally_wire::alarm::Alarm;
-use lynxtally_wire::clock::Clock;
-use lynxtally_wire::line::{guarded, lock, spawn};
-use lynxtally_wire::turnstile::Turnstile;
+use lynxtally_zones::{Serial, Zone};
 use nix::poll::{ppoll, PollFd, PollFlags};
 use nix::sys::eventfd::{EfdFlags, EventFd};
 use nix::sys::time::TimeSpec;
@@ -134,23 +134,25 @@
     }
 }
 
-impl Answerer<Arc<Ask<Via>>> for Desk {
-    fn answer(&mut self, ask: Arc<Ask<Via>>, answer: Answer) -> bool {
+impl Responder<Arc<Ask<Via>>> for Desk {
+    fn respond(&mut self, ask: Arc<Ask<Via>>, answer: FinalResponse) -> bool {
         use crate::serving::Peer;
         let streaming = ask.streaming.load(Ordering::Relaxed);
         let octets = match answer {
             // What went out on the connection is the answer.
-            Answer::Finished(octets) if octets.is_empty() => return true,
-            Answer::Finished(octets) => octets,
+            FinalResponse::Completed(octets) if octets.is_empty() => return true,
+            FinalResponse::Completed(octets) => octets,
             _ if streaming => {
                 ask.peer.cut();
                 return true;
             }
-            Answer::Rejected { hold_off, .. } => {
+            FinalResponse::Rejected { retry_after: hold_off, .. } => {
                 let text = format!("busy; come back in {} ms", (hold_off.micros() / 1000).max(1));
                 ask.code(Code::FAIL, Some((Reason::NotReady, text)))
             }
-            Answer::Abandoned => ask.code(Code::FAIL, Some((Reason::Other, "not done in time".to_owned()))),
+            FinalResponse::Failed => {
+                ask.code(Code::FAIL, Some((Reason::Other, "not done in time".to_owned())))
+            }
         };
         self.put(&ask.peer, ask.from, octets)
     }
@@ -211,7 +213,7 @@
 pub struct Server<P> {
     settings: Checked,
     clock: Clock,
-    host: Host<P, Arc<Ask<Via>>, Arc<Ask<Via>>, Due>,
+    host: Engine<P, Arc<Ask<Via>>, Arc<Ask<Via>>, Due>,
     serving: Serving<Via>,
     desk: Desk,
     keys: Keys,
@@ -252,7 +254,7 @@
 }
 
 /// Starts a server; an error is one line. `decide` makes what decides.
-pub fn start<P: Decide + Send + 'static>(
+pub fn start<P: Scheduler + Send + 'static>(
     settings: Checked,
     decide: impl FnOnce(&Checked, Instant) -> P,
 ) -> Result<Running, String> {
@@ -292,10 +294,10 @@
     let (own, at) = (ear.clone(), state.clone());
     std::thread::spawn(move || todo.iter().for_each(|todo| do_aside(&at, todo, &own)));
     let log_most = settings.limits.log_mb << 20;
-    let mut host = Host::new(0);
+    let mut host = Engine::new(0);
     host.start(now, decide(&settings, now));
-    host.set(now, Due::Sweep);
-    (0..zones.len()).for_each(|at| host.set(now, Due::Zone(at)));
+    host.set_timer(now, Due::Sweep);
+    (0..zones.len()).for_each(|at| host.set_timer(now, Due::Zone(at)));
     let secret = settings.cookie_secret.unwrap_or_else(|| rand::rng().random());
     let server = Server {
         shares: settings.limits.shares(rand::rng().random(), now),
@@ -326,7 +328,7 @@
             server.give_up();
         }
         server.connections.close();
-        let adds_up = worked.is_ok() && server.host.tally().adds_up();
+        let adds_up = worked.is_ok() && server.host.counts().is_consistent();
         let counters = server.counters();
         // Whoever hears of the end may use the addresses again.
         drop(server);
@@ -352,7 +354,7 @@
         let open = || -> std::io::Result<_> {
             let socket = udp::open(*at)?;
             let own = socket.local_addr()?;
-            Ok((socket, lynxtally_wire::gate::listen(own)?, own))
+            Ok((socket, lynxtally_net::gate::listen(own)?, own))
         };
         let tries = if at.port() == 0 { PORTS } else { 1 };
         let mut opened = open();
@@ -416,7 +418,7 @@
 /// Writes a base to its own file; tells its name.
 fn write_base(folder: &mut Folder, name: &str, zone: &Zone) -> Result<String, String> {
     let file = format!("{name}.{:016x}.base", rand::rng().random::<u64>());
-    let octets = lynxtally_journal::seal(u64::from(zone.serial().0), &encode_base(zone));
+    let octets = lynxtally_wal::seal(u64::from(zone.serial().0), &encode_base(zone));
     folder.replace(&file, &octets).map_err(|fault| format!("{file}: {fault}"))?;
     Ok(file)
 }
@@ -424,7 +426,7 @@
 /// Reads it.
 pub fn read_base(folder: &mut Folder, file: &str) -> Option<Zone> {
     let octets = folder.read(file).ok()??;
-    decode_base(lynxtally_journal::unseal(&octets)?.1)
+    decode_base(lynxtally_wal::unseal(&octets)?.1)
 }
 
 /// Takes a zone from its log, or from its file where it has none yet. A damaged log freezes the zone as far as it
@@ -528,7 +530,7 @@
     for file in files.iter().filter(|file| file.starts_with(&format!("{name}."))) {
         let Ok(Some(octets)) = folder.read(file) else { return };
         if file.ends_with(".snap") {
-            let Some((_, octets)) = lynxtally_journal::unseal(&octets) else { return };
+            let Some((_, octets)) = lynxtally_wal::unseal(&octets) else { return };
             let Ok(snapshot) = decode::<Snapshot>(octets) else { return };
             named.push(snapshot.base);
         } else if file.ends_with(".log") {
@@ -546,7 +548,7 @@
     }
 }
 
-impl<P: Decide> Server<P> {
+impl<P: Scheduler> Server<P> {
     /// On a thread of its own: a coroutine that always has more to do would keep its worker from ever looking
     /// for what other coroutines wait for.
     fn work(&mut self) {
@@ -573,12 +575,12 @@
                 self.hear(heard);
             }
             self.turn();
-            if self.leaving && self.host.tally().open == 0 {
+            if self.leaving && self.host.counts().in_flight == 0 {
                 break;
             }
             if !more {
                 let now = self.clock.now();
-                let most = self.host.next_due().map(|at| Duration::from_micros((at - now).micros()));
+                let most = self.host.next_timer().map(|at| Duration::from_micros((at - now).micros()));
                 self.ear.sleep(&sockets, most);
             }
         }
@@ -587,7 +589,7 @@
 
     /// After a failure of our own: every open task is answered that it failed.
     fn give_up(&mut self) {
-        for ask in self.host.give_up() {
+        for ask in self.host.fail_all() {
             let octets = ask.code(Code::FAIL, None);
             self.desk.put(&ask.peer, ask.from, octets);
         }
@@ -597,12 +599,12 @@
     /// Has all that was heard decided on, carried out and sent.
     fn turn(&mut self) {
         let now = self.serving.now;
-        while let Some(due) = self.host.fall_due(now, &mut self.serving) {
+        while let Some(due) = self.host.expire_timers(now, &mut self.serving) {
             self.fall_due(due);
         }
         loop {
             let now = self.serving.now;
-            self.host.settle(now, &mut self.serving, &mut self.desk);
+            self.host.decide(now, &mut self.serving, &mut self.desk);
             self.serving.settle_pending();
             if self.serving.at_call.is_empty()
                 && self.serving.ended.is_empty()
@@ -614,7 +616,7 @@
             let now = self.clock.now();
             self.serving.now = now;
             for task in std::mem::take(&mut self.serving.at_call) {
-                self.host.at_call(now, task);
+                self.host.call_requested(now, task);
             }
             for (task, number, outcome) in std::mem::take(&mut self.serving.called) {
                 self.host.call_ended(now, task, number, outcome);
@@ -696,17 +698,17 @@
             _ => stage::QUERY,
         };
         self.tasks[stage] += 1;
-        let entry = Entry {
-            stage,
+        let entry = IncomingRequest {
+            class: stage,
             caller: prefix(from.ip()),
-            unread: stamp.map_or(Span::ZERO, |stamp| now - Instant::from_micros(stamp)),
-            kb: 0.5 + asked.length as f64 / 512.0,
-            ..Entry::default()
+            receive_delay: stamp.map_or(Span::ZERO, |stamp| now - Instant::from_micros(stamp)),
+            memory_kb: 0.5 + asked.length as f64 / 512.0,
+            ..IncomingRequest::default()
         };
         let room = Room { most, payload };
         let ask =
             Arc::new(Ask { asked, peer: via, from, signer, room, cookie, streaming: AtomicBool::new(false) });
-        if let Err(Denied { from: ask, .. }) = self.host.enter(now, None, entry, ask.clone(), ask) {
+        if let Err(Rejection { reply_to: ask, .. }) = self.host.submit(now, None, entry, ask.clone(), ask) {
             let octets = ask.code(Code::FAIL, None);
             self.desk.put(&ask.peer, from, octets);
         }
@@ -718,19 +720,19 @@
             Heard::Tcp(News::Came(octets, from, tcp)) => self.came(Some(&octets), from, Via::Tcp(tcp), None),
             Heard::Tcp(News::Ended(tcp, _)) => {
                 let own = |ask: &Arc<Ask<Via>>| matches!(&ask.peer, Via::Tcp(other) if Arc::ptr_eq(&other.0, &tcp.0));
-                for task in self.host.awaited(own) {
-                    self.host.gone(now, task, |_| true);
+                for task in self.host.awaiting_reply(own) {
+                    self.host.caller_gone(now, task, |_| true);
                 }
             }
             Heard::Tcp(News::Streamed(task, number, well)) => {
-                let outcome = if well { CallOutcome::Ok } else { CallOutcome::MayHaveRun };
+                let outcome = if well { CallOutcome::Succeeded } else { CallOutcome::MaybeExecuted };
                 self.serving.called.push((task, number, outcome));
-                let end = if well { RunEnd::Finished(Vec::new()) } else { RunEnd::Failed };
+                let end = if well { RunEnd::Completed(Vec::new()) } else { RunEnd::Failed };
                 self.serving.ended.push((task, end));
             }
             Heard::Durable(zone, Ok(up_to)) => {
                 if self.serving.durable(zone, up_to) {
-                    self.host.set(now, Due::Zone(zone));
+                    self.host.set_timer(now, Due::Zone(zone));
                 }
                 self.rotate(zone, false);
             }
@@ -762,7 +764,7 @@
             Heard::Serial(zone, Ok(serial)) => {
                 let step = self.serving.zones[zone].follower.as_mut().and_then(|f| f.serial(now, serial));
                 self.step(zone, step);
-                self.host.set(now, Due::Zone(zone));
+                self.host.set_timer(now, Due::Zone(zone));
             }
             Heard::Serial(zone, Err(why)) | Heard::Followed(zone, Err(why)) => {
                 let zone_state = &mut self.serving.zones[zone];
@@ -770,7 +772,7 @@
                 if let Some(follower) = &mut zone_state.follower {
                     follower.failed(now);
                 }
-                self.host.set(now, Due::Zone(zone));
+                self.host.set_timer(now, Due::Zone(zone));
             }
             Heard::Followed(zone, Ok(followed)) => self.followed(zone, followed),
             Heard::Noticed(zone, target, serial) => {
@@ -779,10 +781,10 @@
             Heard::Control(verb, answer) => self.control(verb, answer),
             Heard::Leave => {
                 let stop = Span::from_micros(self.settings.stop.as_micros() as u64);
-                if self.host.drain(now, stop) {
+                if self.host.begin_drain(now, stop) {
                     info!(stop_ms = self.settings.stop.as_millis() as u64, "notice to leave");
                     self.leaving = true;
-                    self.host.set(now + (stop - self.host.period()), Due::Exit);
+                    self.host.set_timer(now + (stop - self.host.timer_period()), Due::Exit);
                 }
             }
         }
@@ -797,7 +799,7 @@
 
     fn control(&mut self, verb: Verb, answer: Sender<String>) {
         let zone_of = |text: &str| {
-            let apex: lynxtally_names::Name = text.parse().ok()?;
+            let apex: lynxtally_zones::Name = text.parse().ok()?;
             self.serving.zone(apex.wire())
         };
         let unknown = || control::error("no such zone");
@@ -860,7 +862,7 @@
         match due {
             Due::Sweep => {
                 self.connections.close_idle(self.leaving);
-                self.host.set(now + SWEEP, Due::Sweep);
+                self.host.set_timer(now + SWEEP, Due::Sweep);
             }
             Due::Exit => self.over = true,
             Due::Zone(at) => {
@@ -875,7 +877,7 @@
                 ];
                 if let Some(at_time) = next.into_iter().flatten().min() {
                     // Not sooner than the clock's grain: what is due now was just looked at.
-                    self.host.set(at_time.max(now + Span::from_millis(10)), Due::Zone(at));
+                    self.host.set_timer(at_time.max(now + Span::from_millis(10)), Due::Zone(at));
                 }
             }
         }
@@ -966,7 +968,7 @@
                 follower.took(now, soa);
             }
         }
-        self.host.set(now, Due::Zone(at));
+        self.host.set_timer(now, Due::Zone(at));
     }
 
     fn first_snapshot(&mut self, at: usize) {
@@ -1011,7 +1013,7 @@
 
     /// All counters as one line of JSON.
     fn counters(&self) -> String {
-        let tally = self.host.tally();
+        let tally = self.host.counts();
         let Counts { codes, repeats, versions, lapsed, transfers } = self.serving.counts;
         let codes: Vec<String> = codes
             .iter()
@@ -1028,13 +1030,13 @@
              \"repeats\":{repeats},\"versions\":{versions},\"lapsed\":{lapsed},\"transfers\":{transfers},\
              \"connections\":{},\"zones\":[{}]}}",
             tasks.join(","),
-            tally.read,
-            tally.finished,
+            tally.received,
+            tally.completed,
             tally.rejected,
-            tally.abandoned,
-            tally.gone,
-            tally.open,
-            tally.lost + self.desk.lost,
+            tally.failed,
+            tally.caller_gone,
+            tally.in_flight,
+            tally.undelivered + self.desk.lost,
             self.unreadable,
             self.beyond,
             codes.join(","),
--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -1,13 +1,13 @@
 //! What a names server is told: decoded, checked and given defaults here and nowhere else.
 
 use crate::tsig::Key;
-use lynxtally::{Below, Effect, FreeValue, Settings, Span, StageSettings};
-use lynxtally_names::file;
-use lynxtally_names::flood::{Shares, Sketch};
-use lynxtally_names::follow::Times;
-use lynxtally_names::keeper;
-use lynxtally_names::update::{Grant, Scope};
-use lynxtally_names::{Kind, Name};
+use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
+use lynxtally_zones::file;
+use lynxtally_zones::flood::{Shares, Sketch};
+use lynxtally_zones::follow::Times;
+use lynxtally_zones::keeper;
+use lynxtally_zones::update::{Grant, Scope};
+use lynxtally_zones::{Kind, Name};
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -353,47 +353,48 @@
 
     /// What the module is told: the front's stages, on one core in so many parts.
     fn policy(&self) -> Settings {
-        let stages = self.stages.all().map(|stage| StageSettings {
+        let stages = self.stages.all().map(|stage| RequestClass {
             utility: stage.utility,
-            late_part: 0.0,
-            due: Span::from_millis(stage.due_ms),
-            limit: Span::from_millis(stage.limit_ms),
-            effect: Effect::Restartable,
-            repeat_window: Span::ZERO,
-            calls: false,
-            skip_part: 0.0,
+            late_utility_fraction: 0.0,
+            latency_objective: Span::from_millis(stage.due_ms),
+            deadline: Span::from_millis(stage.limit_ms),
+            effect: Effect::Idempotent,
+            deduplication_window: Span::ZERO,
+            calls_downstream: false,
+            degraded_utility_fraction: 0.0,
         });
         let mut stages = stages.to_vec();
         for at in [stage::UPDATE, stage::TRANSFER] {
             // They wait for the disk or a peer, what they began can't be begun again, and a late answer is
             // better than none.
-            (stages[at].calls, stages[at].effect, stages[at].late_part) = (true, Effect::SideEffecting, 0.5);
+            (stages[at].calls_downstream, stages[at].effect, stages[at].late_utility_fraction) =
+                (true, Effect::NonIdempotent, 0.5);
         }
         Settings {
             cores: BATCH,
             memory_kb: (self.limits.memory_mb * 1024) as f64,
-            run_memory: RUN_MEMORY,
-            key_kb: 0.1,
-            cold: false,
-            cold_share: 1.0,
-            warm_after: Span::from_millis(1),
+            running_memory_factor: RUN_MEMORY,
+            idempotency_key_kb: 0.1,
+            cold_start: false,
+            cold_capacity_fraction: 1.0,
+            warmup_time: Span::from_millis(1),
             // Waits hold no core here; memory bounds how many there are.
-            crowd_limit: 4096.0,
+            max_running_per_core: 4096.0,
             drain_grace: Span::from_millis(self.grace_ms),
-            stages,
-            quotas: Vec::new(),
-            over_share: 1.0,
-            by_work: false,
+            classes: stages,
+            tenant_quotas: Vec::new(),
+            over_quota_utility_fraction: 1.0,
+            utility_per_work: false,
             backends: 1,
             callers: 1,
-            depth: 0,
-            below: Below::Nothing,
+            tier_depth: 0,
+            downstream: Downstream::None,
             stoppable: false,
-            free_value: FreeValue::Silent,
-            heeded: Span::from_millis(1000),
-            idle_after: Span::ZERO,
-            share_for: Span::ZERO,
-            hold_off: Span::from_millis(1000),
+            capacity_format: CapacityFormat::None,
+            capacity_ttl: Span::from_millis(1000),
+            client_idle_timeout: Span::ZERO,
+            coalescing_window: Span::ZERO,
+            max_retry_after: Span::from_millis(1000),
         }
     }
 }
--- a/crates/frontends/dns/src/tsig.rs
+++ b/crates/frontends/dns/src/tsig.rs
@@ -1,7 +1,7 @@
 //! Signed messages (RFC 8945), with HMAC from a library.
 
 use hmac::{Hmac, KeyInit, Mac};
-use lynxtally_names::Name;
+use lynxtally_zones::Name;
 use sha2::{Sha256, Sha384, Sha512};
 use std::fmt;
 use std::sync::Arc;
--- a/crates/frontends/net/src/end.rs
+++ b/crates/frontends/net/src/end.rs
@@ -78,9 +78,9 @@
     /// What is known of a call whose connection ended so. Before its first byte was written it never ran.
     pub fn call_outcome(self, written: bool) -> CallOutcome {
         if written && !matches!(self, Self::Refused | Self::Unmade) {
-            CallOutcome::MayHaveRun
+            CallOutcome::MaybeExecuted
         } else {
-            CallOutcome::NeverRan
+            CallOutcome::NotExecuted
         }
     }
 
--- a/crates/frontends/net/src/folder.rs
+++ b/crates/frontends/net/src/folder.rs
@@ -1,6 +1,6 @@
 //! A folder on a disk that lasts.
 
-use lynxtally_journal::Disk;
+use lynxtally_wal::Disk;
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
--- a/crates/frontends/net/tests/seats.rs
+++ b/crates/frontends/net/tests/seats.rs
@@ -1,6 +1,6 @@
 //! Who goes where there is no room.
 
-use lynxtally_wire::seats::{Full, Seats};
+use lynxtally_net::seats::{Full, Seats};
 use std::time::Duration;
 
 #[test]
--- a/crates/frontends/stream/src/archive.rs
+++ b/crates/frontends/stream/src/archive.rs
@@ -2,9 +2,9 @@
 //! that writes, reads and makes durable, so that no stream waits for another's disk.
 
 use lynxtally_flow::uploads::{Entry, UploadId, UploadLimits, Uploads};
-use lynxtally_journal::{Disk, Journal};
-use lynxtally_wire::folder::Folder;
-use lynxtally_wire::line::lock;
+use lynxtally_net::folder::Folder;
+use lynxtally_net::line::lock;
+use lynxtally_wal::{Disk, Journal};
 use std::path::Path;
 use std::sync::mpsc::{self, Receiver, Sender};
 use std::sync::{Arc, Mutex};
--- a/crates/frontends/stream/src/front.rs
+++ b/crates/frontends/stream/src/front.rs
@@ -7,17 +7,17 @@
 use crate::relay::{Fault, Relay};
 use crate::settings::Checked;
 use lynxtally::Span;
+use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::UploadId;
 use lynxtally_flow::Sent;
-use lynxtally_host::{Answer, Decide, RunEnd};
-use lynxtally_wire::alarm::Alarm;
-use lynxtally_wire::clock::Clock;
-use lynxtally_wire::end::End;
-use lynxtally_wire::gate::Gate;
-use lynxtally_wire::line::{lock, spawn};
-use lynxtally_wire::seats::Seats;
-use lynxtally_wire::socket::{Got, Socket};
-use lynxtally_wire::turnstile::Turnstile;
+use lynxtally_net::alarm::Alarm;
+use lynxtally_net::clock::Clock;
+use lynxtally_net::end::End;
+use lynxtally_net::gate::Gate;
+use lynxtally_net::line::{lock, spawn};
+use lynxtally_net::seats::Seats;
+use lynxtally_net::socket::{Got, Socket};
+use lynxtally_net::turnstile::Turnstile;
 use may::io::WaitIoWaker;
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -133,7 +133,7 @@
     }
 }
 
-impl<P: Decide + Send + 'static> Front<P> {
+impl<P: Scheduler + Send + 'static> Front<P> {
     /// A front with these settings.
     pub fn new(
         settings: Checked,
@@ -346,7 +346,7 @@
         let mark = asked.seen.mark.clone();
         let made = self.settings.stage(&asked).and_then(|stage| {
             let stage_settings = &self.settings.stages[stage];
-            if stage_settings.effect == lynxtally::Effect::Fingerprinted && mark.is_none() {
+            if stage_settings.effect == lynxtally::Effect::Deduplicated && mark.is_none() {
                 return Err(Bad::Field("Idempotency-Key"));
             }
             Ok((stage, Relay::new(asked, stage_settings.plan.clone())?))
@@ -447,7 +447,7 @@
         let mut inner = lock(&exchange.inner);
         if let Some(source) = inner.source.take() {
             // Sent up in part and not answered, only what may be done again is kept.
-            let again = effect == lynxtally::Effect::Restartable || inner.sent_up == 0;
+            let again = effect == lynxtally::Effect::Idempotent || inner.sent_up == 0;
             if !again || (answered && well == Some(true)) {
                 source.archive.forget(source.id);
             }
@@ -456,7 +456,7 @@
         self.with(|owner, now| match over {
             Over::Answered if ticket.running() => {
                 owner.let_go(now, ticket, well);
-                owner.ended(now, ticket, RunEnd::Finished(copy.unwrap_or_default()));
+                owner.ended(now, ticket, RunEnd::Completed(copy.unwrap_or_default()));
             }
             Over::Answered => {}
             Over::Cut => {
@@ -480,16 +480,16 @@
             return;
         }
         let own = match answer {
-            Answer::Finished(octets) if !octets.is_empty() => {
+            FinalResponse::Completed(octets) if !octets.is_empty() => {
                 inner.relay.replay(&octets);
                 return;
             }
-            Answer::Rejected { hold_off, .. } => {
+            FinalResponse::Rejected { retry_after: hold_off, .. } => {
                 let seconds = (hold_off.secs().ceil() as u64).max(1);
                 Own { back_in: Some(seconds), ..Own::new(503, "not taken; nothing of it was done") }
             }
-            Answer::Finished(_) => Own::new(502, "done before, but its answer is not kept"),
-            Answer::Abandoned => match inner.failed {
+            FinalResponse::Completed(_) => Own::new(502, "done before, but its answer is not kept"),
+            FinalResponse::Failed => match inner.failed {
                 Some(end) => Own::new(502, format!("the upstream failed: {end}")),
                 None => Own::new(504, "not done in time"),
             },
@@ -847,7 +847,7 @@
         };
         if spawn(STACK_WORDS, work, failed).is_err() {
             self.with(|owner, now| {
-                owner.ended(now, &exchange.ticket, RunEnd::NeverRan(Span::from_secs(1.0)))
+                owner.ended(now, &exchange.ticket, RunEnd::Unavailable(Span::from_secs(1.0)))
             });
         }
     }
@@ -918,7 +918,7 @@
         let inner = lock(&exchange.inner);
         let untouched = inner.sent_up == 0 && !inner.relay.begun();
         drop(inner);
-        let end = if untouched { RunEnd::NeverRan(Span::from_secs(1.0)) } else { RunEnd::Failed };
+        let end = if untouched { RunEnd::Unavailable(Span::from_secs(1.0)) } else { RunEnd::Failed };
         self.with(|owner, now| owner.ended(now, &exchange.ticket, end));
     }
 
--- a/crates/frontends/stream/src/owner.rs
+++ b/crates/frontends/stream/src/owner.rs
@@ -2,10 +2,12 @@
 //! repeats, each made where it lives. It makes none itself, and waits for nothing.
 
 use crate::settings::{Checked, Stage};
-use lynxtally::{CallOutcome, Effect, Gauges, Instant, Span, TaskId};
+use lynxtally::{CallOutcome, Effect, Gauges, Instant, RequestId, Span};
+use lynxtally_engine::{
+    Engine, Executor, FinalResponse, IncomingRequest, RequestCounts, Responder, RunEnd, Scheduler,
+};
 use lynxtally_flow::{Link, Pool, Progress, Repeats, Sent, Sizes, Spools, StreamId, Upstreams};
-use lynxtally_host::{Answer, Answerer, Decide, Entry, Executor, Host, RunEnd, Tally};
-use lynxtally_wire::line::lock;
+use lynxtally_net::line::lock;
 use may::io::WaitIoWaker;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
@@ -22,7 +24,7 @@
     /// It was let in.
     pub run: bool,
     /// Its final answer, where it is not the upstream's.
-    pub answer: Option<Answer>,
+    pub answer: Option<FinalResponse>,
 }
 
 /// A stream, as the owner knows it.
@@ -48,12 +50,12 @@
         }
     }
 
-    fn task(&self) -> TaskId {
-        TaskId(self.task.load(Ordering::Relaxed))
+    fn task(&self) -> RequestId {
+        RequestId(self.task.load(Ordering::Relaxed))
     }
 
     /// Its task, while it runs.
-    fn live(&self) -> Option<TaskId> {
+    fn live(&self) -> Option<RequestId> {
         (!self.ended.load(Ordering::Relaxed) && self.running()).then(|| self.task())
     }
 
@@ -63,7 +65,7 @@
     }
 
     /// Its final answer, once.
-    pub fn answer(&self) -> Option<Answer> {
+    pub fn answer(&self) -> Option<FinalResponse> {
         lock(&self.mail).answer.take()
     }
 
@@ -170,7 +172,7 @@
     sizes: Sizes,
     rate: f64,
     flows: Vec<Option<Flow>>,
-    given_up: Vec<(TaskId, u64)>,
+    given_up: Vec<(RequestId, u64)>,
     asked: bool,
     granting: bool,
     stages: Vec<Stage>,
@@ -179,16 +181,16 @@
     pub counts: Counts,
 }
 
-fn up(task: TaskId) -> StreamId {
+fn up(task: RequestId) -> StreamId {
     StreamId(task.0 * 2)
 }
 
-fn down(task: TaskId) -> StreamId {
+fn down(task: RequestId) -> StreamId {
     StreamId(task.0 * 2 + 1)
 }
 
 impl Hall {
-    fn admit(&mut self, task: TaskId, ticket: &Arc<Ticket>) -> bool {
+    fn admit(&mut self, task: RequestId, ticket: &Arc<Ticket>) -> bool {
         let weight = self.stages.get(ticket.stage).map_or(1.0, |stage| stage.utility);
         if !self.pool.enter(up(task), weight) {
             return false;
@@ -222,12 +224,12 @@
         true
     }
 
-    fn flow(&mut self, task: TaskId) -> Option<&mut Flow> {
+    fn flow(&mut self, task: RequestId) -> Option<&mut Flow> {
         self.flows.get_mut(task.0 as usize)?.as_mut()
     }
 
     /// A stream has nothing any more.
-    fn leave(&mut self, task: TaskId) -> Option<Flow> {
+    fn leave(&mut self, task: RequestId) -> Option<Flow> {
         let flow = self.flows.get_mut(task.0 as usize)?.take()?;
         for stream in [up(task), down(task)] {
             self.pool.leave(stream);
@@ -246,15 +248,15 @@
 }
 
 impl Executor<Arc<Ticket>> for Hall {
-    fn run(&mut self, task: TaskId, ticket: &mut Arc<Ticket>) {
+    fn start(&mut self, task: RequestId, ticket: &mut Arc<Ticket>) {
         // The module's memory is what is reserved for floors: there is room for what it lets in.
         let admitted = self.admit(task, ticket);
         debug_assert!(admitted, "more was let in than floors are reserved for");
     }
 
-    fn stop(&mut self, _: TaskId, _: &mut Arc<Ticket>) {}
+    fn stop(&mut self, _: RequestId, _: &mut Arc<Ticket>) {}
 
-    fn call(&mut self, task: TaskId, _: &mut Arc<Ticket>, number: u64, _: Span) -> bool {
+    fn start_call(&mut self, task: RequestId, _: &mut Arc<Ticket>, number: u64, _: Span) -> bool {
         match self.flow(task) {
             Some(flow) => {
                 flow.waits = Waits::Call(number);
@@ -264,15 +266,15 @@
         }
     }
 
-    fn give_up(&mut self, ticket: &mut Arc<Ticket>, number: u64) {
+    fn cancel_call(&mut self, ticket: &mut Arc<Ticket>, number: u64) {
         self.given_up.push((ticket.task(), number));
     }
 
-    fn ask(&mut self) {
+    fn request_gauges(&mut self) {
         self.asked = true;
     }
 
-    fn release(&mut self, task: TaskId, _: Arc<Ticket>) {
+    fn release(&mut self, task: RequestId, _: Arc<Ticket>) {
         self.leave(task);
     }
 }
@@ -280,11 +282,11 @@
 /// Where final answers go.
 pub struct Desk;
 
-impl Answerer<Arc<Ticket>> for Desk {
-    fn answer(&mut self, ticket: Arc<Ticket>, answer: Answer) -> bool {
+impl Responder<Arc<Ticket>> for Desk {
+    fn respond(&mut self, ticket: Arc<Ticket>, answer: FinalResponse) -> bool {
         let mut mail = lock(&ticket.mail);
         // What went down the stream is the answer, where one was let in and went well.
-        if !(mail.run && matches!(answer, Answer::Finished(_))) {
+        if !(mail.run && matches!(answer, FinalResponse::Completed(_))) {
             mail.answer = Some(answer);
             drop(mail);
             ticket.wake();
@@ -299,7 +301,7 @@
 
 /// The owner.
 pub struct Owner<P> {
-    host: Host<P, Arc<Ticket>, Arc<Ticket>, Due>,
+    host: Engine<P, Arc<Ticket>, Arc<Ticket>, Due>,
     /// The choices.
     pub hall: Hall,
     desk: Desk,
@@ -331,15 +333,15 @@
     pub caller: u64,
 }
 
-impl<P: Decide> Owner<P> {
+impl<P: Scheduler> Owner<P> {
     /// One that decides from now on.
     pub fn new(settings: &Checked, now: Instant, decide: P, seed: u64) -> Self {
         // Without a scarce link one stream is expected to move as a fast disk reads; only ratios count.
         let rate = if settings.limits.link_mbit > 0.0 { settings.limits.link_mbit * 1e6 / 8.0 } else { 1e8 };
         let link = (settings.limits.link_mbit > 0.0).then(|| Link::new(rate, now));
-        let mut host = Host::new((settings.limits.results_kb << 10) as usize);
+        let mut host = Engine::new((settings.limits.results_kb << 10) as usize);
         host.start(now, decide);
-        host.set(now + TICK, Due::Tick);
+        host.set_timer(now + TICK, Due::Tick);
         let (spool, each) = (settings.limits.spool_kb << 10, settings.limits.spool_each_kb << 10);
         let scarce = link.is_some();
         Self {
@@ -372,13 +374,13 @@
     }
 
     /// What was read and answered.
-    pub fn tally(&self) -> Tally {
-        self.host.tally()
+    pub fn tally(&self) -> RequestCounts {
+        self.host.counts()
     }
 
     /// When the program is to be over, once it leaves.
     pub fn kill(&self) -> Option<Instant> {
-        self.host.kill()
+        self.host.shutdown_deadline()
     }
 
     /// How many connections there are.
@@ -393,9 +395,9 @@
             self.armed = None;
         }
         loop {
-            let due = self.host.fall_due(now, &mut self.hall);
+            let due = self.host.expire_timers(now, &mut self.hall);
             for (task, number) in std::mem::take(&mut self.hall.given_up) {
-                self.host.call_ended(now, task, number, CallOutcome::MayHaveRun);
+                self.host.call_ended(now, task, number, CallOutcome::MaybeExecuted);
             }
             match due {
                 Some(Due::Tick) => self.tick(now),
@@ -404,11 +406,11 @@
             }
         }
         if std::mem::take(&mut self.hall.asked) {
-            self.host.gauges(now, self.gauges);
+            self.host.update_gauges(now, self.gauges);
         }
-        self.host.settle(now, &mut self.hall, &mut self.desk);
+        self.host.decide(now, &mut self.hall, &mut self.desk);
         self.hall.given_up.clear();
-        let next = self.host.next_due()?;
+        let next = self.host.next_timer()?;
         if self.armed.is_some_and(|armed| armed <= next) {
             return None;
         }
@@ -417,7 +419,7 @@
     }
 
     fn tick(&mut self, now: Instant) {
-        self.host.set(now + TICK, Due::Tick);
+        self.host.set_timer(now + TICK, Due::Tick);
         self.hall.pool.share(now);
         self.hall.counts.held_most = self.hall.counts.held_most.max(self.hall.pool.held());
         self.ticks += 1;
@@ -427,20 +429,20 @@
             self.used = (now, used);
             // Where the link is scarce it is what a place stands for; else the core that carries all.
             let busy = self.hall.link.as_mut().map_or(busy.min(1.0), |link| link.busy(now));
-            self.gauges = Gauges { cores_busy: Some(busy), connections: Some(self.connections) };
+            self.gauges = Gauges { cpu_utilization: Some(busy), open_connections: Some(self.connections) };
         }
         // A stream that did not move since the last look waits for a peer, and holds no place meanwhile.
         for at in 0..self.hall.flows.len() {
-            let task = TaskId(at as u32);
+            let task = RequestId(at as u32);
             let Some(flow) = self.hall.flow(task) else { continue };
             match (std::mem::take(&mut flow.moved), flow.waits) {
                 (false, Waits::No) => {
                     flow.waits = Waits::Standing;
-                    self.host.at_call(now, task);
+                    self.host.call_requested(now, task);
                 }
                 (true, Waits::Call(number)) => {
                     flow.waits = Waits::No;
-                    self.host.call_ended(now, task, number, CallOutcome::Ok);
+                    self.host.call_ended(now, task, number, CallOutcome::Succeeded);
                 }
                 _ => {}
             }
@@ -455,7 +457,7 @@
             }
         }
         for late in self.hall.progress.late(now) {
-            if let Some(flow) = self.hall.flow(TaskId(late.0 / 2)) {
+            if let Some(flow) = self.hall.flow(RequestId(late.0 / 2)) {
                 flow.late = true;
             }
         }
@@ -477,10 +479,10 @@
         let (woken, period) = (link.grant(now), link.period());
         self.hall.granting = !woken.is_empty();
         if self.hall.granting {
-            self.host.set(now + period, Due::Grant);
+            self.host.set_timer(now + period, Due::Grant);
         }
         for stream in woken {
-            if let Some(flow) = self.hall.flow(TaskId(stream.0 / 2)) {
+            if let Some(flow) = self.hall.flow(RequestId(stream.0 / 2)) {
                 flow.ticket.wake();
             }
         }
@@ -490,17 +492,17 @@
     pub fn enter(&mut self, now: Instant, ticket: &Arc<Ticket>, entering: Entering) -> bool {
         let expected = self.hall.sizes.expected(ticket.stage, entering.told);
         let floors = 2.0 * self.hall.pool_floor() as f64 / 1024.0;
-        let key = entering.mark.filter(|_| self.effect(ticket) == Effect::Fingerprinted);
-        let entry = Entry {
-            stage: ticket.stage,
-            customer: entering.customer,
+        let key = entering.mark.filter(|_| self.effect(ticket) == Effect::Deduplicated);
+        let entry = IncomingRequest {
+            class: ticket.stage,
+            tenant: entering.customer,
             caller: entering.caller,
-            hint: Some(self.hall.expected_span(expected)),
+            expected_work: Some(self.hall.expected_span(expected)),
             key: key.map(|mark| (ticket.stage, mark)),
-            kb: floors,
-            ..Entry::default()
+            memory_kb: floors,
+            ..IncomingRequest::default()
         };
-        match self.host.enter(now, None, entry, ticket.clone(), ticket.clone()) {
+        match self.host.submit(now, None, entry, ticket.clone(), ticket.clone()) {
             Ok(task) => {
                 ticket.task.store(task.0, Ordering::Relaxed);
                 true
@@ -511,7 +513,7 @@
 
     /// What may happen when a stream is done twice.
     pub fn effect(&self, ticket: &Ticket) -> Effect {
-        self.hall.stages.get(ticket.stage).map_or(Effect::Restartable, |stage| stage.effect)
+        self.hall.stages.get(ticket.stage).map_or(Effect::Idempotent, |stage| stage.effect)
     }
 
     /// What a stream may do now.
@@ -546,7 +548,7 @@
         if let Some(link) = &mut hall.link {
             link.sent(down(task), moved.down_took, moved.more);
             if moved.more && !std::mem::replace(&mut hall.granting, true) {
-                self.host.set(now, Due::Grant);
+                self.host.set_timer(now, Due::Grant);
             }
         }
     }
@@ -615,7 +617,7 @@
     /// Whether the rest of a download may be asked for elsewhere. Nothing is done twice by it.
     pub fn may_go_on(&mut self, now: Instant, not: &[usize]) -> bool {
         let fresh = Sent { octets: 0, head: false, held: true, answered: false };
-        let may = self.hall.upstreams.any(now, not) && self.hall.repeats.may(Effect::Restartable, fresh);
+        let may = self.hall.upstreams.any(now, not) && self.hall.repeats.may(Effect::Idempotent, fresh);
         self.hall.counts.resumed += u64::from(may);
         may
     }
@@ -626,7 +628,7 @@
             return;
         }
         let task = ticket.task();
-        if let RunEnd::Finished(_) = end {
+        if let RunEnd::Completed(_) = end {
             self.hall.repeats.succeeded();
             if let Some(octets) = self.hall.flow(task).map(|flow| flow.octets) {
                 self.hall.sizes.moved(ticket.stage, octets);
@@ -643,7 +645,7 @@
 
     /// A stream's client waits no more.
     pub fn gone(&mut self, now: Instant, ticket: &Arc<Ticket>) {
-        self.host.gone(now, ticket.task(), |own| Arc::ptr_eq(own, ticket));
+        self.host.caller_gone(now, ticket.task(), |own| Arc::ptr_eq(own, ticket));
         if ticket.running() {
             self.ended(now, ticket, RunEnd::Stopped);
         }
@@ -651,20 +653,20 @@
 
     /// The notice to leave; false where it was given before.
     pub fn leave(&mut self, now: Instant, stop: Span) -> bool {
-        self.host.drain(now, stop)
+        self.host.begin_drain(now, stop)
     }
 
     /// After a failure of our own: whose answers are owed.
     pub fn give_up(&mut self) -> Vec<Arc<Ticket>> {
-        self.host.give_up()
+        self.host.fail_all()
     }
 
     /// All counters.
     pub fn counters(&self) -> serde_json::Value {
-        let (tally, counts) = (self.host.tally(), self.hall.counts);
+        let (tally, counts) = (self.host.counts(), self.hall.counts);
         serde_json::json!({
-            "read": tally.read, "finished": tally.finished, "rejected": tally.rejected,
-            "abandoned": tally.abandoned, "gone": tally.gone, "open": tally.open, "adds_up": tally.adds_up(),
+            "read": tally.received, "finished": tally.completed, "rejected": tally.rejected,
+            "abandoned": tally.failed, "gone": tally.caller_gone, "open": tally.in_flight, "adds_up": tally.is_consistent(),
             "repeated": counts.repeated, "resumed": counts.resumed, "left_out": counts.left_out,
             "late": counts.late, "cut": counts.cut, "bad": counts.bad,
             "octets_up": counts.up, "octets_down": counts.down,
--- a/crates/frontends/stream/src/server.rs
+++ b/crates/frontends/stream/src/server.rs
@@ -5,12 +5,12 @@
 use crate::owner::Owner;
 use crate::settings::Checked;
 use lynxtally::{Instant, Policy, Span};
-use lynxtally_host::Decide;
-use lynxtally_wire::alarm::Alarm;
-use lynxtally_wire::clock::Clock;
-use lynxtally_wire::gate::listen;
-use lynxtally_wire::line::spawn;
-use lynxtally_wire::turnstile::Turnstile;
+use lynxtally_engine::Scheduler;
+use lynxtally_net::alarm::Alarm;
+use lynxtally_net::clock::Clock;
+use lynxtally_net::gate::listen;
+use lynxtally_net::line::spawn;
+use lynxtally_net::turnstile::Turnstile;
 use rand::Rng;
 use std::net::SocketAddr;
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
@@ -60,7 +60,7 @@
 }
 
 /// Starts a server; an error is one line. `decide` makes what decides.
-pub fn start<P: Decide + Send + 'static>(
+pub fn start<P: Scheduler + Send + 'static>(
     settings: Checked,
     decide: impl FnOnce(&Checked, Instant) -> P,
 ) -> Result<Running, String> {
@@ -91,7 +91,7 @@
         front.sweep(true);
         let (counters, tally) = front.with(|owner, _| (owner.counters().to_string(), owner.tally()));
         // Who started it may be gone.
-        let _ = ended.send(Ended { counters, adds_up: tally.adds_up() && tally.open == 0 });
+        let _ = ended.send(Ended { counters, adds_up: tally.is_consistent() && tally.in_flight == 0 });
     };
     std::thread::Builder::new()
         .name("streams".to_owned())
@@ -102,7 +102,7 @@
 
 /// Sweeps, until the notice to leave was given and all is answered. Until then all that comes is still read and
 /// answered: nobody who came to a listening server is left without a word.
-fn watch<P: Decide + Send + 'static>(front: &Arc<Front<P>>, heard: &Receiver<Heard>, stop: Duration) {
+fn watch<P: Scheduler + Send + 'static>(front: &Arc<Front<P>>, heard: &Receiver<Heard>, stop: Duration) {
     let stop = Span::from_micros(stop.as_micros() as u64) * TOLD;
     let (mut gone, mut wait, mut turns) = (false, SWEEP, 0_u64);
     loop {
@@ -120,7 +120,7 @@
             Err(RecvTimeoutError::Disconnected) => std::thread::sleep(wait),
             Err(RecvTimeoutError::Timeout) => {}
         }
-        let (kill, open, now) = front.with(|owner, now| (owner.kill(), owner.tally().open, now));
+        let (kill, open, now) = front.with(|owner, now| (owner.kill(), owner.tally().in_flight, now));
         front.sweep(kill.is_some());
         turns += 1;
         if let Some(archive) = front.archive.as_ref().filter(|_| turns % AGED == 0) {
--- a/crates/frontends/stream/src/settings.rs
+++ b/crates/frontends/stream/src/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{Asked, Bad};
 use crate::relay::Plan;
-use lynxtally::{Below, Effect, FreeValue, Settings, Span, StageSettings};
+use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
 use lynxtally_flow::coding::{Coding, Growth};
 use lynxtally_flow::uploads::UploadLimits;
 use lynxtally_flow::{PoolLimits, ProgressLimits, UpstreamLimits};
@@ -432,44 +432,44 @@
     /// What the module is told. A core is a place for one stream that moves; one that waits for a peer holds none. A
     /// stream's memory is its two floors.
     fn policy(&self) -> Settings {
-        let mut stages: Vec<StageSettings> = self.stages.iter().map(StageFile::told).collect();
+        let mut stages: Vec<RequestClass> = self.stages.iter().map(StageFile::told).collect();
         // What only asks about an upload takes no time; it also sets the pace of the module's timer.
-        stages.push(StageSettings {
+        stages.push(RequestClass {
             utility: self.stages.iter().map(|stage| stage.utility).fold(0.0, f64::max),
-            late_part: 0.0,
-            due: ms(1000),
-            limit: ms(5000),
-            effect: Effect::Restartable,
-            repeat_window: Span::ZERO,
-            calls: false,
-            skip_part: 0.0,
+            late_utility_fraction: 0.0,
+            latency_objective: ms(1000),
+            deadline: ms(5000),
+            effect: Effect::Idempotent,
+            deduplication_window: Span::ZERO,
+            calls_downstream: false,
+            degraded_utility_fraction: 0.0,
         });
         Settings {
             cores: self.limits.at_once,
             // Floors come from the half of the memory that is reserved for them.
             memory_kb: (self.limits.memory_mb * 512) as f64,
-            run_memory: 1.0,
-            key_kb: 0.1,
-            cold: false,
-            cold_share: 1.0,
-            warm_after: Span::from_millis(1),
+            running_memory_factor: 1.0,
+            idempotency_key_kb: 0.1,
+            cold_start: false,
+            cold_capacity_fraction: 1.0,
+            warmup_time: Span::from_millis(1),
             // Memory bounds how many there are: what waits holds nothing else.
-            crowd_limit: 65_536.0,
+            max_running_per_core: 65_536.0,
             drain_grace: ms(self.grace_ms),
-            stages,
-            quotas: self.customers.iter().map(|customer| customer.quota).collect(),
-            over_share: 0.1,
-            by_work: false,
+            classes: stages,
+            tenant_quotas: self.customers.iter().map(|customer| customer.quota).collect(),
+            over_quota_utility_fraction: 0.1,
+            utility_per_work: false,
             backends: 1,
             callers: 1,
-            depth: 0,
-            below: Below::Peers,
+            tier_depth: 0,
+            downstream: Downstream::Peers,
             stoppable: false,
-            free_value: FreeValue::Silent,
-            heeded: ms(1000),
-            idle_after: Span::ZERO,
-            share_for: Span::ZERO,
-            hold_off: ms(30_000),
+            capacity_format: CapacityFormat::None,
+            capacity_ttl: ms(1000),
+            client_idle_timeout: Span::ZERO,
+            coalescing_window: Span::ZERO,
+            max_retry_after: ms(30_000),
         }
     }
 }
@@ -477,26 +477,26 @@
 impl StageFile {
     fn effect(&self) -> Effect {
         match self.effect {
-            EffectFile::Restartable => Effect::Restartable,
-            EffectFile::Fingerprinted => Effect::Fingerprinted,
-            EffectFile::SideEffecting => Effect::SideEffecting,
+            EffectFile::Restartable => Effect::Idempotent,
+            EffectFile::Fingerprinted => Effect::Deduplicated,
+            EffectFile::SideEffecting => Effect::NonIdempotent,
         }
     }
 
-    fn told(&self) -> StageSettings {
-        StageSettings {
+    fn told(&self) -> RequestClass {
+        RequestClass {
             utility: self.utility,
-            late_part: self.late_part,
-            due: ms(self.due_ms),
-            limit: ms(self.limit_ms),
+            late_utility_fraction: self.late_part,
+            latency_objective: ms(self.due_ms),
+            deadline: ms(self.limit_ms),
             // The module does not repeat a stream by itself: whether one may be repeated is judged by how far it came.
             effect: match self.effect() {
-                Effect::Fingerprinted => Effect::Fingerprinted,
-                _ => Effect::SideEffecting,
+                Effect::Deduplicated => Effect::Deduplicated,
+                _ => Effect::NonIdempotent,
             },
-            repeat_window: ms(self.repeat_ms),
-            calls: true,
-            skip_part: 0.0,
+            deduplication_window: ms(self.repeat_ms),
+            calls_downstream: true,
+            degraded_utility_fraction: 0.0,
         }
     }
 
@@ -534,8 +534,8 @@
                 takes: takes.to_vec(),
                 code_from: Some(file.coding.code_from_kb << 10).filter(|from| *from > 0),
                 growth: Growth { ratio: file.coding.ratio, slack: file.coding.slack_kb << 10 },
-                keep: effect == Effect::Restartable && file.limits.spool_each_kb > 0,
-                copy_most: if effect == Effect::Fingerprinted { COPY_MOST } else { 0 },
+                keep: effect == Effect::Idempotent && file.limits.spool_each_kb > 0,
+                copy_most: if effect == Effect::Deduplicated { COPY_MOST } else { 0 },
             },
         })
     }
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -8,11 +8,11 @@
 use crate::owner::{Entering, Moved, Ticket};
 use crate::relay::Relay;
 use crate::way::Way;
+use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::{Refused, Upload, UploadId};
-use lynxtally_host::{Answer, Decide, RunEnd};
-use lynxtally_wire::end::End;
-use lynxtally_wire::line::lock;
-use lynxtally_wire::socket::{Got, Socket};
+use lynxtally_net::end::End;
+use lynxtally_net::line::lock;
+use lynxtally_net::socket::{Got, Socket};
 use rand::Rng;
 use std::fmt::Write;
 use std::net::IpAddr;
@@ -63,7 +63,7 @@
     Own { stands, ..Own::bad(bad) }
 }
 
-impl<P: Decide + Send + 'static> Front<P> {
+impl<P: Scheduler + Send + 'static> Front<P> {
     /// Whether a message begins an upload that can be gone on with, or is about one.
     pub(crate) fn is_upload(&self, asked: &Asked) -> bool {
         let begins = asked.seen.upload.complete.is_some()
@@ -170,7 +170,7 @@
                     Ok(()) => Own { stands: stands(archive, id), ..Own::new(204, "") },
                     Err(what) => Own::new(500, what),
                 });
-                self.with(|owner, now| owner.ended(now, &ticket, RunEnd::Finished(Vec::new())));
+                self.with(|owner, now| owner.ended(now, &ticket, RunEnd::Completed(Vec::new())));
                 self.say(socket, &asked, &own, whole)
             }
             (None, _) => self.begin(archive, socket, &ticket, &asked, came),
@@ -207,7 +207,7 @@
         let (entry, holder) = match begun {
             Ok(begun) => begun,
             Err(what) => {
-                return self.end(socket, ticket, asked, &refused(what, None), RunEnd::NeverRan(HOLD_OFF))
+                return self.end(socket, ticket, asked, &refused(what, None), RunEnd::Unavailable(HOLD_OFF))
             }
         };
         let waker = socket.waker();
@@ -240,10 +240,10 @@
         let upload = asked.seen.upload;
         let (Some(offset), Some(complete)) = (upload.offset, upload.complete) else {
             let bad = Bad::Field(if upload.offset.is_none() { "Upload-Offset" } else { "Upload-Complete" });
-            return self.end(socket, ticket, asked, &Own::bad(bad), RunEnd::NeverRan(HOLD_OFF));
+            return self.end(socket, ticket, asked, &Own::bad(bad), RunEnd::Unavailable(HOLD_OFF));
         };
         if asked.seen.kind != "application/partial-upload" {
-            return self.end(socket, ticket, asked, &Own::bad(Bad::Coding), RunEnd::NeverRan(HOLD_OFF));
+            return self.end(socket, ticket, asked, &Own::bad(Bad::Coding), RunEnd::Unavailable(HOLD_OFF));
         }
         let told = upload.length.or(match asked.framing {
             Framing::Length(length) if complete => offset.checked_add(length),
@@ -263,7 +263,7 @@
             }
             Err(what) => {
                 let own = refused(what, stands(archive, id));
-                self.end(socket, ticket, asked, &own, RunEnd::NeverRan(HOLD_OFF))
+                self.end(socket, ticket, asked, &own, RunEnd::Unavailable(HOLD_OFF))
             }
         }
     }
@@ -320,7 +320,7 @@
             (Stored::Whole, Ok(())) => {
                 let place = (status == 201).then(|| place(id));
                 let own = Own { stands: stands(archive, id), place, ..Own::new(status, "") };
-                self.with(|owner, now| owner.ended(now, ticket, RunEnd::Finished(Vec::new())));
+                self.with(|owner, now| owner.ended(now, ticket, RunEnd::Completed(Vec::new())));
                 return self.say(socket, asked, &own, true);
             }
         };
@@ -475,9 +475,9 @@
 }
 
 /// What a client is told that was not let in, or whose time ran out.
-fn owed(answer: &Answer, stands: Option<(u64, bool)>) -> Own {
+fn owed(answer: &FinalResponse, stands: Option<(u64, bool)>) -> Own {
     match answer {
-        Answer::Rejected { hold_off, .. } => {
+        FinalResponse::Rejected { retry_after: hold_off, .. } => {
             let back_in = Some((hold_off.secs().ceil() as u64).max(1));
             Own { back_in, stands, ..Own::new(503, "not taken; nothing of it was done") }
         }
--- a/crates/frontends/stream/tests/codec.rs
+++ b/crates/frontends/stream/tests/codec.rs
@@ -1,12 +1,12 @@
 //! The codec and the relay, without sockets: what comes split anywhere, what is hostile, and what takes no room.
 
 use lynxtally_flow::coding::{Coding, Growth};
-use lynxtally_standins::stream::piece;
 use lynxtally_stream::body::{Decoder, Encoder};
 use lynxtally_stream::coder::Coder;
 use lynxtally_stream::http::{Asked, Bad, Framing, Reply};
 use lynxtally_stream::relay::{Fault, Plan, Relay};
 use lynxtally_stream::way::Way;
+use lynxtally_test_doubles::stream::piece;
 use proptest::prelude::*;
 
 fn decode(input: &[u8], cuts: &[usize]) -> Result<(Vec<u8>, bool, usize), Bad> {
--- a/crates/frontends/stream/tests/stories.rs
+++ b/crates/frontends/stream/tests/stories.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use lynxtally_standins::stream::{piece, Client, Got};
+use lynxtally_test_doubles::stream::{piece, Client, Got};
 use serde_json::json;
 use std::io::Read;
 use std::time::{Duration, Instant};
--- a/crates/frontends/stream/tests/uploads.rs
+++ b/crates/frontends/stream/tests/uploads.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use lynxtally_standins::stream::{piece, Client, Got, Upstream};
+use lynxtally_test_doubles::stream::{piece, Client, Got, Upstream};
 use serde_json::json;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/frontends/stream/tests/world/mod.rs
+++ b/crates/frontends/stream/tests/world/mod.rs
@@ -2,9 +2,9 @@
 
 #![allow(dead_code)]
 
-use lynxtally_standins::stream::{Client, Upstream};
 use lynxtally_stream::server::{self, Ended, Heard, Running};
 use lynxtally_stream::settings::{Checked, File};
+use lynxtally_test_doubles::stream::{Client, Upstream};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::{Duration, Instant};
--- a/crates/lynxtally-adapter/src/backend.rs
+++ b/crates/lynxtally-adapter/src/backend.rs
@@ -7,7 +7,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 pub struct Backend {
-    door: Door,
+    door: RequestIdTable,
     policy: Policy,
     stages: Vec<String>,
     customers: Vec<String>,
@@ -22,7 +22,7 @@
         let read = lynxtally_settings::read(settings).map_err(|fault| format!("settings: {fault}"))?;
         let Declared { settings, stages, customers, .. } = read;
         Ok(Self {
-            door: Door::default(),
+            door: RequestIdTable::default(),
             policy: Policy::new(settings, seed, now),
             stages,
             customers,
@@ -37,7 +37,7 @@
         let event = match incoming {
             Incoming::Inbound(inbound) => Some(Event::Arrived(self.arrival(&inbound)?)),
             Incoming::Abandoned { xid, .. } => self.door.find(&xid).map(Event::CallerGone),
-            Incoming::NeedsDep { xid, .. } => self.door.find(&xid).map(Event::AtCall),
+            Incoming::NeedsDep { xid, .. } => self.door.find(&xid).map(Event::CallRequested),
             Incoming::Result { xid, status, .. } => {
                 let outcome = run_outcome(status)?;
                 self.door.find(&xid).map(|task| Event::RunEnded(task, outcome))
@@ -46,15 +46,16 @@
                 let outcome = call_outcome(status)?;
                 self.door.find(&xid).map(|task| Event::CallEnded(task, outcome))
             }
-            Incoming::Fired { stats, .. } => {
-                Some(Event::Timer(Gauges { cores_busy: stats.cpu_busy, connections: stats.sockets }))
-            }
+            Incoming::Fired { stats, .. } => Some(Event::TimerFired(Gauges {
+                cpu_utilization: stats.cpu_busy,
+                open_connections: stats.sockets,
+            })),
             Incoming::Quiesce { kill, .. } => Some(Event::Drain(kill.instant())),
             Incoming::Frame { .. } | Incoming::Eob | Incoming::Init { .. } | Incoming::Retire { .. } => None,
         };
         if let (Some(event), None) = (event, &self.broken) {
             let policy = &mut self.policy;
-            self.broken = guarded(|| policy.on(now, event));
+            self.broken = guarded(|| policy.handle(now, event));
         }
         Ok(())
     }
@@ -68,14 +69,14 @@
     ) -> io::Result<()> {
         let Self { policy, actions, .. } = self;
         if self.broken.is_none() {
-            self.broken = guarded(|| policy.settle(now, actions));
+            self.broken = guarded(|| policy.decide(now, actions));
         }
         if let Some(msg) = &self.broken {
             return write(&Outgoing::InternalError { i, msg });
         }
         for action in self.actions.drain(..) {
-            if let Action::Release(task) = action {
-                self.door.leave(task);
+            if let Action::ReleaseId(task) = action {
+                self.door.release(task);
             } else if let Some(outgoing) = Outgoing::for_backend(i, &action) {
                 write(&outgoing)?;
             } else if let Some(xid) = subject(&action).and_then(|task| self.door.name(task)) {
@@ -103,25 +104,24 @@
             return Err(format!("field `xid`: {:?} came twice", inbound.xid));
         }
         let repeat = match inbound.earlier.as_ref().and_then(|name| name.given()) {
-            None => Repeat::No,
-            Some(earlier) => self.door.find(earlier).map_or(Repeat::OfReleased, Repeat::Of),
+            None => Duplicate::No,
+            Some(earlier) => self.door.find(earlier).map_or(Duplicate::OfReleased, Duplicate::Of),
         };
         const HINTED: u64 = 1;
         const FURTHER: u64 = 2;
         Ok(Arrival {
-            task: self.door.enter(&inbound.xid),
-            stage,
-            customer,
+            request: self.door.assign(&inbound.xid),
+            class: stage,
+            tenant: customer,
             caller: inbound.by,
-            hint: inbound.effort_ms.filter(|_| inbound.opts & HINTED != 0).map(|ms| ms.span()),
-            unread: inbound.lay_ms.span(),
-            limit: inbound.not_after_ms.map(|ms| ms.instant()).filter(|&at| at > Instant::from_micros(0)),
-            further: inbound.opts & FURTHER != 0,
-            repeat,
-            shareable: inbound.item.as_ref().is_some_and(|item| item.given().is_some()),
-            kb: inbound.footprint,
-            place: inbound.place,
-            covered: true,
+            expected_work: inbound.effort_ms.filter(|_| inbound.opts & HINTED != 0).map(|ms| ms.span()),
+            receive_delay: inbound.lay_ms.span(),
+            deadline: inbound.not_after_ms.map(|ms| ms.instant()).filter(|&at| at > Instant::from_micros(0)),
+            is_retry: inbound.opts & FURTHER != 0,
+            duplicate: repeat,
+            coalescable: inbound.item.as_ref().is_some_and(|item| item.given().is_some()),
+            memory_kb: inbound.footprint,
+            prepaid: true,
         })
     }
 }
@@ -134,31 +134,35 @@
 }
 
 /// The task that an action concerns.
-fn subject(action: &Action) -> Option<TaskId> {
+fn subject(action: &Action) -> Option<RequestId> {
     use Action::*;
     match action {
-        Run(task) | Stop(task) | Abandon(task) | Skip(task) | Reuse(task) | Keep(task, _) | Forget(task) => {
-            Some(*task)
-        }
-        Reject { task, .. } | Call { task, .. } => Some(*task),
+        Start(task)
+        | Stop(task)
+        | Fail(task)
+        | Degrade(task)
+        | Coalesce(task)
+        | RetainKey(task, _)
+        | ReleaseKey(task) => Some(*task),
+        Reject { request: task, .. } | Call { request: task, .. } => Some(*task),
         _ => None,
     }
 }
 
 fn run_outcome(status: u64) -> Result<RunOutcome, String> {
     match status {
-        200 | 502 => Ok(RunOutcome::Answered),
+        200 | 502 => Ok(RunOutcome::Responded),
         444 => Ok(RunOutcome::Cancelled),
-        409 => Ok(RunOutcome::Moot),
+        409 => Ok(RunOutcome::NotStarted),
         other => Err(format!("field `status`: {other} is no outcome of a run")),
     }
 }
 
 fn call_outcome(status: u64) -> Result<CallOutcome, String> {
     match status {
-        200 => Ok(CallOutcome::Ok),
-        429 | 521 | 409 => Ok(CallOutcome::NeverRan),
-        502 | 408 | 520 | 444 => Ok(CallOutcome::MayHaveRun),
+        200 => Ok(CallOutcome::Succeeded),
+        429 | 521 | 409 => Ok(CallOutcome::NotExecuted),
+        502 | 408 | 520 | 444 => Ok(CallOutcome::MaybeExecuted),
         other => Err(format!("field `status`: {other} is no outcome of a call")),
     }
 }
--- a/crates/lynxtally-adapter/src/wire.rs
+++ b/crates/lynxtally-adapter/src/wire.rs
@@ -117,8 +117,6 @@
     pub profile: String,
     pub footprint: f64,
     pub item: Option<Name>,
-    #[serde(default)]
-    pub place: f64,
 }
 
 #[derive(Debug, Default, Deserialize)]
@@ -153,17 +151,17 @@
     pub fn for_task(i: u64, action: &lynxtally::Action, xid: &'a str) -> Option<Self> {
         use lynxtally::Action::*;
         Some(match action {
-            Run(_) => Self::Serve { i, xid },
+            Start(_) => Self::Serve { i, xid },
             Stop(_) => Self::Interrupt { i, xid },
-            Reject { hold_off, terminal, .. } => {
+            Reject { retry_after: hold_off, no_retry: terminal, .. } => {
                 Self::Busy { i, xid, hold_off_ms: Millis::from(*hold_off), terminal: *terminal }
             }
-            Abandon(_) => Self::Error { i, xid },
-            Call { time_out, .. } => Self::ReachOut { i, xid, try_for_ms: Millis::from(*time_out) },
-            Skip(_) => Self::Degrade { i, xid },
-            Reuse(_) => Self::AnswerFrom { i, xid },
-            Keep(_, span) => Self::RecordKey { i, xid, hold_for_ms: Millis::from(*span) },
-            Forget(_) => Self::Forget { i, xid },
+            Fail(_) => Self::Error { i, xid },
+            Call { timeout: time_out, .. } => Self::ReachOut { i, xid, try_for_ms: Millis::from(*time_out) },
+            Degrade(_) => Self::Degrade { i, xid },
+            Coalesce(_) => Self::AnswerFrom { i, xid },
+            RetainKey(_, span) => Self::RecordKey { i, xid, hold_for_ms: Millis::from(*span) },
+            ReleaseKey(_) => Self::Forget { i, xid },
             _ => return None,
         })
     }
@@ -172,10 +170,10 @@
     pub fn for_backend(i: u64, action: &'a lynxtally::Action) -> Option<Self> {
         use lynxtally::Action::*;
         Some(match action {
-            Health(on) => Self::Readiness { i, on: *on, cheap: true },
-            CloseIdle(span) => Self::Idle { i, hold_for_ms: Millis::from(*span) },
-            Say(x) => Self::Advertise { i, x: *x },
-            Timer(span) => Self::Timer { i, mark: 0, from_now_ms: Millis::from(*span) },
+            SetHealth(on) => Self::Readiness { i, on: *on, cheap: true },
+            CloseIdleConnections(span) => Self::Idle { i, hold_for_ms: Millis::from(*span) },
+            AdvertiseCapacity(x) => Self::Advertise { i, x: *x },
+            SetTimer(span) => Self::Timer { i, mark: 0, from_now_ms: Millis::from(*span) },
             Log(msg) => Self::Print { i, msg },
             _ => return None,
         })
--- a/crates/lynxtally-coordinator/src/keeper.rs
+++ b/crates/lynxtally-coordinator/src/keeper.rs
@@ -5,7 +5,7 @@
 use crate::settings::Settings;
 use crate::store::{self, Log, Machine, Shared};
 use crate::Raft;
-use lynxtally_wire::folder::Folder;
+use lynxtally_net::folder::Folder;
 use openraft::{BasicNode, Config, SnapshotPolicy};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/lynxtally-coordinator/src/lib.rs
+++ b/crates/lynxtally-coordinator/src/lib.rs
@@ -1,5 +1,5 @@
 //! A keeper of the register of shares. The replication is openraft's; its log and snapshots stand on the
-//! project's journal ([`store`]), what is agreed on is `lynxtally-shares`, and nodes and operators speak to it by
+//! project's journal ([`store`]), what is agreed on is `lynxtally-coordination`, and nodes and operators speak to it by
 //! HTTP with the messages of `lynxtally-messages` ([`net`]). What only a leader does is in [`leader`].
 
 #![forbid(unsafe_code)]
@@ -11,7 +11,7 @@
 pub mod settings;
 pub mod store;
 
-use lynxtally_shares::{Answer, Stamped};
+use lynxtally_coordination::{Answer, Stamped};
 use std::io::Cursor;
 
 openraft::declare_raft_types!(
--- a/crates/lynxtally-coordinator/src/main.rs
+++ b/crates/lynxtally-coordinator/src/main.rs
@@ -1,6 +1,6 @@
-//! `lynxtally-keeper`: one keeper of the register of shares.
+//! `lynxtally-coordinator`: one keeper of the register of shares.
 
-use lynxtally_keeper::{keeper, settings};
+use lynxtally_coordinator::{keeper, settings};
 use std::path::Path;
 use std::process::ExitCode;
 use tokio::signal::unix::{signal, SignalKind};
@@ -9,7 +9,7 @@
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 
-const USAGE: &str = "usage: lynxtally-keeper SETTINGS
+const USAGE: &str = "usage: lynxtally-coordinator SETTINGS
 
 Keeps the register of shares with the other keepers that SETTINGS names, a Jsonnet template such as
 deploy/shares/keeper.jsonnet. LYNXTALLY_LOG sets what is logged: error, warn, info (the default), debug, trace
@@ -23,7 +23,7 @@
             return ExitCode::SUCCESS;
         }
         ["--version" | "-V"] => {
-            println!("lynxtally-keeper {}", env!("CARGO_PKG_VERSION"));
+            println!("lynxtally-coordinator {}", env!("CARGO_PKG_VERSION"));
             return ExitCode::SUCCESS;
         }
         [path] if !path.starts_with('-') => path.to_owned(),
@@ -35,7 +35,7 @@
     match start(&path) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("lynxtally-keeper: {fault}");
+            eprintln!("lynxtally-coordinator: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/crates/lynxtally-coordinator/src/store/disk.rs
+++ b/crates/lynxtally-coordinator/src/store/disk.rs
@@ -2,7 +2,7 @@
 
 use super::record::{Kept, Record};
 use super::StoreFault;
-use lynxtally_journal::{seal, unseal, Disk, Found, Journal};
+use lynxtally_wal::{seal, unseal, Disk, Found, Journal};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 
--- a/crates/lynxtally-coordinator/src/store/machine.rs
+++ b/crates/lynxtally-coordinator/src/store/machine.rs
@@ -3,7 +3,7 @@
 use super::disk::{Job, Opened};
 use super::StoreFault;
 use crate::Types;
-use lynxtally_shares::{Answer, Place, Register};
+use lynxtally_coordination::{Answer, Place, Register};
 use openraft::storage::{RaftStateMachine, Snapshot};
 use openraft::{
     BasicNode, Entry, EntryPayload, LogId, OptionalSend, RaftSnapshotBuilder, SnapshotMeta, StorageError,
--- a/crates/lynxtally-coordinator/src/store/mod.rs
+++ b/crates/lynxtally-coordinator/src/store/mod.rs
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 pub enum StoreFault {
     /// The journal is damaged, or the folder failed.
-    Journal(lynxtally_journal::Fault),
+    Journal(lynxtally_wal::Fault),
     /// A record can't be read.
     Record {
         /// Its number.
--- a/crates/lynxtally-coordinator/tests/routes.rs
+++ b/crates/lynxtally-coordinator/tests/routes.rs
@@ -2,8 +2,8 @@
 
 mod world;
 
-use lynxtally_faults::ask;
-use lynxtally_faults::until;
+use lynxtally_fault_injection::ask;
+use lynxtally_fault_injection::until;
 use lynxtally_messages::*;
 use std::time::Duration;
 use world::{budget, Keepers};
--- a/crates/lynxtally-node/src/accept/connection.rs
+++ b/crates/lynxtally-node/src/accept/connection.rs
@@ -4,8 +4,8 @@
 use crate::answer::{self, Answer};
 use crate::heard::Heard;
 use crate::http::{Asked, Message, Reader};
-use lynxtally_wire::end::End;
-use lynxtally_wire::line::{self as wire, Filled, Line};
+use lynxtally_net::end::End;
+use lynxtally_net::line::{self as wire, Filled, Line};
 use std::time::Instant;
 use tracing::{debug, warn};
 
--- a/crates/lynxtally-node/src/accept/listener.rs
+++ b/crates/lynxtally-node/src/accept/listener.rs
@@ -3,9 +3,9 @@
 use super::connection::Connection;
 use super::{Entrance, Handle, Room, Seat, Stand, PAUSE, TURN};
 use crate::heard::Heard;
-use lynxtally_wire::end::End;
-use lynxtally_wire::gate::begin_none;
-use lynxtally_wire::line::{self as wire, Line};
+use lynxtally_net::end::End;
+use lynxtally_net::gate::begin_none;
+use lynxtally_net::line::{self as wire, Line};
 use may::io::{CoIo, WaitIo};
 use std::io::ErrorKind;
 use std::net::{TcpListener, TcpStream};
--- a/crates/lynxtally-node/src/accept/mod.rs
+++ b/crates/lynxtally-node/src/accept/mod.rs
@@ -4,17 +4,17 @@
 mod listener;
 
 pub use crate::heard::{Handle, Order, Taken};
-pub use lynxtally_wire::gate::listen;
+pub use lynxtally_net::gate::listen;
 
 use crate::answer::{Answer, Standing};
 use crate::config::Bounds;
 use crate::counters::Counters;
 use crate::heard::Heard;
 use crate::http::{Bad, Names};
-use lynxtally_wire::alarm::Alarm;
-use lynxtally_wire::clock::Clock;
-use lynxtally_wire::end::End;
-use lynxtally_wire::line as wire;
+use lynxtally_net::alarm::Alarm;
+use lynxtally_net::clock::Clock;
+use lynxtally_net::end::End;
+use lynxtally_net::line as wire;
 use may::io::WaitIoWaker;
 use may::sync::mpsc::Sender;
 use std::collections::BTreeMap;
--- a/crates/lynxtally-node/src/answer.rs
+++ b/crates/lynxtally-node/src/answer.rs
@@ -34,13 +34,15 @@
     }
 }
 
-impl From<lynxtally_host::Answer> for Answer {
-    fn from(answer: lynxtally_host::Answer) -> Self {
-        use lynxtally_host::Answer as Final;
+impl From<lynxtally_engine::FinalResponse> for Answer {
+    fn from(answer: lynxtally_engine::FinalResponse) -> Self {
+        use lynxtally_engine::FinalResponse as Final;
         match answer {
-            Final::Finished(result) => Self::Finished(result),
-            Final::Rejected { hold_off, terminal } => Self::Rejected { hold_off, terminal },
-            Final::Abandoned => Self::Abandoned,
+            Final::Completed(result) => Self::Finished(result),
+            Final::Rejected { retry_after: hold_off, no_retry: terminal } => {
+                Self::Rejected { hold_off, terminal }
+            }
+            Final::Failed => Self::Abandoned,
         }
     }
 }
--- a/crates/lynxtally-node/src/config.rs
+++ b/crates/lynxtally-node/src/config.rs
@@ -67,7 +67,7 @@
     pub fn bounds(&self) -> Bounds {
         let settings = &self.declared.settings;
         let span = |span: lynxtally::Span| Duration::from_micros(span.micros());
-        let longest = settings.stages.iter().map(|stage| span(stage.limit)).max().unwrap_or(MESSAGE_MOST);
+        let longest = settings.classes.iter().map(|stage| span(stage.deadline)).max().unwrap_or(MESSAGE_MOST);
         let connections = (self.sockets as f64 * SIDECARS_PART) as usize;
         let message = longest.min(MESSAGE_MOST);
         Bounds {
@@ -76,7 +76,7 @@
             linger: message / LINGER_PART,
             // All of them together take in no more than there is memory.
             linger_bytes: self.memory / connections,
-            idle: Some(span(settings.idle_after) * FORGOTTEN).filter(|idle| !idle.is_zero()),
+            idle: Some(span(settings.client_idle_timeout) * FORGOTTEN).filter(|idle| !idle.is_zero()),
             results: (self.memory as f64 * RESULTS_PART) as usize,
         }
     }
@@ -177,14 +177,14 @@
         })?;
     let ledger = file.ledger.map(|ledger| address("ledger", &ledger)).transpose()?;
     if ledger.is_none() {
-        if let Some(at) = declared.settings.stages.iter().position(|stage| stage.calls) {
+        if let Some(at) = declared.settings.classes.iter().position(|stage| stage.calls_downstream) {
             let what =
                 format!("is missing; an address is expected, as stage `{}` calls", declared.stages[at]);
             return Err(Fault::new("ledger", what));
         }
     }
     // The kernel knows no command for a call left out, so leaving one out earns nothing here.
-    declared.settings.stages.iter_mut().for_each(|stage| stage.skip_part = 0.0);
+    declared.settings.classes.iter_mut().for_each(|stage| stage.degraded_utility_fraction = 0.0);
     Ok(Config {
         name,
         listen: address("listen", &listen)?,
--- a/crates/lynxtally-node/src/control.rs
+++ b/crates/lynxtally-node/src/control.rs
@@ -1,7 +1,7 @@
 //! Reports to the control plane, by which sidecars learn of this node.
 
 use crate::counters::Counters;
-use lynxtally_wire::alarm::Alarm;
+use lynxtally_net::alarm::Alarm;
 use may::sync::mpsc::{Receiver, Sender};
 use std::net::{SocketAddr, UdpSocket};
 
--- a/crates/lynxtally-node/src/counters.rs
+++ b/crates/lynxtally-node/src/counters.rs
@@ -1,6 +1,6 @@
 //! What the program takes in, sends and answers, counted; printed as one line of JSON.
 
-use lynxtally_wire::end::End;
+use lynxtally_net::end::End;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/crates/lynxtally-node/src/decide.rs
+++ b/crates/lynxtally-node/src/decide.rs
@@ -13,10 +13,10 @@
 use crate::ledger::{self, Call, Ledger};
 use crate::repeat;
 use crate::shares::Shares;
-use lynxtally::{CallOutcome, Effect, Gauges, Instant, Policy, Span, TaskId};
-use lynxtally_host::{Answerer, Denied, Entry, Executor, Host, RunEnd, Why};
-use lynxtally_wire::alarm::Alarm;
-use lynxtally_wire::clock::Clock;
+use lynxtally::{CallOutcome, Effect, Gauges, Instant, Policy, RequestId, Span};
+use lynxtally_engine::{Engine, Executor, IncomingRequest, Rejection, RejectionReason, Responder, RunEnd};
+use lynxtally_net::alarm::Alarm;
+use lynxtally_net::clock::Clock;
 use may::sync::mpsc::{Receiver, Sender};
 use std::sync::Arc;
 use std::time::Duration;
@@ -85,7 +85,7 @@
 }
 
 impl Executor<Work> for Machine {
-    fn run(&mut self, _: TaskId, work: &mut Work) {
+    fn start(&mut self, _: RequestId, work: &mut Work) {
         let id = work.id.clone();
         let command = if std::mem::take(&mut work.paused) {
             Command::Resume(id)
@@ -97,12 +97,12 @@
         self.command(work, command);
     }
 
-    fn stop(&mut self, _: TaskId, work: &mut Work) {
+    fn stop(&mut self, _: RequestId, work: &mut Work) {
         let id = work.id.clone();
         self.command(work, Command::Stop(id));
     }
 
-    fn call(&mut self, _: TaskId, work: &mut Work, number: u64, time_out: Span) -> bool {
+    fn start_call(&mut self, _: RequestId, work: &mut Work, number: u64, time_out: Span) -> bool {
         let until = std::time::Instant::now() + Duration::from_micros(time_out.micros());
         let call = Call { id: work.id.clone(), number, until, body: work.call_body.clone() };
         work.call = self.ledger.call(call);
@@ -113,25 +113,25 @@
         work.call.is_some()
     }
 
-    fn give_up(&mut self, work: &mut Work, number: u64) {
+    fn cancel_call(&mut self, work: &mut Work, number: u64) {
         if let Some(call) = &work.call {
             call.push(ledger::Order::GiveUp(number));
         }
     }
 
-    fn skip(&mut self, _: TaskId, work: &mut Work) {
+    fn degrade(&mut self, _: RequestId, work: &mut Work) {
         // The module was told that a call left out earns nothing, so it never asks for one.
         error!(id = work.id, "a call can't be left out here");
     }
 
-    fn ask(&mut self) {
+    fn request_gauges(&mut self) {
         if self.linked {
             self.asked += 1;
             self.kernel.say(Command::Gauges(self.asked));
         }
     }
 
-    fn tick(&mut self) {
+    fn on_timer(&mut self) {
         self.ledger.close_idle();
     }
 }
@@ -151,14 +151,14 @@
     }
 }
 
-impl Answerer<Handle> for Callers {
-    fn answer(&mut self, from: Handle, answer: lynxtally_host::Answer) -> bool {
-        use lynxtally_host::Answer as Final;
+impl Responder<Handle> for Callers {
+    fn respond(&mut self, from: Handle, answer: lynxtally_engine::FinalResponse) -> bool {
+        use lynxtally_engine::FinalResponse as Final;
         self.counters.open.less();
         match &answer {
-            Final::Finished(_) => self.counters.finished.add(),
+            Final::Completed(_) => self.counters.finished.add(),
             Final::Rejected { .. } => self.counters.rejected.add(),
-            Final::Abandoned => self.counters.abandoned.add(),
+            Final::Failed => self.counters.abandoned.add(),
         }
         let taken = from.push(accept::Order::Answer(answer.into()));
         if !taken {
@@ -167,15 +167,15 @@
         taken
     }
 
-    fn health(&mut self, well: bool) {
+    fn set_health(&mut self, well: bool) {
         self.say_health(well);
     }
 
-    fn say(&mut self, free: f64) {
+    fn advertise_capacity(&mut self, free: f64) {
         self.standing.say(free);
     }
 
-    fn close_idle(&mut self, since: Span) {
+    fn close_idle_connections(&mut self, since: Span) {
         self.entrance.close_idle(Duration::from_micros(since.micros()));
     }
 
@@ -188,7 +188,7 @@
 pub struct Owner {
     config: Config,
     clock: Clock,
-    host: Host<Policy, Work, Handle, Due>,
+    host: Engine<Policy, Work, Handle, Due>,
     /// When the alarm goes next.
     armed: Option<Instant>,
     /// Since when the listener is closed.
@@ -230,10 +230,10 @@
     /// An owner that waits for the kernel to come up.
     pub fn new(config: Config, parts: Parts) -> Self {
         let Parts { alarm, owner, reporter, kernel, ledger, entrance, standing, counters, shares } = parts;
-        let mut host = Host::new(config.bounds().results);
-        host.set(Instant::default(), Due::Sweep);
+        let mut host = Engine::new(config.bounds().results);
+        host.set_timer(Instant::default(), Due::Sweep);
         // The codec takes nothing that came longer ago.
-        host.set_unread(Span::from_millis(Names::of(&config.declared).longest_ms));
+        host.set_max_receive_delay(Span::from_millis(Names::of(&config.declared).longest_ms));
         let stages = config.declared.stages.clone();
         Self {
             config,
@@ -272,13 +272,13 @@
             for message in batch.drain(..) {
                 self.hear(now, message);
             }
-            while let Some(due) = self.host.fall_due(now, &mut self.machine) {
+            while let Some(due) = self.host.expire_timers(now, &mut self.machine) {
                 self.fall_due(now, due);
             }
             if let Some(shares) = &mut self.shares {
                 shares.before(now, &mut self.host);
             }
-            self.host.settle(now, &mut self.machine, &mut self.callers);
+            self.host.decide(now, &mut self.machine, &mut self.callers);
             if let Some(shares) = &mut self.shares {
                 shares.after(&mut self.host);
             }
@@ -291,7 +291,7 @@
     /// Has a message sent when the next thing falls due, unless one comes by then anyway.
     fn set_alarm(&mut self) {
         let shares = self.shares.as_ref().and_then(Shares::wait).map(|wait| self.clock.now() + wait);
-        let Some(at) = [self.host.next_due(), shares].into_iter().flatten().min() else { return };
+        let Some(at) = [self.host.next_timer(), shares].into_iter().flatten().min() else { return };
         if self.armed.is_none_or(|armed| at < armed) {
             self.armed = Some(at);
             let owner = self.owner.clone();
@@ -308,7 +308,7 @@
     pub fn give_up(&mut self) {
         self.callers.say_health(false);
         self.callers.standing.leave();
-        for from in self.host.give_up() {
+        for from in self.host.fail_all() {
             self.counters.abandoned.add();
             self.counters.open.less();
             from.push(accept::Order::Answer(Answer::Abandoned));
@@ -321,7 +321,7 @@
             Heard::Taken(taken) => self.taken(now, taken),
             Heard::CallerGone { id, from, end } => {
                 let task = self.host.find(&id);
-                if task.is_some_and(|task| self.host.gone(now, task, |own| Arc::ptr_eq(own, &from))) {
+                if task.is_some_and(|task| self.host.caller_gone(now, task, |own| Arc::ptr_eq(own, &from))) {
                     debug!(id, %end, "caller gone");
                     self.counters.caller_gone.add();
                     self.counters.open.less();
@@ -340,22 +340,22 @@
                     shares.leave();
                 }
                 let stop = Span::from_micros(self.config.stop.as_micros() as u64);
-                if self.host.drain(now, stop) {
+                if self.host.begin_drain(now, stop) {
                     info!(stop_ms = self.config.stop.as_millis() as u64, "notice to leave");
                     self.callers.say_health(false);
-                    self.host.set(now + stop * CLOSE_AFTER, Due::Close);
+                    self.host.set_timer(now + stop * CLOSE_AFTER, Due::Close);
                     // The module answers all by two periods before the kill. Before the kernel is up there is none.
-                    let period = self.host.period();
+                    let period = self.host.timer_period();
                     let exit = now + (stop - if period > Span::ZERO { period } else { stop * END_AHEAD });
-                    self.host.set(exit, Due::Exit);
-                    self.host.set(exit - CROSSING, Due::Last);
+                    self.host.set_timer(exit, Due::Exit);
+                    self.host.set_timer(exit - CROSSING, Due::Last);
                 }
             }
             Heard::Due => {}
             Heard::Configured(config) => self.configure(*config),
             Heard::Closed => {
                 self.closed = Some(now);
-                self.host.set(now + CROSSING, Due::Crossed);
+                self.host.set_timer(now + CROSSING, Due::Crossed);
                 self.callers.entrance.close_idle(Duration::ZERO);
             }
         }
@@ -387,23 +387,22 @@
     fn taken(&mut self, now: Instant, Taken { sent, from }: Taken) {
         self.counters.tasks.add(sent.stage);
         let settings = &self.config.declared.settings;
-        let effect = settings.stages[sent.stage].effect;
-        let known = repeat::known_by(&sent, effect, settings.share_for > Span::ZERO);
-        let entry = Entry {
-            stage: sent.stage,
-            customer: sent.customer,
+        let effect = settings.classes[sent.stage].effect;
+        let known = repeat::known_by(&sent, effect, settings.coalescing_window > Span::ZERO);
+        let entry = IncomingRequest {
+            class: sent.stage,
+            tenant: sent.customer,
             caller: sent.caller,
-            hint: sent.hint_ms.map(|hint| Span::from_secs(hint / 1000.0)),
-            limit: sent.limit_ms.map(|limit| Instant::from_micros(limit * 1000)),
-            further: sent.further,
-            unread: now - Instant::from_micros(sent.arrived_ms.saturating_mul(1000)),
+            expected_work: sent.hint_ms.map(|hint| Span::from_secs(hint / 1000.0)),
+            deadline: sent.limit_ms.map(|limit| Instant::from_micros(limit * 1000)),
+            is_retry: sent.further,
+            receive_delay: now - Instant::from_micros(sent.arrived_ms.saturating_mul(1000)),
             key: known.key,
             fingerprint: known.fingerprint,
-            shareable: sent.subject.is_some(),
-            kb: sent.kb,
-            place: sent.place,
+            coalescable: sent.subject.is_some(),
+            memory_kb: sent.kb,
         };
-        let unread_ms = entry.unread.micros() / 1000;
+        let unread_ms = entry.receive_delay.micros() / 1000;
         debug!(
             id = sent.id,
             stage = sent.stage,
@@ -421,9 +420,9 @@
             call_body: Vec::new(),
             call: None,
         };
-        match self.host.enter(now, Some(&sent.id), entry, work, from) {
+        match self.host.submit(now, Some(&sent.id), entry, work, from) {
             Ok(_) => self.counters.open.add(),
-            Err(Denied { from, why }) => {
+            Err(Rejection { reply_to: from, reason: why }) => {
                 if self.counters.tasks_refused.get() == 0 {
                     warn!(id = sent.id, ?why, "a task not taken in; later ones are only counted");
                 }
@@ -431,8 +430,8 @@
                 // Before the kernel is up there is no module to ask, and a name that is inside already can't be
                 // told from the task that has it: neither ran. But where the effect counts, that must not be said
                 // of what may be taken for the one that runs.
-                let never_ran =
-                    why == Why::NotStarted || why == Why::NameInUse && effect == Effect::Restartable;
+                let never_ran = why == RejectionReason::NotStarted
+                    || why == RejectionReason::NameInUse && effect == Effect::Idempotent;
                 let answer = if never_ran {
                     self.counters.rejected.add();
                     Answer::Rejected { hold_off: Span::ZERO, terminal: false }
@@ -446,7 +445,7 @@
     }
 
     /// A task by its name, and what it brought to the machine.
-    fn find(&mut self, id: &str) -> Option<(TaskId, &mut Work)> {
+    fn find(&mut self, id: &str) -> Option<(RequestId, &mut Work)> {
         let task = self.host.find(id)?;
         Some((task, self.host.work(task)?))
     }
@@ -454,12 +453,12 @@
     fn noticed(&mut self, now: Instant, notice: Notice) {
         match notice {
             Notice::Booted { cold, ms } => {
-                if !self.host.started() {
+                if !self.host.is_started() {
                     let start = now - Span::from_secs(ms / 1000.0);
                     info!(cold, ms, "the kernel is up");
-                    debug!(below = ?self.config.declared.settings.below, "what calls go to");
+                    debug!(below = ?self.config.declared.settings.downstream, "what calls go to");
                     let mut settings = self.config.declared.settings.clone();
-                    settings.cold = cold;
+                    settings.cold_start = cold;
                     self.host.start(now, Policy::new(settings, self.config.seed, start));
                 }
             }
@@ -482,8 +481,9 @@
                 self.machine.told = self.machine.told.max(number.min(self.machine.asked));
                 let names = &self.config.declared.gauges;
                 let named = |name| Some(*values.get(names.iter().position(|known| known == name)?)?);
-                let gauges = Gauges { cores_busy: named("cpu_busy"), connections: named("sockets") };
-                self.host.gauges(now, gauges);
+                let gauges =
+                    Gauges { cpu_utilization: named("cpu_busy"), open_connections: named("sockets") };
+                self.host.update_gauges(now, gauges);
             }
             Notice::AtCall { id, body } => {
                 let Some((task, work)) = self.find(&id) else { return self.unknown(&id) };
@@ -491,7 +491,7 @@
                 work.unconfirmed.retain(|(_, command)| matches!(command, Command::Stop(_)));
                 work.call_body = body;
                 debug!(id, "at a call");
-                self.host.at_call(now, task);
+                self.host.call_requested(now, task);
             }
             Notice::Ended { id, how, result } => self.run_ended(now, &id, how, result),
             Notice::Refused { command, id } => {
@@ -502,7 +502,7 @@
                 // The run will never be heard of again: the task must not hang on it. One that was to go on had
                 // begun before.
                 let end = match command.as_str() {
-                    "SCHED" => RunEnd::Moot,
+                    "SCHED" => RunEnd::NotStarted,
                     "RESCHED" => RunEnd::Failed,
                     _ => return,
                 };
@@ -530,30 +530,30 @@
         debug!(id, ?how, "run ended");
         let pauses = self.config.declared.pauses;
         let Some(task) = self.host.find(id) else { return self.unknown(id) };
-        let awaited = self.host.from(task).is_some();
+        let awaited = self.host.reply_to(task).is_some();
         if let Some(work) = self.host.work(task) {
             work.unconfirmed.clear();
             work.paused = how == Reaped::Stopped && pauses && awaited;
         }
         let end = match how {
-            Reaped::Ok => RunEnd::Finished(result),
+            Reaped::Ok => RunEnd::Completed(result),
             Reaped::Error => RunEnd::Failed,
             Reaped::Stopped => RunEnd::Stopped,
-            Reaped::Moot => RunEnd::Moot,
+            Reaped::Moot => RunEnd::NotStarted,
         };
         self.end_run(now, task, end);
     }
 
-    fn end_run(&mut self, now: Instant, task: TaskId, end: RunEnd) {
+    fn end_run(&mut self, now: Instant, task: RequestId, end: RunEnd) {
         self.host.run_ended(now, task, end, &mut self.machine, &mut self.callers);
     }
 
     fn called(&mut self, now: Instant, id: &str, number: u64, ended: Ended) {
         let outcome = ended.outcome();
         match outcome {
-            CallOutcome::Ok => self.counters.calls_ok.add(),
-            CallOutcome::NeverRan => self.counters.calls_never_ran.add(),
-            CallOutcome::MayHaveRun => self.counters.calls_may_have_run.add(),
+            CallOutcome::Succeeded => self.counters.calls_ok.add(),
+            CallOutcome::NotExecuted => self.counters.calls_never_ran.add(),
+            CallOutcome::MaybeExecuted => self.counters.calls_may_have_run.add(),
         }
         let Some(task) = self.host.find(id) else { return };
         if !self.host.call_ended(now, task, number, outcome) {
@@ -563,7 +563,7 @@
         let Some(work) = self.host.work(task) else { return };
         work.call = None;
         if let Ended::Replied(reply) = ended {
-            if outcome == CallOutcome::Ok {
+            if outcome == CallOutcome::Succeeded {
                 let reply = Command::Reply { id: id.to_owned(), body: reply.body };
                 self.machine.command(work, reply);
             }
@@ -575,7 +575,7 @@
             Due::Sweep => {
                 self.callers.entrance.sweep();
                 let message = Span::from_micros(self.config.bounds().message.as_micros() as u64);
-                self.host.set(now + message * SWEEPS, Due::Sweep);
+                self.host.set_timer(now + message * SWEEPS, Due::Sweep);
             }
             Due::Crossed => {}
             Due::Close => {
@@ -590,9 +590,9 @@
             }
             Due::Exit => {
                 // The kernel may have come up since, and the module answers all by its own point.
-                let last = self.host.kill().map_or(now, |kill| kill - self.host.period());
-                if now < last && self.host.tally().open > 0 {
-                    self.host.set(last, Due::Exit);
+                let last = self.host.shutdown_deadline().map_or(now, |kill| kill - self.host.timer_period());
+                if now < last && self.host.counts().in_flight > 0 {
+                    self.host.set_timer(last, Due::Exit);
                 } else {
                     self.over = true;
                 }
@@ -602,7 +602,7 @@
 
     /// Whether the program may end: all is answered and no connection is left, or the time is over.
     fn done(&self, now: Instant) -> bool {
-        let answered = || self.host.tally().open == 0;
+        let answered = || self.host.counts().in_flight == 0;
         let quiet = |closed| now - closed >= CROSSING && self.callers.entrance.is_empty() && answered();
         self.over || self.closed.is_some_and(quiet)
     }
--- a/crates/lynxtally-node/src/heard.rs
+++ b/crates/lynxtally-node/src/heard.rs
@@ -5,8 +5,8 @@
 use crate::config::Config;
 use crate::http::{Reply, Sent};
 use lynxtally::CallOutcome;
-use lynxtally_wire::end::End;
-use lynxtally_wire::line::Outbox;
+use lynxtally_net::end::End;
+use lynxtally_net::line::Outbox;
 use std::sync::Arc;
 
 /// What the owner hears.
@@ -152,9 +152,9 @@
     /// What the module is told.
     pub fn outcome(&self) -> CallOutcome {
         match self {
-            Self::Replied(Reply { status: 200, .. }) => CallOutcome::Ok,
-            Self::Replied(Reply { untouched: true, .. }) => CallOutcome::NeverRan,
-            Self::Replied(_) => CallOutcome::MayHaveRun,
+            Self::Replied(Reply { status: 200, .. }) => CallOutcome::Succeeded,
+            Self::Replied(Reply { untouched: true, .. }) => CallOutcome::NotExecuted,
+            Self::Replied(_) => CallOutcome::MaybeExecuted,
             Self::Without { end, written } => end.call_outcome(*written),
         }
     }
--- a/crates/lynxtally-node/src/http.rs
+++ b/crates/lynxtally-node/src/http.rs
@@ -30,7 +30,7 @@
 impl Names {
     /// As the settings declare them.
     pub fn of(declared: &Declared) -> Self {
-        let longest = declared.settings.stages.iter().map(|stage| stage.limit).max().unwrap_or_default();
+        let longest = declared.settings.classes.iter().map(|stage| stage.deadline).max().unwrap_or_default();
         Self {
             stages: declared.stages.clone(),
             customers: declared.customers.clone(),
--- a/crates/lynxtally-node/src/kernel.rs
+++ b/crates/lynxtally-node/src/kernel.rs
@@ -4,9 +4,9 @@
 use crate::counters::Counters;
 use crate::heard::Heard;
 pub use crate::heard::{Notice, Reaped};
-use lynxtally_wire::alarm::Alarm;
-use lynxtally_wire::end::End;
-use lynxtally_wire::line::{lock, Filled, Line, Outbox};
+use lynxtally_net::alarm::Alarm;
+use lynxtally_net::end::End;
+use lynxtally_net::line::{lock, Filled, Line, Outbox};
 use may::sync::mpsc::Sender;
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/lynxtally-node/src/repeat.rs
+++ b/crates/lynxtally-node/src/repeat.rs
@@ -2,7 +2,7 @@
 
 use crate::http::Sent;
 use lynxtally::Effect;
-use lynxtally_host::{Fingerprint, Key};
+use lynxtally_engine::{Fingerprint, Key};
 use sha2::{Digest, Sha256};
 
 /// Key and fingerprint of a task; without a key it repeats nothing.
@@ -18,16 +18,16 @@
 /// read is about is common to all customers, and any body about it may share its answer, where answers are shared.
 pub fn known_by(sent: &Sent, effect: Effect, shares: bool) -> Known {
     match effect {
-        Effect::Restartable if shares => {
+        Effect::Idempotent if shares => {
             Known { key: sent.subject.clone().map(|subject| (sent.stage, subject)), ..Known::default() }
         }
-        Effect::Fingerprinted => {
+        Effect::Deduplicated => {
             let whose = sent.customer.map_or_else(String::new, |customer| customer.to_string());
             Known {
                 key: sent.mark.as_ref().map(|mark| (sent.stage, format!("{whose}/{mark}"))),
                 fingerprint: Sha256::digest(&sent.body).into(),
             }
         }
-        Effect::Restartable | Effect::SideEffecting => Known::default(),
+        Effect::Idempotent | Effect::NonIdempotent => Known::default(),
     }
 }
--- a/crates/lynxtally-node/src/shares/carrier.rs
+++ b/crates/lynxtally-node/src/shares/carrier.rs
@@ -1,7 +1,7 @@
 //! The thread that carries messages to the keepers, one at a time.
 
 use lynxtally::Span;
-use lynxtally_holder::Outgoing;
+use lynxtally_lease_client::Outgoing;
 use lynxtally_messages::{decode, encode, Reply, MOST};
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Sender};
--- a/crates/lynxtally-node/src/shares/mod.rs
+++ b/crates/lynxtally-node/src/shares/mod.rs
@@ -8,9 +8,9 @@
 pub use carrier::Carrier;
 pub use settings::{read, File, Settings};
 
-use lynxtally::{Instant, Policy, Shares as Told, Span};
-use lynxtally_holder::{Asked, AskedWallet, Counts, Event, Holder};
-use lynxtally_host::{Host, Purse};
+use lynxtally::{CallLease, Instant, LeasedQuotas as Told, Policy, Span};
+use lynxtally_engine::{Engine, WalletReservation};
+use lynxtally_lease_client::{Asked, AskedWallet, Counts, Event, Holder};
 use lynxtally_messages::Reply;
 use rustix::time::{clock_gettime, ClockId};
 use tracing::{debug, error, info, warn};
@@ -42,7 +42,7 @@
         let calls = settings.calls.iter().map(|name| (name, settings.longest));
         let quotas = settings.quotas.iter().map(|(name, _)| (name, Span::ZERO));
         let holder = Holder::new(
-            lynxtally_holder::Settings {
+            lynxtally_lease_client::Settings {
                 name: name.to_owned(),
                 program: env!("CARGO_PKG_VERSION").to_owned(),
                 schemas: Vec::new(),
@@ -62,10 +62,10 @@
     }
 
     /// Before anything is decided in a turn: looks at the clock, and tells the module what is in force now.
-    pub fn before<W, F, D: Copy + Ord>(&mut self, now: Instant, host: &mut Host<Policy, W, F, D>) {
+    pub fn before<W, F, D: Copy + Ord>(&mut self, now: Instant, host: &mut Engine<Policy, W, F, D>) {
         self.now = boot_clock();
         self.holder.advance(self.now);
-        let mut changed = !self.told && host.started();
+        let mut changed = !self.told && host.is_started();
         let first = !std::mem::replace(&mut self.met, true);
         let mut purses: Vec<usize> = (0..self.settings.wallets.len()).filter(|_| first).collect();
         for event in self.holder.events() {
@@ -84,55 +84,63 @@
                 Event::Refused(refusal) => warn!(?refusal, "a keeper refused a message"),
             }
         }
-        if changed && host.started() {
+        if changed && host.is_started() {
             self.told = true;
-            host.shares(now, self.in_force());
+            host.set_quotas(now, self.in_force());
         }
         for wallet in purses {
             self.put_purse(wallet, host);
         }
     }
 
-    fn put_purse<W, F, D: Copy + Ord>(&self, wallet: usize, host: &mut Host<Policy, W, F, D>) {
+    fn put_purse<W, F, D: Copy + Ord>(&self, wallet: usize, host: &mut Engine<Policy, W, F, D>) {
         let Some((name, customer)) = self.settings.wallets.get(wallet) else { return };
         let Some(own) = self.holder.in_hand(wallet) else { return };
         debug!(name, account = own.account, granted = own.granted, in_force = own.in_force, "purse");
         let price = |stage: &String| own.prices.get(stage).copied().unwrap_or(0);
         let prices = (own.account > 0).then(|| self.settings.stages.iter().map(price).collect());
         let (account, granted, in_force) = (own.account, own.granted, own.in_force);
-        host.purse(*customer, Purse { account, granted, in_force, prices });
+        host.set_reservation(*customer, WalletReservation { account, granted, in_force, prices });
     }
 
     fn in_force(&self) -> Told {
-        let calls = self.settings.calls.as_ref().map(|_| (self.holder.amount(0), self.settings.longest));
+        let calls = self
+            .settings
+            .calls
+            .as_ref()
+            .map(|_| CallLease { max_in_flight: self.holder.amount(0), max_duration: self.settings.longest });
         let first = usize::from(calls.is_some());
         let mut quotas = vec![None; self.settings.customers];
         for (n, (_, customer)) in self.settings.quotas.iter().enumerate() {
             quotas[*customer] = Some(self.holder.amount(first + n) as f64);
         }
-        Told { calls, quotas }
+        Told { calls, tenants: quotas }
     }
 
     /// Tells the holder what is in use now.
-    fn tell<W, F, D: Copy + Ord>(&mut self, host: &mut Host<Policy, W, F, D>) {
-        if let Some(decides) = host.deciding() {
+    fn tell<W, F, D: Copy + Ord>(&mut self, host: &mut Engine<Policy, W, F, D>) {
+        if let Some(decides) = host.scheduler_mut() {
             let first = usize::from(self.settings.calls.is_some());
             if first > 0 {
-                let (in_hand, wanted, begun) = decides.called();
-                self.holder.used(0, in_hand, Counts { wanted, begun });
+                let usage = decides.downstream_usage();
+                self.holder.used(
+                    0,
+                    usage.in_flight,
+                    Counts { wanted: usage.requested, begun: usage.started },
+                );
             }
             for (n, (_, customer)) in self.settings.quotas.iter().enumerate() {
-                self.holder.used(first + n, decides.sent(*customer).ceil() as u64, Counts::default());
+                self.holder.used(first + n, decides.tenant_rate(*customer).ceil() as u64, Counts::default());
             }
         }
         for (wallet, (_, customer)) in self.settings.wallets.iter().enumerate() {
-            let own = host.spent(*customer);
+            let own = host.reservation_usage(*customer);
             self.holder.spent(wallet, own.account, own.spent, own.held, own.wanted);
         }
     }
 
     /// After a turn's decisions: tells the holder what is in use, and sends what it has to say.
-    pub fn after<W, F, D: Copy + Ord>(&mut self, host: &mut Host<Policy, W, F, D>) {
+    pub fn after<W, F, D: Copy + Ord>(&mut self, host: &mut Engine<Policy, W, F, D>) {
         self.tell(host);
         if let Some(outgoing) = self.holder.speak(self.now) {
             self.carrier.carry(outgoing);
@@ -142,7 +150,7 @@
     /// A message's reply came, or surely none will.
     pub fn heard<W, F, D: Copy + Ord>(
         &mut self,
-        host: &mut Host<Policy, W, F, D>,
+        host: &mut Engine<Policy, W, F, D>,
         token: u64,
         reply: Option<Reply>,
     ) {
--- a/crates/lynxtally-node/src/shares/settings.rs
+++ b/crates/lynxtally-node/src/shares/settings.rs
@@ -1,6 +1,6 @@
 //! What the configuration says of shares, under `shares`.
 
-use lynxtally::{Below, Span};
+use lynxtally::{Downstream, Span};
 use lynxtally_settings::{Declared, Fault};
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -63,9 +63,9 @@
         return Err(Fault::new("shares.patience_ms", what));
     }
     let settings = &declared.settings;
-    let longest = settings.stages.iter().map(|stage| stage.limit).max().unwrap_or_default();
-    let linger = match settings.below {
-        Below::Shared { linger, .. } => linger,
+    let longest = settings.classes.iter().map(|stage| stage.deadline).max().unwrap_or_default();
+    let linger = match settings.downstream {
+        Downstream::Shared { cancellation_lag: linger, .. } => linger,
         _ if file.calls.is_some() => {
             return Err(Fault::new("shares.calls", "is there, but `settings` names no shared dependency"));
         }
--- a/crates/lynxtally-node/tests/crossings.rs
+++ b/crates/lynxtally-node/tests/crossings.rs
@@ -5,16 +5,16 @@
 #[path = "../../../tests/host/mod.rs"]
 mod host;
 use host::world::{config, id, task, until, Caller, Mood, World};
+use lynxtally_net::alarm::Alarm;
+use lynxtally_net::end::End;
+use lynxtally_net::gate;
+use lynxtally_net::line::spawn;
 use lynxtally_node::accept::{self, Entrance};
 use lynxtally_node::answer::Standing;
 use lynxtally_node::config::{self as told, Bounds};
 use lynxtally_node::heard::Heard;
 use lynxtally_node::http::Names;
 use lynxtally_node::ledger::{Call, Ended, Ledger};
-use lynxtally_wire::alarm::Alarm;
-use lynxtally_wire::end::End;
-use lynxtally_wire::gate;
-use lynxtally_wire::line::spawn;
 use may::sync::mpsc::{channel, Receiver};
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/lynxtally-node/tests/sums.rs
+++ b/crates/lynxtally-node/tests/sums.rs
@@ -5,7 +5,7 @@
 #[path = "../../../tests/host/mod.rs"]
 mod host;
 use host::world::{task, until, Caller, World};
-use lynxtally_faults::ledger::Ledger;
+use lynxtally_fault_injection::ledger::Ledger;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread::{self, JoinHandle};
--- a/crates/lynxtally-settings/src/lib.rs
+++ b/crates/lynxtally-settings/src/lib.rs
@@ -13,7 +13,7 @@
 
 #![forbid(unsafe_code)]
 
-use lynxtally::{Below, Effect, FreeValue, Instant, Settings, Span, StageSettings};
+use lynxtally::{CapacityFormat, Downstream, Effect, Instant, RequestClass, Settings, Span};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -303,57 +303,59 @@
     fn declare(self) -> Declared {
         let Self { lanes, orgs, specifics: own, rules, allowed, over_share_worth, servers, tier, worth_by } =
             self;
-        let stage = |(at, lane): (usize, &Lane)| StageSettings {
+        let stage = |(at, lane): (usize, &Lane)| RequestClass {
             utility: lane.importance,
-            late_part: lane.late_worth,
-            due: lane.promise_ms.span(),
-            limit: lane.deadline_ms.span(),
+            late_utility_fraction: lane.late_worth,
+            latency_objective: lane.promise_ms.span(),
+            deadline: lane.deadline_ms.span(),
             effect: match lane.idempotency {
-                Idempotency::Pure => Effect::Restartable,
-                Idempotency::Token => Effect::Fingerprinted,
-                Idempotency::SideEffect => Effect::SideEffecting,
+                Idempotency::Pure => Effect::Idempotent,
+                Idempotency::Token => Effect::Deduplicated,
+                Idempotency::SideEffect => Effect::NonIdempotent,
             },
-            repeat_window: lane.dedup_window_ms.span(),
-            calls: own.class_calls.get(at).copied().unwrap_or(false),
-            skip_part: own.class_skip_worth.get(at).copied().unwrap_or(0.0),
+            deduplication_window: lane.dedup_window_ms.span(),
+            calls_downstream: own.class_calls.get(at).copied().unwrap_or(false),
+            degraded_utility_fraction: own.class_skip_worth.get(at).copied().unwrap_or(0.0),
         };
         let settings = Settings {
             cores: own.cores,
             memory_kb: own.ram_kb,
-            run_memory: own.blowup,
-            key_kb: own.kb_per_key,
-            cold: own.cold,
-            cold_share: rules.cold_share,
-            warm_after: rules.warm_after_ms.span(),
-            crowd_limit: rules.fall_multiple,
+            running_memory_factor: own.blowup,
+            idempotency_key_kb: own.kb_per_key,
+            cold_start: own.cold,
+            cold_capacity_fraction: rules.cold_share,
+            warmup_time: rules.warm_after_ms.span(),
+            max_running_per_core: rules.fall_multiple,
             drain_grace: rules.drain_grace_ms.span(),
-            stages: lanes.iter().enumerate().map(stage).collect(),
-            quotas: orgs.iter().map(|org| org.quota_per_s).collect(),
-            over_share: over_share_worth,
-            by_work: worth_by == Some(WorthBy::Work),
+            classes: lanes.iter().enumerate().map(stage).collect(),
+            tenant_quotas: orgs.iter().map(|org| org.quota_per_s).collect(),
+            over_quota_utility_fraction: over_share_worth,
+            utility_per_work: worth_by == Some(WorthBy::Work),
             backends: servers.unwrap_or(1),
             callers: own.upstreams.unwrap_or(1),
-            depth: tier,
-            below: match own.below {
-                Some(CallsTo::Shared) => Below::Shared {
-                    calls: own.calls_out,
-                    over: own.calls_over_ms.span(),
-                    linger: own.linger_ms.span(),
+            tier_depth: tier,
+            downstream: match own.below {
+                Some(CallsTo::Shared) => Downstream::Shared {
+                    concurrent_calls: own.calls_out,
+                    averaging_window: own.calls_over_ms.span(),
+                    cancellation_lag: own.linger_ms.span(),
                 },
-                Some(CallsTo::Tier) => Below::Tier,
-                Some(CallsTo::Silent) | None => Below::Nothing,
+                Some(CallsTo::Tier) => Downstream::Tier,
+                Some(CallsTo::Silent) | None => Downstream::None,
             },
             stoppable: matches!(own.stop_mode, Some(StopMode::Drop | StopMode::Pause)),
-            free_value: match own.say {
-                Some(Says::Level) => FreeValue::Level,
-                Some(Says::Credit) => FreeValue::Credit,
-                Some(Says::Weight) => FreeValue::Weight,
-                Some(Says::Silent) | None => FreeValue::Silent,
+            capacity_format: match own.say {
+                Some(Says::Level) => CapacityFormat::Threshold,
+                Some(Says::Credit) => CapacityFormat::Credits,
+                Some(Says::Weight) => CapacityFormat::Weight,
+                Some(Says::Silent) | None => CapacityFormat::None,
             },
-            heeded: own.heeded_ms.span(),
-            idle_after: own.idle_ms.span(),
-            share_for: own.share_for_ms.span(),
-            hold_off: allowed.filter(|a| a.retry_after).map_or(Span::ZERO, |a| a.max_retry_after_ms.span()),
+            capacity_ttl: own.heeded_ms.span(),
+            client_idle_timeout: own.idle_ms.span(),
+            coalescing_window: own.share_for_ms.span(),
+            max_retry_after: allowed
+                .filter(|a| a.retry_after)
+                .map_or(Span::ZERO, |a| a.max_retry_after_ms.span()),
         };
         Declared {
             settings,
--- a/crates/testing/baselines/src/lib.rs
+++ b/crates/testing/baselines/src/lib.rs
@@ -3,8 +3,8 @@
 
 #![forbid(unsafe_code)]
 
-use lynxtally::{Action, Event, Instant, Pcg, Span, TaskId};
-use lynxtally_host::Decide;
+use lynxtally::{Action, Event, Instant, Pcg, RequestId, Span};
+use lynxtally_engine::Scheduler;
 use std::collections::{BTreeMap, VecDeque};
 
 /// How a baseline works.
@@ -29,7 +29,7 @@
 }
 
 struct Waiting {
-    task: TaskId,
+    task: RequestId,
     since: Instant,
     stage: usize,
 }
@@ -43,7 +43,7 @@
     favoured: usize,
     due: Span,
     line: VecDeque<Waiting>,
-    running: BTreeMap<TaskId, (usize, Instant)>,
+    running: BTreeMap<RequestId, (usize, Instant)>,
     chance: Pcg,
     out: Vec<Action>,
     began: bool,
@@ -83,12 +83,12 @@
         }
     }
 
-    fn reject(&mut self, task: TaskId) {
-        self.out.push(Action::Reject { task, hold_off: Span::ZERO, terminal: false });
-        self.out.push(Action::Release(task));
+    fn reject(&mut self, task: RequestId) {
+        self.out.push(Action::Reject { request: task, retry_after: Span::ZERO, no_retry: false });
+        self.out.push(Action::ReleaseId(task));
     }
 
-    fn arrived(&mut self, now: Instant, task: TaskId, stage: usize) {
+    fn arrived(&mut self, now: Instant, task: RequestId, stage: usize) {
         let full = match self.kind {
             Kind::Cap | Kind::Aimd | Kind::Gradient => {
                 self.running.len() + self.line.len() >= self.slots as usize
@@ -102,8 +102,8 @@
         self.line.push_back(Waiting { task, since: now, stage });
     }
 
-    fn ended(&mut self, now: Instant, task: TaskId) {
-        self.out.push(Action::Release(task));
+    fn ended(&mut self, now: Instant, task: RequestId) {
+        self.out.push(Action::ReleaseId(task));
         let Some((_, began)) = self.running.remove(&task) else { return };
         let stay = (now - began).secs();
         self.stay += (stay - self.stay) * GAIN;
@@ -160,32 +160,34 @@
     }
 }
 
-impl Decide for Baseline {
-    fn on(&mut self, now: Instant, event: Event) {
+impl Scheduler for Baseline {
+    fn handle(&mut self, now: Instant, event: Event) {
         match event {
-            Event::Arrived(arrival) => self.arrived(now, arrival.task, arrival.stage),
-            Event::AtCall(task) => self.out.push(Action::Call { task, time_out: Span::from_millis(5000) }),
+            Event::Arrived(arrival) => self.arrived(now, arrival.request, arrival.class),
+            Event::CallRequested(task) => {
+                self.out.push(Action::Call { request: task, timeout: Span::from_millis(5000) })
+            }
             Event::RunEnded(task, _) => self.ended(now, task),
             Event::CallerGone(task) => {
                 if let Some(at) = self.line.iter().position(|one| one.task == task) {
                     self.line.remove(at);
-                    self.out.push(Action::Release(task));
+                    self.out.push(Action::ReleaseId(task));
                 }
             }
             _ => {}
         }
     }
 
-    fn settle(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn decide(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.began, true) {
-            self.out.push(Action::Health(true));
+            self.out.push(Action::SetHealth(true));
         }
         if self.kind == Kind::Age {
             self.drop_old(now);
         }
         while let Some(one) = self.next().and_then(|at| self.line.remove(at)) {
             self.running.insert(one.task, (one.stage, now));
-            self.out.push(Action::Run(one.task));
+            self.out.push(Action::Start(one.task));
         }
         actions.append(&mut self.out);
     }
@@ -197,7 +199,7 @@
     slots: usize,
     most: usize,
     running: usize,
-    line: VecDeque<TaskId>,
+    line: VecDeque<RequestId>,
     out: Vec<Action>,
     began: bool,
 }
@@ -213,33 +215,35 @@
     }
 }
 
-impl Decide for PlainQueue {
-    fn on(&mut self, _: Instant, event: Event) {
+impl Scheduler for PlainQueue {
+    fn handle(&mut self, _: Instant, event: Event) {
         match event {
-            Event::Arrived(arrival) if self.line.len() < self.most => self.line.push_back(arrival.task),
+            Event::Arrived(arrival) if self.line.len() < self.most => self.line.push_back(arrival.request),
             Event::Arrived(arrival) => {
-                let task = arrival.task;
-                self.out.push(Action::Reject { task, hold_off: Span::ZERO, terminal: false });
-                self.out.push(Action::Release(task));
+                let task = arrival.request;
+                self.out.push(Action::Reject { request: task, retry_after: Span::ZERO, no_retry: false });
+                self.out.push(Action::ReleaseId(task));
+            }
+            Event::CallRequested(task) => {
+                self.out.push(Action::Call { request: task, timeout: Span::from_millis(5000) })
             }
-            Event::AtCall(task) => self.out.push(Action::Call { task, time_out: Span::from_millis(5000) }),
             Event::RunEnded(task, _) => {
                 self.running -= 1;
-                self.out.push(Action::Release(task));
+                self.out.push(Action::ReleaseId(task));
             }
             _ => {}
         }
     }
 
-    fn settle(&mut self, _: Instant, actions: &mut Vec<Action>) {
+    fn decide(&mut self, _: Instant, actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.began, true) {
-            actions.push(Action::Health(true));
+            actions.push(Action::SetHealth(true));
         }
         actions.append(&mut self.out);
         while self.running < self.slots {
             let Some(task) = self.line.pop_front() else { break };
             self.running += 1;
-            actions.push(Action::Run(task));
+            actions.push(Action::Start(task));
         }
     }
 }
--- a/crates/testing/benchmarks/src/lab.rs
+++ b/crates/testing/benchmarks/src/lab.rs
@@ -1,8 +1,8 @@
 //! The emulator, measured: its queue of events against the standard heap, and how fast a large fleet runs.
 
 use lynxtally::Pcg;
-use lynxtally_emulator::queue::Queue;
 use lynxtally_experiment::spec::{Cell, Spec};
+use lynxtally_simulator::queue::Queue;
 use serde_json::json;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -63,7 +63,7 @@
 
 /// Measures all.
 pub fn measure() -> io::Result<String> {
-    let mut out = "# The emulator, measured\n\nMade by `cargo run --release -p lynxtally-measure -- lab`, on one machine of 8 \
+    let mut out = "# The emulator, measured\n\nMade by `cargo run --release -p lynxtally-benchmarks -- lab`, on one machine of 8 \
                    cores.\n\n## The queue of events against the standard heap\n\nOne taken out and one put in, waits drawn \
                    exponentially, as in a run.\n\n| inside | radix heap, ns | BinaryHeap, ns |\n| --- | --- | --- |\n"
         .to_owned();
--- a/crates/testing/benchmarks/src/main.rs
+++ b/crates/testing/benchmarks/src/main.rs
@@ -38,7 +38,7 @@
         only: Vec<String>,
     },
     /// Shares of the fleet: what they serve, how soon a share is in use again, what they cost. The keepers are measured
-    /// where `lynxtally-keeper` was built beside this program.
+    /// where `lynxtally-coordinator` was built beside this program.
     Shares {
         /// Where the table goes.
         #[arg(long, default_value = "docs/results/shares.md")]
--- a/crates/testing/benchmarks/src/streams.rs
+++ b/crates/testing/benchmarks/src/streams.rs
@@ -4,9 +4,9 @@
 use lynxtally::Pcg;
 use lynxtally_baselines::PlainQueue;
 use lynxtally_experiment::chart::{chart, Series};
-use lynxtally_standins::stream::{Client, Upstream};
 use lynxtally_stream::server::{self, Heard};
 use lynxtally_stream::settings::File;
+use lynxtally_test_doubles::stream::{Client, Upstream};
 use serde_json::{json, Value};
 use std::fmt::Write as _;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -498,11 +498,11 @@
                     let got = match what {
                         0 => client.get("/bytes/2000000", ""),
                         1 => client.get(&format!("/die/2000000/{point}"), ""),
-                        2 => client.put("/count", "", &lynxtally_standins::stream::piece(0, point)),
+                        2 => client.put("/count", "", &lynxtally_test_doubles::stream::piece(0, point)),
                         3 => client.put(
                             &format!("/break/{}", point / 2),
                             "",
-                            &lynxtally_standins::stream::piece(0, point),
+                            &lynxtally_test_doubles::stream::piece(0, point),
                         ),
                         _ => {
                             let _ = client.send(b"GET /bytes/2000000 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -558,7 +558,7 @@
 /// Measures all; charts go beside the table.
 pub fn measure(charts: &Path, only: &[String]) -> io::Result<String> {
     let wanted = |part: &str| only.is_empty() || only.iter().any(|own| own == part);
-    let mut out = "# The stream server, measured\n\nMade by `cargo run --release -p lynxtally-measure -- streams`: loopback, \
+    let mut out = "# The stream server, measured\n\nMade by `cargo run --release -p lynxtally-benchmarks -- streams`: loopback, \
                    the server in a process of its own, sources and clients in another, on one machine of 8 cores. Ratios \
                    are of one run; absolute figures are this machine's.\n\n"
         .to_owned();
--- a/crates/testing/experiment/src/lib.rs
+++ b/crates/testing/experiment/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod spec;
 pub mod stats;
 
-use lynxtally_emulator::rules::Broken;
-use lynxtally_emulator::world::World;
+use lynxtally_simulator::rules::Broken;
+use lynxtally_simulator::world::World;
 use serde::{Deserialize, Serialize};
 use spec::{Cell, Spec};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/testing/fault-injection/src/member.rs
+++ b/crates/testing/fault-injection/src/member.rs
@@ -3,7 +3,7 @@
 use crate::ask;
 use crate::audit::Audit;
 use lynxtally::{Instant, Span};
-use lynxtally_holder::{Asked, Counts, Event, Holder, Settings};
+use lynxtally_lease_client::{Asked, Counts, Event, Holder, Settings};
 use rustix::time::{clock_gettime, ClockId};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/testing/model-check/tests/models.rs
+++ b/crates/testing/model-check/tests/models.rs
@@ -1,7 +1,7 @@
 //! Every interleaving up to a bound, and what the broken ones are caught by.
 
-use lynxtally_check::grants::{Grants, Variant};
-use lynxtally_check::wallets::{self, Wallets};
+use lynxtally_model_check::grants::{Grants, Variant};
+use lynxtally_model_check::wallets::{self, Wallets};
 use stateright::{Checker, Model};
 
 const SAFE: &str = "no more in hand than there is";
--- a/crates/testing/simulator/src/cores.rs
+++ b/crates/testing/simulator/src/cores.rs
@@ -2,8 +2,8 @@
 //! cores each gets min(1, c/n) of a core; past `crowd` tasks a core the whole does less, down to a floor, as memory, caches
 //! and switching cost more. A cold node is slow at first.
 
-use lynxtally::{Instant, Span, TaskId};
-use lynxtally_host::Executor;
+use lynxtally::{Instant, RequestId, Span};
+use lynxtally_engine::Executor;
 use std::collections::BTreeMap;
 
 /// What cores are like.
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Began {
     /// The task.
-    pub task: TaskId,
+    pub task: RequestId,
     /// The client's task that it is a try of.
     pub of: u32,
 }
@@ -35,10 +35,10 @@
     machine: Machine,
     /// Work that a task running since the start would have had, in seconds; each is over once its own is reached.
     had: f64,
-    ends: BTreeMap<(u64, TaskId), ()>,
-    of: BTreeMap<TaskId, u64>,
+    ends: BTreeMap<(u64, RequestId), ()>,
+    of: BTreeMap<RequestId, u64>,
     /// What is left to do of those that have a call to make, and whether that is under way.
-    rest: BTreeMap<TaskId, (f64, bool)>,
+    rest: BTreeMap<RequestId, (f64, bool)>,
     now: Instant,
     cold_since: Option<Instant>,
     /// Someone else's doing: this part of the speed is left.
@@ -50,7 +50,7 @@
     /// Runs that began.
     pub began: Vec<Began>,
     /// Calls that are to be made, and those given up, by their numbers.
-    pub calls: Vec<(TaskId, u64, f64)>,
+    pub calls: Vec<(RequestId, u64, f64)>,
     /// Calls that were given up, by their numbers.
     pub given_up: Vec<u64>,
 }
@@ -138,7 +138,7 @@
     }
 
     /// The runs that have ended by now, or stand at their call.
-    pub fn ended(&mut self, now: Instant) -> Vec<(TaskId, Stop)> {
+    pub fn ended(&mut self, now: Instant) -> Vec<(RequestId, Stop)> {
         self.advance(now);
         let mut over = Vec::new();
         // Time is counted in microseconds: what is less than one away is there.
@@ -154,26 +154,26 @@
         over
     }
 
-    fn go(&mut self, task: TaskId, work: f64) {
+    fn go(&mut self, task: RequestId, work: f64) {
         let end = ((self.had + work) * FINE) as u64;
         self.ends.insert((end, task), ());
         self.of.insert(task, end);
     }
 
     /// A run goes on after its call.
-    pub fn resume(&mut self, task: TaskId) {
+    pub fn resume(&mut self, task: RequestId) {
         if let Some((rest, _)) = self.rest.remove(&task) {
             self.go(task, rest);
         }
     }
 
     /// A call ended without its reply: the run stands there again.
-    pub fn failed(&mut self, task: TaskId) {
+    pub fn failed(&mut self, task: RequestId) {
         self.rest.entry(task).and_modify(|rest| rest.1 = false);
     }
 
     /// A run that stands at its call, with none under way, ends if nobody waits for it any more.
-    pub fn drop_standing(&mut self, task: TaskId) -> bool {
+    pub fn drop_standing(&mut self, task: RequestId) -> bool {
         let stands = !self.of.contains_key(&task) && self.rest.get(&task).is_some_and(|rest| !rest.1);
         if stands {
             self.rest.remove(&task);
@@ -192,7 +192,7 @@
 }
 
 impl Executor<Brought> for Cores {
-    fn run(&mut self, task: TaskId, brought: &mut Brought) {
+    fn start(&mut self, task: RequestId, brought: &mut Brought) {
         let first = if brought.call > 0.0 { brought.work / 2.0 } else { brought.work };
         if brought.call > 0.0 {
             self.rest.insert(task, (brought.work - first, false));
@@ -201,28 +201,28 @@
         self.began.push(Began { task, of: brought.of });
     }
 
-    fn stop(&mut self, task: TaskId, _: &mut Brought) {
+    fn stop(&mut self, task: RequestId, _: &mut Brought) {
         if let Some(end) = self.of.remove(&task) {
             self.ends.remove(&(end, task));
         }
         self.rest.remove(&task);
     }
 
-    fn call(&mut self, task: TaskId, brought: &mut Brought, number: u64, _: Span) -> bool {
+    fn start_call(&mut self, task: RequestId, brought: &mut Brought, number: u64, _: Span) -> bool {
         self.rest.entry(task).and_modify(|rest| rest.1 = true);
         self.calls.push((task, number, brought.call));
         true
     }
 
-    fn give_up(&mut self, _: &mut Brought, number: u64) {
+    fn cancel_call(&mut self, _: &mut Brought, number: u64) {
         self.given_up.push(number);
     }
 
-    fn skip(&mut self, task: TaskId, _: &mut Brought) {
+    fn degrade(&mut self, task: RequestId, _: &mut Brought) {
         self.resume(task);
     }
 
-    fn ask(&mut self) {
+    fn request_gauges(&mut self) {
         self.asked = true;
     }
 }
--- a/crates/testing/simulator/src/lib.rs
+++ b/crates/testing/simulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! A fleet in simulated time. Nodes are the real [`lynxtally_host::Host`] with the module, or a baseline, inside; round
+//! A fleet in simulated time. Nodes are the real [`lynxtally_engine::Engine`] with the module, or a baseline, inside; round
 //! them are models, each with its source named: cores ([`cores`]), work ([`work`]), sidecars ([`sidecar`]), links and
 //! faults ([`world`]). Rules are checked on every run ([`rules`]); the same seed gives the same run.
 
--- a/crates/testing/simulator/src/shares/keepers.rs
+++ b/crates/testing/simulator/src/shares/keepers.rs
@@ -3,8 +3,8 @@
 
 use super::clock::Clock;
 use lynxtally::Pcg;
+use lynxtally_coordination::{Answer, Command, Place, Register, Stamped};
 use lynxtally_messages::{Id, Order, OrderWhat, Reply, Say, Terms};
-use lynxtally_shares::{Answer, Command, Place, Register, Stamped};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Whom an answer goes to.
--- a/crates/testing/simulator/src/shares/node.rs
+++ b/crates/testing/simulator/src/shares/node.rs
@@ -3,7 +3,7 @@
 use super::clock::Clock;
 use super::script::Script;
 use lynxtally::{Instant, Span};
-use lynxtally_holder::{Asked, Counts, Event, Holder, Outgoing, Settings};
+use lynxtally_lease_client::{Asked, Counts, Event, Holder, Outgoing, Settings};
 use std::collections::VecDeque;
 
 pub(super) struct Node {
--- a/crates/testing/simulator/src/shares/world.rs
+++ b/crates/testing/simulator/src/shares/world.rs
@@ -5,7 +5,7 @@
 use super::node::{Node, Process};
 use super::script::{Need, Script, What};
 use lynxtally::{Pcg, Span};
-use lynxtally_holder::Outgoing;
+use lynxtally_lease_client::Outgoing;
 use lynxtally_messages::{Reply, Say};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
