--- a/crates/testing/simulator/tests/shares.rs
+++ b/crates/testing/simulator/tests/shares.rs
@@ -1,6 +1,6 @@
 //! The register and the holders in simulated time, under drawn faults.
 
-use lynxtally_emulator::shares::{run, Fault, Need, Rule, Script, What};
+use lynxtally_simulator::shares::{run, Fault, Need, Rule, Script, What};
 
 /// `LYNXTALLY_SEED` plays one script alone, `LYNXTALLY_SCRIPTS` more than usual.
 fn number(name: &str) -> Option<u64> {
--- a/crates/testing/test-doubles/src/disk.rs
+++ b/crates/testing/test-doubles/src/disk.rs
@@ -1,7 +1,7 @@
 //! A folder in memory that loses power at a chosen step. What was not made durable by then is lost, or half of
 //! it, or none of it, as the story asks; files that were renamed without being made durable too.
 
-use lynxtally_journal::Disk;
+use lynxtally_wal::Disk;
 use std::collections::BTreeMap;
 use std::io;
 
--- a/crates/testing/test-doubles/src/names.rs
+++ b/crates/testing/test-doubles/src/names.rs
@@ -3,8 +3,8 @@
 use lynxtally_dns::client::{query, Client, Open};
 use lynxtally_dns::codec::{Answered, Question};
 use lynxtally_dns::tsig::{Key, Signer};
-use lynxtally_names::update::{Raw, Sense};
-use lynxtally_names::{Kind, Name};
+use lynxtally_zones::update::{Raw, Sense};
+use lynxtally_zones::{Kind, Name};
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
--- a/deploy/shares/keeper.jsonnet
+++ b/deploy/shares/keeper.jsonnet
@@ -1,4 +1,4 @@
-// One keeper alone, to start from: `lynxtally-keeper deploy/shares/keeper.jsonnet`. Three of them are in
+// One keeper alone, to start from: `lynxtally-coordinator deploy/shares/keeper.jsonnet`. Three of them are in
 // keepers.libsonnet; each has a file that names its number.
 {
   id: 1,
--- a/src/inside.rs
+++ b/src/inside.rs
@@ -1,6 +1,7 @@
 //! What is known of a task that is inside, and of a stage: plain data, no choice.
 
-use crate::interface::{Action, Effect};
+use crate::action::Action;
+use crate::settings::Effect;
 use crate::time::Instant;
 
 /// Where a task is, or is wanted to be.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,82 +5,85 @@
 //! ```
 //! use lynxtally::*;
 //!
-//! let stage = StageSettings {
+//! let class = RequestClass {
 //!     utility: 1.0,
-//!     late_part: 0.0,
-//!     due: Span::from_millis(1000),
-//!     limit: Span::from_millis(3000),
-//!     effect: Effect::Restartable,
-//!     repeat_window: Span::ZERO,
-//!     calls: false,
-//!     skip_part: 0.0,
+//!     late_utility_fraction: 0.0,
+//!     latency_objective: Span::from_millis(1000),
+//!     deadline: Span::from_millis(3000),
+//!     effect: Effect::Idempotent,
+//!     deduplication_window: Span::ZERO,
+//!     calls_downstream: false,
+//!     degraded_utility_fraction: 0.0,
 //! };
 //! let settings = Settings {
 //!     cores: 4,
 //!     memory_kb: 65536.0,
-//!     run_memory: 8.0,
-//!     key_kb: 1.0,
-//!     cold: false,
-//!     cold_share: 0.2,
-//!     warm_after: Span::from_millis(10_000),
-//!     crowd_limit: 6.0,
+//!     running_memory_factor: 8.0,
+//!     idempotency_key_kb: 1.0,
+//!     cold_start: false,
+//!     cold_capacity_fraction: 0.2,
+//!     warmup_time: Span::from_millis(10_000),
+//!     max_running_per_core: 6.0,
 //!     drain_grace: Span::from_millis(1000),
-//!     stages: vec![stage],
-//!     quotas: vec![],
-//!     over_share: 1.0,
-//!     by_work: false,
+//!     classes: vec![class],
+//!     tenant_quotas: vec![],
+//!     over_quota_utility_fraction: 1.0,
+//!     utility_per_work: false,
 //!     backends: 3,
 //!     callers: 2,
-//!     depth: 0,
-//!     below: Below::Nothing,
+//!     tier_depth: 0,
+//!     downstream: Downstream::None,
 //!     stoppable: false,
-//!     free_value: FreeValue::Silent,
-//!     heeded: Span::from_millis(1000),
-//!     idle_after: Span::ZERO,
-//!     share_for: Span::ZERO,
-//!     hold_off: Span::from_millis(1000),
+//!     capacity_format: CapacityFormat::None,
+//!     capacity_ttl: Span::from_millis(1000),
+//!     client_idle_timeout: Span::ZERO,
+//!     coalescing_window: Span::ZERO,
+//!     max_retry_after: Span::from_millis(1000),
 //! };
-//! let (mut door, mut actions) = (Door::default(), Vec::new());
+//! let (mut ids, mut actions) = (RequestIdTable::default(), Vec::new());
 //! let mut policy = Policy::new(settings, 7, Instant::from_micros(0));
-//! let task = door.enter("first");
+//! let request = ids.assign("first");
 //! let arrival = Arrival {
-//!     task,
-//!     stage: 0,
-//!     customer: None,
+//!     request,
+//!     class: 0,
+//!     tenant: None,
 //!     caller: 1,
-//!     hint: None,
-//!     unread: Span::ZERO,
-//!     limit: None,
-//!     further: false,
-//!     repeat: Repeat::No,
-//!     shareable: false,
-//!     kb: 16.0,
-//!     place: 0.5,
-//!     covered: true,
+//!     expected_work: None,
+//!     receive_delay: Span::ZERO,
+//!     deadline: None,
+//!     is_retry: false,
+//!     duplicate: Duplicate::No,
+//!     coalescable: false,
+//!     memory_kb: 16.0,
+//!     prepaid: true,
 //! };
 //! let now = Instant::from_micros(500);
-//! policy.on(now, Event::Arrived(arrival));
-//! policy.settle(now, &mut actions);
-//! assert!(actions.contains(&Action::Run(task)));
+//! policy.handle(now, Event::Arrived(arrival));
+//! policy.decide(now, &mut actions);
+//! assert!(actions.contains(&Action::Start(request)));
 //! ```
 
 #![forbid(unsafe_code)]
 
-mod door;
+mod action;
+mod event;
 mod inside;
-mod interface;
 mod lately;
 mod likeness;
 mod load;
 mod pcg;
 mod policy;
+mod request_id;
+mod settings;
 mod time;
 mod times;
 
-pub use door::Door;
-pub use interface::*;
+pub use action::Action;
+pub use event::{Arrival, CallLease, CallOutcome, Duplicate, Event, Gauges, LeasedQuotas, RunOutcome};
 pub use pcg::Pcg;
-pub use policy::Policy;
+pub use policy::{CallUsage, Policy};
+pub use request_id::{RequestId, RequestIdTable};
+pub use settings::{CapacityFormat, Downstream, Effect, RequestClass, Settings};
 pub use time::{Instant, Span};
 
 /// The README's example is compiled with the tests.
--- a/src/policy/learn.rs
+++ b/src/policy/learn.rs
@@ -19,11 +19,11 @@
         let quota = self.quotas[customer];
         self.sent[customer] += 1.0 / (self.mean_due * SENT_OVER);
         let within = (quota / self.sent[customer]).min(1.0);
-        within + (1.0 - within) * self.set.over_share
+        within + (1.0 - within) * self.set.over_quota_utility_fraction
     }
 
     /// Learns from a run that ended what its stage costs; huge ones are clipped.
-    pub(super) fn learn_cost(&mut self, id: TaskId) {
+    pub(super) fn learn_cost(&mut self, id: RequestId) {
         let task = self.task(id).expect("just ended");
         let (stage, basis, worked) = (task.stage, task.basis, task.worked);
         let waits = ((self.now - task.began).secs() - worked).max(0.0);
@@ -48,19 +48,20 @@
         self.timer_wanted = true;
         // A full table of connections keeps callers out. In overload no rejection is cheaper; where cores
         // have room, those that carry nothing go. Harms where a new connection is dear.
-        self.busy += (gauges.cores_busy.unwrap_or(1.0) - self.busy) * PERIOD / 3.0;
-        let (open, crowd) = (gauges.connections.unwrap_or(0.0), self.set.crowd_limit * self.cores);
+        self.busy += (gauges.cpu_utilization.unwrap_or(1.0) - self.busy) * PERIOD / 3.0;
+        let (open, crowd) =
+            (gauges.open_connections.unwrap_or(0.0), self.set.max_running_per_core * self.cores);
         self.close_idle = self.busy < ROOM && open > crowd * FAR && f64::from(self.set.callers) > open * FAR;
         // The longest at rest go first, no more than it takes: all at once would be back at once, each at the
         // cost of a new connection. Harms where the room is needed at once.
-        let longest = self.set.idle_after.secs().max(self.mean_due);
+        let longest = self.set.client_idle_timeout.secs().max(self.mean_due);
         let toward = if self.close_idle { self.mean_due } else { longest };
         self.idle_span += (toward - self.idle_span) * PERIOD;
         if self.load.on_cores < self.cores {
             return self.full_since = None;
         }
         let since = *self.full_since.get_or_insert(self.now);
-        self.idle = gauges.cores_busy.is_some_and(|busy| busy < IDLE) && self.now - since > GAUGE_SPAN;
+        self.idle = gauges.cpu_utilization.is_some_and(|busy| busy < IDLE) && self.now - since > GAUGE_SPAN;
         // The idle-room exception: the gauge shows free cores though the set is full, so the best held task
         // starts without the fit test, and the learned throughput rises to what now runs.
         let Some(&(_, id)) = self.hold.first().filter(|_| self.idle) else { return };
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -69,6 +69,17 @@
 /// So many attempts a marked further try has behind it.
 const TRIED: f64 = 2.0;
 
+/// How this backend uses its dependency.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct CallUsage {
+    /// Calls in flight downstream, with those that were cancelled and may still run there.
+    pub in_flight: u64,
+    /// Calls that requests wanted to make, since the start.
+    pub requested: u64,
+    /// Calls that were started, since the start.
+    pub started: u64,
+}
+
 /// The decisions of one backend.
 pub struct Policy {
     set: Settings,
@@ -82,12 +93,12 @@
     selective: bool,
     tasks: Vec<Option<Task>>,
     /// Held tasks and those standing at a call, the highest rate first.
-    hold: BTreeSet<(u64, TaskId)>,
-    standing: BTreeSet<(u64, TaskId)>,
-    timed: BTreeSet<(Instant, TaskId)>,
+    hold: BTreeSet<(u64, RequestId)>,
+    standing: BTreeSet<(u64, RequestId)>,
+    timed: BTreeSet<(Instant, RequestId)>,
     /// Tasks to be looked at later that are not listed yet: most are over before the next moment.
-    fresh: Vec<TaskId>,
-    changed: Vec<TaskId>,
+    fresh: Vec<RequestId>,
+    changed: Vec<RequestId>,
     rows: Vec<Row>,
     /// What each customer may send here, and what it does that is not rejected, in tasks a second.
     quotas: Vec<f64>,
@@ -143,22 +154,31 @@
     /// A backend that starts now and knows only its settings.
     pub fn new(set: Settings, seed: u64, now: Instant) -> Self {
         let (top, sum) =
-            set.stages.iter().fold((0.0_f64, 0.0), |(t, a), s| (t.max(s.utility), a + s.utility));
-        let shortest = set.stages.iter().map(|s| s.due).min().unwrap_or_default();
-        let (share, over, linger) = match set.below {
-            Below::Shared { calls, over, linger } => (calls * CALLS_CEILING, over, linger),
+            set.classes.iter().fold((0.0_f64, 0.0), |(t, a), s| (t.max(s.utility), a + s.utility));
+        let shortest = set.classes.iter().map(|s| s.latency_objective).min().unwrap_or_default();
+        let (share, over, linger) = match set.downstream {
+            Downstream::Shared {
+                concurrent_calls: calls,
+                averaging_window: over,
+                cancellation_lag: linger,
+            } => (calls * CALLS_CEILING, over, linger),
             _ => (f64::INFINITY, Span::ZERO, Span::ZERO),
         };
-        let mean_due = set.stages.iter().map(|s| s.due.secs()).sum::<f64>() / set.stages.len().max(1) as f64;
+        let mean_due = set.classes.iter().map(|s| s.latency_objective.secs()).sum::<f64>()
+            / set.classes.len().max(1) as f64;
         // What processes before this one called is not known: it is taken for all, spent evenly. On a machine
         // that is cold there may have been several within the span, so none has a call free; else one at
         // most.
-        let free = if set.cold { 0.0 } else { linger.secs() + mean_due * COST_UNSEEN };
+        let free = if set.cold_start { 0.0 } else { linger.secs() + mean_due * COST_UNSEEN };
         let before = share * over.secs() - free;
         let quotas: Vec<f64> =
-            set.quotas.iter().map(|quota| quota / f64::from(set.backends.max(1))).collect();
-        let row =
-            |s: &StageSettings| Row { cost: s.due.secs() * COST_UNSEEN, basis: 1.0, waits: 0.0, seen: false };
+            set.tenant_quotas.iter().map(|quota| quota / f64::from(set.backends.max(1))).collect();
+        let row = |s: &RequestClass| Row {
+            cost: s.latency_objective.secs() * COST_UNSEEN,
+            basis: 1.0,
+            waits: 0.0,
+            seen: false,
+        };
         Self {
             chance: Pcg::new(seed),
             now,
@@ -166,14 +186,14 @@
             cores: f64::from(set.cores),
             period: (shortest * PERIOD).max(Span::from_millis(5)),
             mean_due,
-            selective: top * set.stages.len() as f64 > sum * STANDS_OUT,
+            selective: top * set.classes.len() as f64 > sum * STANDS_OUT,
             tasks: Vec::new(),
             hold: BTreeSet::new(),
             standing: BTreeSet::new(),
             timed: BTreeSet::new(),
             fresh: Vec::new(),
             changed: Vec::new(),
-            rows: set.stages.iter().map(row).collect(),
+            rows: set.classes.iter().map(row).collect(),
             sent: quotas.clone(),
             quotas,
             likeness: Likeness::of(set.callers),
@@ -186,7 +206,7 @@
             throughput: 0.0,
             full_since: None,
             idle: false,
-            window: if set.below == Below::Peers { f64::INFINITY } else { f64::from(set.cores) },
+            window: if set.downstream == Downstream::Peers { f64::INFINITY } else { f64::from(set.cores) },
             window_cut: now,
             calls_from: now,
             call_time: 0.0,
@@ -202,51 +222,55 @@
             timer_wanted: true,
             busy: 1.0,
             close_idle: false,
-            idle_span: set.idle_after.secs().max(mean_due),
+            idle_span: set.client_idle_timeout.secs().max(mean_due),
             logs: Vec::new(),
             set,
         }
     }
 
     /// Takes in one thing that happened.
-    pub fn on(&mut self, now: Instant, event: Event) {
+    pub fn handle(&mut self, now: Instant, event: Event) {
         self.advance(now);
         match event {
             Event::Arrived(arrival) => self.arrived(arrival),
             Event::CallerGone(id) if self.task(id).is_some() => self.caller_gone(id),
-            Event::AtCall(id) if self.task(id).is_some() => self.stand(id),
+            Event::CallRequested(id) if self.task(id).is_some() => self.stand(id),
             Event::CallEnded(id, outcome) if self.task(id).is_some() => self.call_ended(id, outcome),
             Event::RunEnded(id, outcome) if self.task(id).is_some() => self.run_ended(id, outcome),
-            Event::Timer(gauges) => self.timer(gauges),
+            Event::TimerFired(gauges) => self.timer(gauges),
             Event::Drain(kill) => self.drain(kill),
-            Event::Shares(shares) => self.granted(shares),
+            Event::QuotasChanged(quotas) => self.granted(quotas),
             _ => {} // The end of something that is over already.
         }
     }
 
     /// Parts granted for a while take the place of the settings'. What was begun under a larger one goes on,
     /// and nothing is begun until it fits under this one.
-    fn granted(&mut self, shares: Shares) {
-        self.grant = shares.calls;
+    fn granted(&mut self, shares: LeasedQuotas) {
+        self.grant = shares.calls.map(|lease| (lease.max_in_flight, lease.max_duration));
         for (customer, quota) in self.quotas.iter_mut().enumerate() {
-            let settings = self.set.quotas[customer] / f64::from(self.set.backends.max(1));
-            *quota = shares.quotas.get(customer).copied().flatten().unwrap_or(settings);
+            let settings = self.set.tenant_quotas[customer] / f64::from(self.set.backends.max(1));
+            *quota = shares.tenants.get(customer).copied().flatten().unwrap_or(settings);
         }
     }
 
     /// Calls in hand below, with those that were given up and may be; and how many were wanted and made so
     /// far.
-    pub fn called(&mut self) -> (u64, u64, u64) {
-        (self.load.calling as u64 + self.given_up.after(self.now), self.wanted, self.made)
+    pub fn downstream_usage(&mut self) -> CallUsage {
+        CallUsage {
+            in_flight: self.load.calling as u64 + self.given_up.after(self.now),
+            requested: self.wanted,
+            started: self.made,
+        }
     }
 
     /// What a customer sends here that is not rejected, in tasks a second.
-    pub fn sent(&self, customer: usize) -> f64 {
+    pub fn tenant_rate(&self, customer: usize) -> f64 {
         self.sent.get(customer).copied().unwrap_or(0.0)
     }
 
     /// Decides, and adds what the host shall do.
-    pub fn settle(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub fn decide(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.advance(now);
         self.list_fresh();
         self.select();
@@ -259,11 +283,11 @@
         self.emit(actions);
     }
 
-    fn task(&self, id: TaskId) -> Option<&Task> {
+    fn task(&self, id: RequestId) -> Option<&Task> {
         self.tasks.get(id.0 as usize)?.as_ref()
     }
 
-    fn inside(&mut self, id: TaskId) -> &mut Task {
+    fn inside(&mut self, id: RequestId) -> &mut Task {
         self.tasks[id.0 as usize].as_mut().expect("a task that is inside")
     }
 
@@ -280,14 +304,15 @@
         self.lingering *= (-past / self.linger.secs().max(1e-3)).exp();
         let keep = (-past / (self.mean_due * SENT_OVER)).exp();
         self.sent.iter_mut().for_each(|rate| *rate *= keep);
-        self.unread *= (-past / self.set.heeded.secs().max(1e-3)).exp();
+        self.unread *= (-past / self.set.capacity_ttl.secs().max(1e-3)).exp();
     }
 
     /// What a task uses where it is wanted. Answered work that can't be stopped still counts on the cores.
-    fn weight(&self, id: TaskId) -> Load {
+    fn weight(&self, id: RequestId) -> Load {
         let task = self.task(id).expect("a task that is inside");
-        let key = if task.kept_until.is_some() { self.set.key_kb } else { 0.0 };
-        let running = Load { kb: key + task.kb * self.set.run_memory, out: 1.0, ..Load::default() };
+        let key = if task.kept_until.is_some() { self.set.idempotency_key_kb } else { 0.0 };
+        let running =
+            Load { kb: key + task.kb * self.set.running_memory_factor, out: 1.0, ..Load::default() };
         match task.place {
             Place::Held => Load { kb: key + task.kb, ..Load::default() },
             Place::OnCores => Load { demand: task.demand, on_cores: 1.0, ..running },
@@ -300,7 +325,7 @@
         }
     }
 
-    fn reweigh(&mut self, id: TaskId, change: impl FnOnce(&mut Task)) {
+    fn reweigh(&mut self, id: RequestId, change: impl FnOnce(&mut Task)) {
         let before = self.weight(id);
         change(self.inside(id));
         let after = self.weight(id);
@@ -310,7 +335,7 @@
     }
 
     /// Sets where a task is wanted; `emit` tells the host.
-    fn put(&mut self, id: TaskId, place: Place) {
+    fn put(&mut self, id: RequestId, place: Place) {
         let (clock, task) = (self.clock, self.inside(id));
         let before = task.place;
         if before == place {
@@ -336,12 +361,12 @@
         self.changed.push(id);
     }
 
-    fn moved(&mut self, id: TaskId, place: Place) {
+    fn moved(&mut self, id: RequestId, place: Place) {
         self.put(id, place);
         self.inside(id).told = place;
     }
 
-    fn look_at(&mut self, id: TaskId, at: Instant) {
+    fn look_at(&mut self, id: RequestId, at: Instant) {
         let (now, task) = (self.now, self.inside(id));
         let before = std::mem::replace(&mut task.look, at);
         if task.listed || at <= now {
@@ -368,30 +393,30 @@
     }
 
     fn arrived(&mut self, arrival: Arrival) {
-        let part = arrival.customer.map_or(1.0, |customer| self.expected_part(customer));
-        let stage = &self.set.stages[arrival.stage];
-        let (early, came) = (self.period * ANSWER_EARLY, self.now - arrival.unread);
-        let mut limit = arrival.limit.unwrap_or(came + stage.limit) - early;
+        let part = arrival.tenant.map_or(1.0, |customer| self.expected_part(customer));
+        let stage = &self.set.classes[arrival.class];
+        let (early, came) = (self.period * ANSWER_EARLY, self.now - arrival.receive_delay);
+        let mut limit = arrival.deadline.unwrap_or(came + stage.deadline) - early;
         limit = self.kill.map_or(limit, |(_, kill)| limit.min(kill - early));
-        let basis = arrival.hint.map_or(1.0, |hint| hint.secs().max(1e-6));
-        let demand = self.demand(arrival.stage, basis);
-        let utility = stage.utility * part * if self.set.by_work { basis } else { 1.0 };
+        let basis = arrival.expected_work.map_or(1.0, |hint| hint.secs().max(1e-6));
+        let demand = self.demand(arrival.class, basis);
+        let utility = stage.utility * part * if self.set.utility_per_work { basis } else { 1.0 };
         // A marked further try has lain unread elsewhere, each time about as long as is usual here.
-        let spent = Span::from_secs(if arrival.further { self.unread * TRIED } else { 0.0 });
-        let due = came + (stage.due * TIER_SHARE.powi(self.set.depth as i32) - spent);
-        let (effect, window) = (stage.effect, stage.repeat_window);
-        let id = arrival.task;
+        let spent = Span::from_secs(if arrival.is_retry { self.unread * TRIED } else { 0.0 });
+        let due = came + (stage.latency_objective * TIER_SHARE.powi(self.set.tier_depth as i32) - spent);
+        let (effect, window) = (stage.effect, stage.deduplication_window);
+        let id = arrival.request;
         if self.tasks.len() <= id.0 as usize {
             self.tasks.resize_with(id.0 as usize + 1, || None);
         }
         self.tasks[id.0 as usize] = Some(Task {
-            stage: arrival.stage,
+            stage: arrival.class,
             effect,
-            customer: arrival.customer,
-            further: arrival.further,
+            customer: arrival.tenant,
+            further: arrival.is_retry,
             wanted: due.min(limit),
             limit,
-            kb: arrival.kb,
+            kb: arrival.memory_kb,
             basis,
             // Chance mixes rates within a factor of two: else a stage a little dearer than its like is cut.
             rate: utility / demand * (1.0 + self.chance.unit()),
@@ -403,18 +428,21 @@
         });
         self.put(id, Place::Held);
         self.likeness.note(arrival.caller, GAIN);
-        self.unread += (arrival.unread.secs() - self.unread) * UNREAD_GAIN;
+        self.unread += (arrival.receive_delay.secs() - self.unread) * UNREAD_GAIN;
         // An effect that may have happened is answered from its first run, never run again or rejected: also
         // while leaving, and where nobody has paid for it anew.
-        let again = match arrival.repeat {
-            Repeat::No => false,
-            Repeat::OfReleased => true,
-            Repeat::Of(_) if effect == Effect::Restartable => true,
-            Repeat::Of(first) => self.task(first).is_some_and(|t| t.ran || t.place != Place::Over),
+        let again = match arrival.duplicate {
+            Duplicate::No => false,
+            Duplicate::OfReleased => true,
+            Duplicate::Of(_) if effect == Effect::Idempotent => true,
+            Duplicate::Of(first) => self.task(first).is_some_and(|t| t.ran || t.place != Place::Over),
         };
         // Nobody has paid for it: not eligible, whatever its utility, and told when to come back.
-        if !arrival.covered && (effect == Effect::Restartable || !again) {
-            return self.end(id, Action::Reject { task: id, hold_off: self.set.hold_off, terminal: false });
+        if !arrival.prepaid && (effect == Effect::Idempotent || !again) {
+            return self.end(
+                id,
+                Action::Reject { request: id, retry_after: self.set.max_retry_after, no_retry: false },
+            );
         }
         if again {
             self.inside(id).ran = true;
@@ -424,10 +452,11 @@
         if self.kill.is_some_and(|(grace, _)| came >= grace) {
             return self.reject(id, false);
         }
-        let shared = effect == Effect::Restartable && arrival.shareable && self.set.share_for > Span::ZERO;
-        if effect == Effect::Fingerprinted || shared {
-            let until = came + if shared { self.set.share_for } else { window + early };
-            if self.load.kb + self.set.key_kb <= self.set.memory_kb * CEILING {
+        let shared =
+            effect == Effect::Idempotent && arrival.coalescable && self.set.coalescing_window > Span::ZERO;
+        if effect == Effect::Deduplicated || shared {
+            let until = came + if shared { self.set.coalescing_window } else { window + early };
+            if self.load.kb + self.set.idempotency_key_kb <= self.set.memory_kb * CEILING {
                 self.reweigh(id, |task| task.kept_until = Some(until));
             } else if !shared {
                 // Without its key a repeat would look new, and both could run.
@@ -438,7 +467,7 @@
         self.look_at(id, at);
     }
 
-    fn caller_gone(&mut self, id: TaskId) {
+    fn caller_gone(&mut self, id: RequestId) {
         self.inside(id).owed = false;
         match self.inside(id).place {
             Place::Held | Place::Reusing => self.moved(id, Place::Over),
@@ -447,16 +476,16 @@
         }
     }
 
-    fn run_ended(&mut self, id: TaskId, outcome: RunOutcome) {
+    fn run_ended(&mut self, id: RequestId, outcome: RunOutcome) {
         let task = self.inside(id);
-        let answered = outcome == RunOutcome::Answered;
+        let answered = outcome == RunOutcome::Responded;
         let (measured, called) = (task.place == Place::OnCores && answered, task.place == Place::Calling);
         task.owed &= !answered;
         if called {
             self.linger();
         }
         self.moved(id, Place::Over);
-        self.end(id, Action::Abandon(id));
+        self.end(id, Action::Fail(id));
         if measured {
             self.learn_cost(id);
             self.learn_throughput(self.task(id).expect("inside").demand);
--- a/src/policy/select.rs
+++ b/src/policy/select.rs
@@ -7,7 +7,8 @@
     pub(super) fn refuse_at(&self, task: &Task) -> Instant {
         let crowd = ((self.load.on_cores + 1.0) / self.cores).max(1.0);
         // Behind a line at the calls the cores' work would be wasted: it counts as the line of the held does.
-        let calls = if self.set.stages[task.stage].calls { self.standing.len() as f64 } else { 0.0 };
+        let calls =
+            if self.set.classes[task.stage].calls_downstream { self.standing.len() as f64 } else { 0.0 };
         let waits = self.rows[task.stage].waits + calls * self.call_time / self.window;
         task.wanted - Span::from_secs(self.cost(task.stage, task.basis) * crowd + waits)
     }
@@ -19,10 +20,14 @@
 
     /// The fourth rule: memory, and the crowd on the cores if all calls returned at once; less while cold.
     pub(super) fn survives(&self, kb: f64) -> bool {
-        let age = (self.now - self.started) / self.set.warm_after;
-        let warm = if self.set.cold { (self.set.cold_share * (1.0 - age) + age).min(1.0) } else { 1.0 };
-        let crowd = (1.0 + (self.set.crowd_limit - 1.0) * warm) * self.cores;
-        self.load.kb + kb * (self.set.run_memory - 1.0) <= self.set.memory_kb * CEILING
+        let age = (self.now - self.started) / self.set.warmup_time;
+        let warm = if self.set.cold_start {
+            (self.set.cold_capacity_fraction * (1.0 - age) + age).min(1.0)
+        } else {
+            1.0
+        };
+        let crowd = (1.0 + (self.set.max_running_per_core - 1.0) * warm) * self.cores;
+        self.load.kb + kb * (self.set.running_memory_factor - 1.0) <= self.set.memory_kb * CEILING
             && self.load.out + 1.0 <= crowd * CEILING
     }
 
@@ -47,7 +52,7 @@
         }
     }
 
-    pub(super) fn start(&mut self, id: TaskId) {
+    pub(super) fn start(&mut self, id: RequestId) {
         self.put(id, Place::OnCores);
         self.inside(id).ran = true;
         self.inside(id).began = self.now;
@@ -78,9 +83,9 @@
     }
 
     /// A held task can't be in time: rejected or, where late answers earn a part, kept at a rate cut to it.
-    pub(super) fn too_late(&mut self, id: TaskId, terminal: bool) {
+    pub(super) fn too_late(&mut self, id: RequestId, terminal: bool) {
         let task = self.task(id).expect("held");
-        let part = self.set.stages[task.stage].late_part;
+        let part = self.set.classes[task.stage].late_utility_fraction;
         if part <= 0.0 || task.wanted >= task.limit {
             return self.reject(id, terminal);
         }
@@ -90,14 +95,14 @@
         self.look_at(id, at.max(self.now));
     }
 
-    pub(super) fn cut_rate(&mut self, id: TaskId, part: f64) {
+    pub(super) fn cut_rate(&mut self, id: RequestId, part: f64) {
         let before = self.task(id).expect("held").rate;
         self.hold.remove(&(order(before), id));
         self.hold.insert((order(before * part), id));
         self.inside(id).rate = before * part;
     }
 
-    pub(super) fn look(&mut self, id: TaskId) {
+    pub(super) fn look(&mut self, id: RequestId) {
         let Some(task) = self.task(id) else { return };
         let refuse_at = self.refuse_at(task);
         let end_at = if self.set.stoppable { task.wanted } else { task.limit };
@@ -114,7 +119,7 @@
             Place::Held => self.too_late(id, true),
             Place::Standing => self.leave_out(id),
             _ if self.now < end_at => self.look_at(id, end_at),
-            _ => self.end(id, Action::Abandon(id)),
+            _ => self.end(id, Action::Fail(id)),
         }
     }
 }
--- a/src/request_id.rs
+++ b/src/request_id.rs
@@ -1,68 +1,77 @@
-//! The door: a host's own task names become small indices here, and only here.
+//! Request ids: the host's own request names become small dense indices here, and only here.
 
-use crate::interface::TaskId;
 use std::collections::HashMap;
 
-/// Gives each task's name a small index, and takes it back when the module releases it.
+/// A request's index, assigned by a [`RequestIdTable`]. Small and dense, so that state can be kept in a vector by it;
+/// reused once [`Action::ReleaseId`](crate::Action::ReleaseId) gave it back.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestId(pub u32);
+
+#[derive(Debug, Default)]
+struct Slot {
+    assigned: bool,
+    name: Option<String>,
+}
+
+/// Assigns an index to each request's name, and takes it back when the policy releases it.
 ///
 /// ```
-/// let mut door = lynxtally::Door::default();
-/// let task = door.enter("a1");
-/// assert_eq!(door.find("a1"), Some(task));
-/// assert_eq!(door.name(task), Some("a1"));
-/// door.leave(task);
-/// assert_eq!(door.find("a1"), None);
-/// let other = door.seat();
-/// assert_eq!((other, door.name(other)), (task, None));
+/// let mut ids = lynxtally::RequestIdTable::default();
+/// let request = ids.assign("a1");
+/// assert_eq!(ids.find("a1"), Some(request));
+/// assert_eq!(ids.name(request), Some("a1"));
+/// ids.release(request);
+/// assert_eq!(ids.find("a1"), None);
+/// let other = ids.assign_unnamed();
+/// assert_eq!((other, ids.name(other)), (request, None));
 /// ```
 #[derive(Debug, Default)]
-pub struct Door {
-    by_name: HashMap<String, TaskId>,
-    /// Of each index: whether it is taken, and its name, where it has one.
-    names: Vec<(bool, Option<String>)>,
-    free: Vec<TaskId>,
+pub struct RequestIdTable {
+    by_name: HashMap<String, RequestId>,
+    slots: Vec<Slot>,
+    free: Vec<RequestId>,
 }
 
-impl Door {
+impl RequestIdTable {
     /// The index of a name, a new one if it has none yet.
-    pub fn enter(&mut self, name: &str) -> TaskId {
-        if let Some(&task) = self.by_name.get(name) {
-            return task;
+    pub fn assign(&mut self, name: &str) -> RequestId {
+        if let Some(&request) = self.by_name.get(name) {
+            return request;
         }
-        let task = self.seat();
-        self.names[task.0 as usize].1 = Some(name.to_owned());
-        self.by_name.insert(name.to_owned(), task);
-        task
+        let request = self.assign_unnamed();
+        self.slots[request.0 as usize].name = Some(name.to_owned());
+        self.by_name.insert(name.to_owned(), request);
+        request
     }
 
-    /// An index for a task that nobody will name.
-    pub fn seat(&mut self) -> TaskId {
-        let task = self.free.pop().unwrap_or_else(|| {
-            self.names.push((false, None));
-            TaskId(self.names.len() as u32 - 1)
+    /// An index for a request that has no name.
+    pub fn assign_unnamed(&mut self) -> RequestId {
+        let request = self.free.pop().unwrap_or_else(|| {
+            self.slots.push(Slot::default());
+            RequestId(self.slots.len() as u32 - 1)
         });
-        self.names[task.0 as usize].0 = true;
-        task
+        self.slots[request.0 as usize].assigned = true;
+        request
     }
 
-    /// The index of a name that is inside.
-    pub fn find(&self, name: &str) -> Option<TaskId> {
+    /// The index of a name that has one.
+    pub fn find(&self, name: &str) -> Option<RequestId> {
         self.by_name.get(name).copied()
     }
 
     /// The name behind an index.
-    pub fn name(&self, task: TaskId) -> Option<&str> {
-        self.names.get(task.0 as usize)?.1.as_deref()
+    pub fn name(&self, request: RequestId) -> Option<&str> {
+        self.slots.get(request.0 as usize)?.name.as_deref()
     }
 
-    /// Frees an index, to be called on [`Action::Release`](crate::Action::Release).
-    pub fn leave(&mut self, task: TaskId) {
-        let Some((taken, name)) = self.names.get_mut(task.0 as usize) else { return };
-        if let Some(name) = name.take() {
+    /// Frees an index, to be called on [`Action::ReleaseId`](crate::Action::ReleaseId).
+    pub fn release(&mut self, request: RequestId) {
+        let Some(slot) = self.slots.get_mut(request.0 as usize) else { return };
+        if let Some(name) = slot.name.take() {
             self.by_name.remove(&name);
         }
-        if std::mem::take(taken) {
-            self.free.push(task);
+        if std::mem::take(&mut slot.assigned) {
+            self.free.push(request);
         }
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,74 +1,70 @@
-//! What goes into the decisions and what comes out: plain data, no choice.
+//! What a backend is told when it starts: its machine, the request classes, tenants' quotas and the dependency.
 
-use crate::time::{Instant, Span};
+use crate::time::Span;
 
-/// A task's small index, given at the [`Door`](crate::Door).
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TaskId(pub u32);
-
-/// What may happen when a stage's task runs twice.
+/// What may happen when a request is executed twice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// It may run again.
+    /// It may be executed again.
     #[default]
-    Restartable,
-    /// It carries a mark by which a repeat is known; it runs once on a backend.
-    Fingerprinted,
-    /// It must never run twice.
-    SideEffecting,
+    Idempotent,
+    /// It carries an idempotency key by which a duplicate is recognized; it is executed once on a backend.
+    Deduplicated,
+    /// It must never be executed twice.
+    NonIdempotent,
 }
 
-/// What the host tells of a stage.
+/// The settings of one request class.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StageSettings {
-    /// What an answer by the due time earns.
+pub struct RequestClass {
+    /// What a response within the latency objective earns: the class's priority weight, in the paper's term utility.
     pub utility: f64,
-    /// The part of it that a later answer, before the time limit, still earns.
-    pub late_part: f64,
-    /// How long after a task's first try its answer is wanted.
-    pub due: Span,
-    /// How long a client waits, over all its tries.
-    pub limit: Span,
-    /// Whether it may run again.
+    /// The fraction of it that a later response, before the deadline, still earns.
+    pub late_utility_fraction: f64,
+    /// How long after a request's first attempt its response is wanted.
+    pub latency_objective: Span,
+    /// How long after its first attempt a client waits, over all attempts.
+    pub deadline: Span,
+    /// Whether it may be executed again.
     pub effect: Effect,
-    /// How long after its arrival a fingerprinted task may come back.
-    pub repeat_window: Span,
-    /// Whether its tasks may call below.
-    pub calls: bool,
-    /// The part of the utility that is kept when a call is left out; 0 where it can't be.
-    pub skip_part: f64,
+    /// How long after its arrival a duplicate of a deduplicated request may come.
+    pub deduplication_window: Span,
+    /// Whether its requests may call downstream.
+    pub calls_downstream: bool,
+    /// The fraction of the utility that is kept when a call is left out; 0 where it can't be.
+    pub degraded_utility_fraction: f64,
 }
 
-/// What stands behind the calls of this backend.
+/// What serves the downstream calls of this backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Below {
-    /// Nothing.
-    Nothing,
+pub enum Downstream {
+    /// There are none.
+    None,
     /// One dependency that all backends share.
     Shared {
-        /// This backend's share of the calls in hand that the dependency survives.
-        calls: f64,
-        /// The span over which they are averaged.
-        over: Span,
-        /// How long a call that was given up stays in its hands.
-        linger: Span,
+        /// This backend's share of the concurrent calls that the dependency survives, in the mean.
+        concurrent_calls: f64,
+        /// The window over which they are averaged.
+        averaging_window: Span,
+        /// How long the dependency goes on with a call that was cancelled here.
+        cancellation_lag: Span,
     },
     /// A further tier of backends.
     Tier,
-    /// Nothing that calls could crowd: each waits for its own task's peer, and waits hold no core.
+    /// Each call waits for its own request's peer: nothing that calls could overload, and waits hold no core.
     Peers,
 }
 
-/// What callers take the free value to mean.
+/// What callers take the advertised capacity to mean.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FreeValue {
-    /// There is none.
-    Silent,
-    /// Nothing with a place below the value is sent here.
-    Level,
-    /// No caller has more than so many tasks out here.
-    Credit,
-    /// How likely, from 0 to 1, a caller coming across this backend does not skip it.
+pub enum CapacityFormat {
+    /// None is advertised.
+    None,
+    /// A threshold: requests whose placement lies below it are not sent here.
+    Threshold,
+    /// How many requests each caller may have in flight here.
+    Credits,
+    /// The probability, from 0 to 1, with which a caller that considers this backend does not skip it.
     Weight,
 }
 
@@ -79,198 +75,46 @@
     pub cores: u32,
     /// The memory, in kilobytes.
     pub memory_kb: f64,
-    /// A running task's memory over a held one's.
-    pub run_memory: f64,
-    /// The memory of one kept key.
-    pub key_kb: f64,
+    /// A running request's memory over a queued one's.
+    pub running_memory_factor: f64,
+    /// The memory of one retained idempotency key, in kilobytes.
+    pub idempotency_key_kb: f64,
     /// Whether this backend has just been started cold.
-    pub cold: bool,
-    /// The least share of its speed at which a cold backend starts.
-    pub cold_share: f64,
-    /// When it is warm at the latest.
-    pub warm_after: Span,
-    /// How many running tasks a core a warm backend survives.
-    pub crowd_limit: f64,
-    /// What arrives later than this after the notice to leave must not be run.
+    pub cold_start: bool,
+    /// The least fraction of its speed at which a cold backend starts.
+    pub cold_capacity_fraction: f64,
+    /// When it is warm at the latest, after its start.
+    pub warmup_time: Span,
+    /// How many running requests a core a warm backend survives.
+    pub max_running_per_core: f64,
+    /// What arrives later than this after the shutdown notice must not be started.
     pub drain_grace: Span,
-    /// The stages; a task names one by its index.
-    pub stages: Vec<StageSettings>,
-    /// Each customer's quota, in tasks a second over all backends.
-    pub quotas: Vec<f64>,
-    /// The part of its utility that a task beyond its customer's quota keeps.
-    pub over_share: f64,
+    /// The request classes; a request names one by its index.
+    pub classes: Vec<RequestClass>,
+    /// Each tenant's quota, in requests a second over all backends.
+    pub tenant_quotas: Vec<f64>,
+    /// The fraction of its utility that a request beyond its tenant's quota keeps.
+    pub over_quota_utility_fraction: f64,
     /// Whether utility is counted for each unit of work.
-    pub by_work: bool,
+    pub utility_per_work: bool,
     /// Backends of this tier at this start.
     pub backends: u32,
     /// Callers of this tier at this start.
     pub callers: u32,
     /// How many tiers of backends stand between this one and the clients.
-    pub depth: u32,
-    /// What the tasks call.
-    pub below: Below,
+    pub tier_depth: u32,
+    /// What the requests call.
+    pub downstream: Downstream,
     /// Whether running work can be stopped.
     pub stoppable: bool,
-    /// The meaning of the free value.
-    pub free_value: FreeValue,
-    /// How long callers remember it.
-    pub heeded: Span,
-    /// After how long callers close connections that carry nothing; zero where that is not known.
-    pub idle_after: Span,
-    /// How long a read's answer may serve other tasks; zero means never.
-    pub share_for: Span,
-    /// The longest advice to stay away that callers follow; zero where none is passed on.
-    pub hold_off: Span,
-}
-
-/// The task that an arriving one repeats.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
-    /// None that is known of.
-    No,
-    /// One that still has an index.
-    Of(TaskId),
-    /// One that was released before.
-    OfReleased,
-}
-
-/// A task that was read and is now held.
-#[derive(Clone, Debug)]
-pub struct Arrival {
-    /// Its index.
-    pub task: TaskId,
-    /// Its stage's index.
-    pub stage: usize,
-    /// Its customer's index.
-    pub customer: Option<usize>,
-    /// The caller's number.
-    pub caller: u64,
-    /// The expected work on a standard core.
-    pub hint: Option<Span>,
-    /// How long it lay unread on this machine.
-    pub unread: Span,
-    /// When the caller gives this try up, where told.
-    pub limit: Option<Instant>,
-    /// Whether it is marked as a further try.
-    pub further: bool,
-    /// What it repeats.
-    pub repeat: Repeat,
-    /// Whether it concerns something named that other tasks may share.
-    pub shareable: bool,
-    /// Its memory in the hold.
-    pub kb: f64,
-    /// Its place among all tasks, from 0 to under 1, as callers see it.
-    pub place: f64,
-    /// Whether it is paid for, or nothing is to be paid.
-    pub covered: bool,
-}
-
-/// How a call ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallOutcome {
-    /// The call succeeded.
-    Ok,
-    /// It failed and is known never to have run.
-    NeverRan,
-    /// It failed and may have run.
-    MayHaveRun,
-}
-
-/// How a run ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunOutcome {
-    /// The answer went out by itself, unless one was given before.
-    Answered,
-    /// It was stopped, or ended because nobody waits.
-    Cancelled,
-    /// Nothing was started: the task was over.
-    Moot,
-}
-
-/// The backend's own measures at one moment.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct Gauges {
-    /// The share of the cores that was busy over the last half second.
-    pub cores_busy: Option<f64>,
-    /// Connections now open.
-    pub connections: Option<f64>,
-}
-
-/// Parts of what all backends share that are granted for a while, in place of the settings' parts.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shares {
-    /// The calls in hand below at one moment, those counted that were given up and linger; and for how long a call
-    /// that is begun may go on with its lingering. None where the settings' share holds.
-    pub calls: Option<(u64, Span)>,
-    /// Each customer's tasks a second on this backend, by its index; none, or no entry, where the settings' quota
-    /// holds.
-    pub quotas: Vec<Option<f64>>,
-}
-
-/// What happened.
-#[derive(Clone, Debug)]
-pub enum Event {
-    /// A task was read and is held.
-    Arrived(Arrival),
-    /// A caller stopped waiting; no answer is owed.
-    CallerGone(TaskId),
-    /// A running task stands at a call.
-    AtCall(TaskId),
-    /// A call ended.
-    CallEnded(TaskId, CallOutcome),
-    /// A run ended.
-    RunEnded(TaskId, RunOutcome),
-    /// The timer fired.
-    Timer(Gauges),
-    /// This backend leaves and is stopped at the given point.
-    Drain(Instant),
-    /// What this backend may use of what all share has changed.
-    Shares(Shares),
-}
-
-/// What the host shall do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Start a held task.
-    Run(TaskId),
-    /// Take a running task off the cores.
-    Stop(TaskId),
-    /// Final answer: rejected, never run.
-    Reject {
-        /// The task.
-        task: TaskId,
-        /// How long the caller should keep away from this backend.
-        hold_off: Span,
-        /// Ask that it not be tried elsewhere.
-        terminal: bool,
-    },
-    /// Final answer: failed, without a promise.
-    Abandon(TaskId),
-    /// Let a task make its call.
-    Call {
-        /// The task.
-        task: TaskId,
-        /// The call's time-out.
-        time_out: Span,
-    },
-    /// Leave the call out and finish with a poorer answer.
-    Skip(TaskId),
-    /// Answer a held task with the result of the one it repeats.
-    Reuse(TaskId),
-    /// Keep the task's key for so long.
-    Keep(TaskId, Span),
-    /// Drop the task's key.
-    Forget(TaskId),
-    /// What health checks hear from now on, answered cheaply.
-    Health(bool),
-    /// Set the free value.
-    Say(f64),
-    /// Close the connections that have carried nothing for so long.
-    CloseIdle(Span),
-    /// Set the one timer.
-    Timer(Span),
-    /// A line for the log.
-    Log(String),
-    /// The task's index is free again. For the host's door; nothing goes out.
-    Release(TaskId),
+    /// The meaning of the advertised capacity.
+    pub capacity_format: CapacityFormat,
+    /// How long callers remember the advertised capacity.
+    pub capacity_ttl: Span,
+    /// After how long callers close idle connections; zero where that is not known.
+    pub client_idle_timeout: Span,
+    /// How long a read's response may serve other requests; zero means never.
+    pub coalescing_window: Span,
+    /// The longest Retry-After that callers follow; zero where none is passed on.
+    pub max_retry_after: Span,
 }
