--- /dev/null
+++ b/crates/core/engine/src/actions.rs
@@ -0,0 +1,168 @@
+//! Executes the scheduler's actions, and sees to it that each request gets one final response and is charged once.
+
+use crate::deduplication::{IdempotencyKey, SettledDuplicate};
+use crate::engine::Engine;
+use crate::executor::Executor;
+use crate::response::{FinalResponse, Responder};
+use crate::scheduler::Scheduler;
+use crate::timers::Timer;
+use lynxtally::{Action, CallOutcome, Event, Instant, RequestId, RunOutcome, Span};
+
+impl<P: Scheduler, W, F, D: Copy + Ord> Engine<P, W, F, D> {
+    pub(crate) fn execute_actions(
+        &mut self,
+        now: Instant,
+        executor: &mut impl Executor<W>,
+        responder: &mut impl Responder<F>,
+    ) {
+        let mut actions = std::mem::take(&mut self.actions);
+        for action in actions.drain(..) {
+            self.execute(now, action, executor, responder);
+        }
+        // Given back for its capacity.
+        self.actions = actions;
+    }
+
+    fn execute(
+        &mut self,
+        now: Instant,
+        action: Action,
+        executor: &mut impl Executor<W>,
+        responder: &mut impl Responder<F>,
+    ) {
+        match action {
+            Action::Start(request) => {
+                if let Some(open) = self.open.get_mut(request) {
+                    executor.start(request, &mut open.work);
+                }
+            }
+            Action::Stop(request) => {
+                if let Some(open) = self.open.get_mut(request) {
+                    executor.stop(request, &mut open.work);
+                }
+            }
+            Action::Degrade(request) => {
+                if let Some(open) = self.open.get_mut(request) {
+                    executor.degrade(request, &mut open.work);
+                }
+            }
+            Action::Call { request, timeout } => self.start_call(now, request, timeout, executor),
+            Action::Reject { request, retry_after, no_retry } => {
+                self.respond(request, FinalResponse::Rejected { retry_after, no_retry }, responder);
+            }
+            Action::Fail(request) => self.respond(request, FinalResponse::Failed, responder),
+            // Whatever the scheduler thinks of its health, health checks fail during a graceful shutdown.
+            Action::SetHealth(healthy) => responder.set_health(healthy && self.shutdown_deadline.is_none()),
+            Action::AdvertiseCapacity(capacity) => responder.advertise_capacity(capacity),
+            Action::CloseIdleConnections(idle_for) => responder.close_idle_connections(idle_for),
+            Action::SetTimer(period) => self.timers.set_period(now, period),
+            Action::Log(text) => responder.log(&text),
+            Action::ReleaseId(request) => self.release_request(now, request, executor, responder),
+            Action::Coalesce(request) => {
+                if let Some(key) = self.idempotency_key(request) {
+                    let settled = self.deduplication.coalesce(&key, request);
+                    self.settle_duplicates(settled, responder);
+                }
+            }
+            Action::RetainKey(request, duration) => {
+                if let Some(key) = self.idempotency_key(request) {
+                    self.deduplication.retain_key(now, &key, request, duration);
+                }
+            }
+            Action::ReleaseKey(request) => self.release_key(request, responder),
+        }
+    }
+
+    fn start_call(
+        &mut self,
+        now: Instant,
+        request: RequestId,
+        timeout: Span,
+        executor: &mut impl Executor<W>,
+    ) {
+        let Some(open) = self.open.get_mut(request) else { return };
+        self.last_call_number += 1;
+        let number = self.last_call_number;
+        if executor.start_call(request, &mut open.work, number, timeout) {
+            open.call_number = Some(number);
+            self.timers.set(now + timeout, Timer::CallTimeout(request, number));
+        } else {
+            self.deferred_events.push(Event::CallEnded(request, CallOutcome::NotExecuted));
+        }
+    }
+
+    fn release_request(
+        &mut self,
+        now: Instant,
+        request: RequestId,
+        executor: &mut impl Executor<W>,
+        responder: &mut impl Responder<F>,
+    ) {
+        self.ids.release(request);
+        let Some(mut open) = self.open.remove(request) else { return };
+        if let Some(key) = open.idempotency_key {
+            let settled = self.deduplication.release_request(now, &key, request);
+            self.settle_duplicates(settled, responder);
+        }
+        if let Some(number) = open.call_number {
+            executor.cancel_call(&mut open.work, number);
+        }
+        executor.release(request, open.work);
+    }
+
+    /// Drops a request's idempotency key: whoever comes under it next is the first.
+    pub(crate) fn release_key(&mut self, request: RequestId, responder: &mut impl Responder<F>) {
+        if let Some(key) = self.idempotency_key(request) {
+            let settled = self.deduplication.release_key(&key, request);
+            self.settle_duplicates(settled, responder);
+        }
+    }
+
+    fn idempotency_key(&self, request: RequestId) -> Option<IdempotencyKey> {
+        self.open.get(request)?.idempotency_key.clone()
+    }
+
+    /// Responds to duplicates with the result of the first run; the scheduler learns that their runs ended.
+    pub(crate) fn settle_duplicates(
+        &mut self,
+        settled: impl IntoIterator<Item = SettledDuplicate>,
+        responder: &mut impl Responder<F>,
+    ) {
+        for SettledDuplicate { request, result } in settled {
+            let response = result.map_or(FinalResponse::Failed, FinalResponse::Completed);
+            self.respond(request, response, responder);
+            self.deferred_events.push(Event::RunEnded(request, RunOutcome::Responded));
+        }
+    }
+
+    /// Gives a request its final response, unless it had one or its caller is gone.
+    pub(crate) fn respond(
+        &mut self,
+        request: RequestId,
+        response: FinalResponse,
+        responder: &mut impl Responder<F>,
+    ) {
+        let Some(open) = self.open.get_mut(request) else { return };
+        let Some(reply_to) = open.reply_to.take() else { return };
+        self.counts.in_flight -= 1;
+        match &response {
+            FinalResponse::Completed(_) => self.counts.completed += 1,
+            FinalResponse::Rejected { .. } => self.counts.rejected += 1,
+            FinalResponse::Failed => self.counts.failed += 1,
+        }
+        let completed = matches!(response, FinalResponse::Completed(_));
+        let delivered = responder.respond(reply_to, response);
+        self.counts.undelivered += u64::from(!delivered);
+        // A result costs, and only one that somebody took; rejected and failed requests cost nothing.
+        self.settle_price(request, completed && delivered);
+    }
+
+    /// Settles what is reserved for a request, once. Requests under one idempotency key are charged once.
+    pub(crate) fn settle_price(&mut self, request: RequestId, charged: bool) {
+        let Some(open) = self.open.get_mut(request) else { return };
+        let Some(hold) = open.price_hold.take() else { return };
+        let key = open.idempotency_key.as_ref();
+        let charged = charged && key.is_none_or(|key| self.deduplication.charge_once(key));
+        self.wallets.settle(hold, charged);
+    }
+}
--- a/crates/frontends/stream/src/owner.rs
+++ b/crates/frontends/stream/src/owner.rs
@@ -4,7 +4,8 @@
 use crate::settings::{Checked, Stage};
 use lynxtally::{CallOutcome, Effect, Gauges, Instant, RequestId, Span};
 use lynxtally_engine::{
-    Engine, Executor, FinalResponse, IncomingRequest, RequestCounts, Responder, RunEnd, Scheduler,
+    Engine, Executor, FinalResponse, IdempotencyKey, IncomingRequest, RequestCounts, Responder, RunEnd,
+    Scheduler,
 };
 use lynxtally_flow::{Link, Pool, Progress, Repeats, Sent, Sizes, Spools, StreamId, Upstreams};
 use lynxtally_net::line::lock;
@@ -498,7 +499,7 @@
             tenant: entering.customer,
             caller: entering.caller,
             expected_work: Some(self.hall.expected_span(expected)),
-            key: key.map(|mark| (ticket.stage, mark)),
+            idempotency_key: key.map(|value| IdempotencyKey { class: ticket.stage, value }),
             memory_kb: floors,
             ..IncomingRequest::default()
         };
--- a/crates/lynxtally-node/src/decide.rs
+++ b/crates/lynxtally-node/src/decide.rs
@@ -397,7 +397,7 @@
             deadline: sent.limit_ms.map(|limit| Instant::from_micros(limit * 1000)),
             is_retry: sent.further,
             receive_delay: now - Instant::from_micros(sent.arrived_ms.saturating_mul(1000)),
-            key: known.key,
+            idempotency_key: known.key,
             fingerprint: known.fingerprint,
             coalescable: sent.subject.is_some(),
             memory_kb: sent.kb,
--- a/crates/lynxtally-node/src/repeat.rs
+++ b/crates/lynxtally-node/src/repeat.rs
@@ -2,14 +2,14 @@
 
 use crate::http::Sent;
 use lynxtally::Effect;
-use lynxtally_engine::{Fingerprint, Key};
+use lynxtally_engine::{Fingerprint, IdempotencyKey};
 use sha2::{Digest, Sha256};
 
 /// Key and fingerprint of a task; without a key it repeats nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Known {
     /// Under what it is known.
-    pub key: Option<Key>,
+    pub key: Option<IdempotencyKey>,
     /// What the same task under that key has in common with it.
     pub fingerprint: Fingerprint,
 }
@@ -19,14 +19,13 @@
 pub fn known_by(sent: &Sent, effect: Effect, shares: bool) -> Known {
     match effect {
         Effect::Idempotent if shares => {
-            Known { key: sent.subject.clone().map(|subject| (sent.stage, subject)), ..Known::default() }
+            let key = sent.subject.clone().map(|value| IdempotencyKey { class: sent.stage, value });
+            Known { key, ..Known::default() }
         }
         Effect::Deduplicated => {
             let whose = sent.customer.map_or_else(String::new, |customer| customer.to_string());
-            Known {
-                key: sent.mark.as_ref().map(|mark| (sent.stage, format!("{whose}/{mark}"))),
-                fingerprint: Sha256::digest(&sent.body).into(),
-            }
+            let own = |mark| IdempotencyKey { class: sent.stage, value: format!("{whose}/{mark}") };
+            Known { key: sent.mark.as_ref().map(own), fingerprint: Sha256::digest(&sent.body).into() }
         }
         Effect::Idempotent | Effect::NonIdempotent => Known::default(),
     }
--- a/crates/lynxtally-node/src/shares/mod.rs
+++ b/crates/lynxtally-node/src/shares/mod.rs
@@ -99,8 +99,13 @@
         debug!(name, account = own.account, granted = own.granted, in_force = own.in_force, "purse");
         let price = |stage: &String| own.prices.get(stage).copied().unwrap_or(0);
         let prices = (own.account > 0).then(|| self.settings.stages.iter().map(price).collect());
-        let (account, granted, in_force) = (own.account, own.granted, own.in_force);
-        host.set_reservation(*customer, WalletReservation { account, granted, in_force, prices });
+        let reservation = WalletReservation {
+            reservation_id: own.account,
+            granted: own.granted,
+            in_force: own.in_force,
+            prices,
+        };
+        host.set_reservation(*customer, reservation);
     }
 
     fn in_force(&self) -> Told {
@@ -135,7 +140,7 @@
         }
         for (wallet, (_, customer)) in self.settings.wallets.iter().enumerate() {
             let own = host.reservation_usage(*customer);
-            self.holder.spent(wallet, own.account, own.spent, own.held, own.wanted);
+            self.holder.spent(wallet, own.reservation_id, own.spent, own.reserved, own.demand);
         }
     }
 
