--- a/crates/frontends/dns/src/connection.rs
+++ b/crates/frontends/dns/src/connection.rs
@@ -3,12 +3,14 @@
 
 use crate::serving::{Peer, Stream};
 use lynxtally::RequestId;
-use lynxtally_net::alarm::Alarm;
-use lynxtally_net::end::End;
-use lynxtally_net::gate::Gate;
-use lynxtally_net::line::{self, Filled, Line, Outbox};
-use lynxtally_net::seats::Seats;
-use lynxtally_net::turnstile::Turnstile;
+use lynxtally_net::close_reason::CloseReason;
+use lynxtally_net::connection::{self as net, ReadProgress};
+use lynxtally_net::connection_table::{ConnectionTable, Inserted};
+use lynxtally_net::coroutine::{spawn, Panic};
+use lynxtally_net::fair_yield::FairYield;
+use lynxtally_net::listener::ListenerSet;
+use lynxtally_net::mailbox::Mailbox;
+use lynxtally_net::timer::Timer;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +34,7 @@
     /// What is under way can't be ended well.
     Cut,
     /// Close where nothing is under way.
-    Close(End),
+    Close(CloseReason),
 }
 
 /// What the owner hears of connections.
@@ -40,14 +42,14 @@
     /// A message came.
     Came(Vec<u8>, SocketAddr, Tcp),
     /// A connection ended; what is open on it nobody waits for.
-    Ended(Tcp, End),
+    Ended(Tcp, CloseReason),
     /// A transfer ended, well or not.
     Streamed(RequestId, u64, bool),
 }
 
 /// A connection, as the owner knows it.
 #[derive(Clone)]
-pub struct Tcp(pub Arc<Outbox<Order>>);
+pub struct Tcp(pub Arc<Mailbox<Order>>);
 
 /// Where an answer goes.
 #[derive(Clone)]
@@ -75,9 +77,9 @@
 
 /// All connections.
 pub struct Connections {
-    seats: Seats<Tcp>,
-    gate: Gate,
-    turnstile: Turnstile,
+    seats: ConnectionTable<Tcp>,
+    gate: ListenerSet,
+    turnstile: FairYield,
     news: Box<dyn Fn(News) + Send + Sync>,
 }
 
@@ -85,11 +87,16 @@
     /// So many at most; `news` hears of all that comes.
     pub fn new(
         most: usize,
-        alarm: Alarm,
-        turnstile: Turnstile,
+        alarm: Timer,
+        turnstile: FairYield,
         news: impl Fn(News) + Send + Sync + 'static,
     ) -> Self {
-        Self { seats: Seats::new(most), gate: Gate::new(alarm), turnstile, news: Box::new(news) }
+        Self {
+            seats: ConnectionTable::new(most),
+            gate: ListenerSet::new(alarm),
+            turnstile,
+            news: Box::new(news),
+        }
     }
 
     /// How many there are.
@@ -104,8 +111,8 @@
 
     /// Has those closed that carried nothing for long, or for any time at all.
     pub fn close_idle(&self, all: bool) {
-        for tcp in self.seats.resting(if all { Duration::ZERO } else { IDLE }) {
-            tcp.0.push(Order::Close(End::Idle));
+        for tcp in self.seats.idle_for(if all { Duration::ZERO } else { IDLE }) {
+            tcp.0.push(Order::Close(CloseReason::IdleTimeout));
         }
     }
 
@@ -123,13 +130,13 @@
 
     /// Where the table is full, the one that rests longest goes, else the new one.
     fn take(self: &Arc<Self>, stream: TcpStream, from: SocketAddr) {
-        let Ok(line) = Line::new(stream) else { return };
+        let Ok(line) = net::Connection::new(stream) else { return };
         let tcp = Tcp(Arc::default());
-        let Ok((number, goes)) = self.seats.take(tcp.clone()) else {
+        let Ok(Inserted { number, evicted: goes }) = self.seats.insert(tcp.clone()) else {
             return debug!(%from, "no room for a connection");
         };
         if let Some(goes) = goes {
-            goes.0.push(Order::Close(End::Crowded));
+            goes.0.push(Order::Close(CloseReason::Evicted));
         }
         tcp.0.attach(&line);
         let (all, own) = (self.clone(), tcp.clone());
@@ -141,13 +148,13 @@
             connection.ended(end);
         };
         let all = self.clone();
-        let failed = move |text: String| {
-            warn!(text, "a connection's coroutine failed");
-            all.seats.leave(number);
-            (all.news)(News::Ended(tcp.clone(), End::Failed));
+        let failed = move |panic: Panic| {
+            warn!(%panic, "a connection's coroutine failed");
+            all.seats.remove(number);
+            (all.news)(News::Ended(tcp.clone(), CloseReason::InternalError));
         };
-        if line::spawn(STACK_WORDS, work, failed).is_err() {
-            self.seats.leave(number);
+        if spawn(STACK_WORDS, work, failed).is_err() {
+            self.seats.remove(number);
         }
     }
 }
@@ -163,7 +170,7 @@
 }
 
 impl Connection<'_> {
-    fn ended(&mut self, end: End) {
+    fn ended(&mut self, end: CloseReason) {
         for order in self.tcp.0.close() {
             if let Order::Stream(stream) = order {
                 self.streams.push(*stream);
@@ -172,22 +179,22 @@
         for stream in self.streams.drain(..) {
             (self.all.news)(News::Streamed(stream.task, stream.number, false));
         }
-        self.all.seats.leave(self.number);
+        self.all.seats.remove(self.number);
         (self.all.news)(News::Ended(self.tcp.clone(), end));
     }
 
-    fn serve(&mut self, mut line: Line) -> End {
+    fn serve(&mut self, mut line: net::Connection) -> CloseReason {
         let (mut buffer, mut sends) = (Vec::new(), true);
         loop {
             let mut close = None;
             while let Some(order) = self.tcp.0.take() {
                 match order {
                     Order::Answer(octets) => {
-                        put(line.out(), &octets);
+                        put(line.output(), &octets);
                         self.open = self.open.saturating_sub(1);
                     }
                     Order::Stream(stream) => self.streams.push(*stream),
-                    Order::Cut => return End::GivenUp,
+                    Order::Cut => return CloseReason::Cancelled,
                     Order::Close(end) => close = Some(end),
                 }
             }
@@ -195,33 +202,36 @@
             if let Err(end) = line.flush() {
                 return end;
             }
-            let mut filled = Filled::Full;
-            if sends && self.open < OPEN_MOST && line.out().len() < OUT_MOST {
+            let mut filled = ReadProgress::BufferFull;
+            if sends && self.open < OPEN_MOST && line.output().len() < OUT_MOST {
                 filled = match line.fill(&mut buffer, 2 + crate::codec::MESSAGE_MOST) {
                     Ok(filled) => filled,
                     Err(end) => return end,
                 };
-                sends = filled != Filled::End;
+                sends = filled != ReadProgress::EndOfStream;
             }
             let came = match self.messages(&mut buffer) {
                 Ok(came) => came,
                 Err(end) => return end,
             };
-            let idle = self.open == 0 && self.streams.is_empty() && line.clear();
+            let idle = self.open == 0 && self.streams.is_empty() && line.is_flushed();
             if !sends && idle {
-                return if buffer.is_empty() { End::Closed } else { End::Truncated };
+                return if buffer.is_empty() { CloseReason::ClosedByPeer } else { CloseReason::Truncated };
             }
             if let Some(end) = close.filter(|_| idle && buffer.is_empty()) {
                 return end;
             }
-            self.all.seats.stand(self.number, idle && buffer.is_empty());
+            self.all.seats.set_idle(self.number, idle && buffer.is_empty());
             // More may be there to be read or written without a further sign of it.
-            let room = self.open < OPEN_MOST && line.out().len() < OUT_MOST;
+            let room = self.open < OPEN_MOST && line.output().len() < OUT_MOST;
             let more = came
-                || (sends && room && filled == Filled::Full && buffer.len() < 2 + crate::codec::MESSAGE_MOST);
-            if more || (!self.streams.is_empty() && line.clear()) {
+                || (sends
+                    && room
+                    && filled == ReadProgress::BufferFull
+                    && buffer.len() < 2 + crate::codec::MESSAGE_MOST);
+            if more || (!self.streams.is_empty() && line.is_flushed()) {
                 // A coroutine that only yields is the next again, for as long as its transfer lasts.
-                line.leave_turn(&self.all.turnstile);
+                line.yield_to_others(&self.all.turnstile);
             } else {
                 line.wait();
             }
@@ -229,11 +239,11 @@
     }
 
     /// Adds messages of the transfers under way, no more than can wait to be written.
-    fn fill_out(&mut self, line: &mut Line) {
-        while line.out().len() < OUT_MOST / 2 {
+    fn fill_out(&mut self, line: &mut net::Connection) {
+        while line.output().len() < OUT_MOST / 2 {
             let Some(stream) = self.streams.first_mut() else { return };
             match stream.writer.next_message() {
-                Some(octets) => put(line.out(), &octets),
+                Some(octets) => put(line.output(), &octets),
                 None => {
                     let stream = self.streams.remove(0);
                     // Its answer is what went out: none is awaited any more.
@@ -245,12 +255,12 @@
     }
 
     /// Takes the whole messages that came; tells whether there was any.
-    fn messages(&mut self, buffer: &mut Vec<u8>) -> Result<bool, End> {
+    fn messages(&mut self, buffer: &mut Vec<u8>) -> Result<bool, CloseReason> {
         let mut at = 0;
         while let Some(head) = buffer.get(at..at + 2).filter(|_| self.open < OPEN_MOST) {
             let length = usize::from(u16::from_be_bytes([head[0], head[1]]));
             if length < crate::codec::HEAD {
-                return Err(End::Garbled);
+                return Err(CloseReason::Malformed);
             }
             let Some(octets) = buffer.get(at + 2..at + 2 + length) else { break };
             self.open += 1;
--- a/crates/frontends/dns/src/disk.rs
+++ b/crates/frontends/dns/src/disk.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::mpsc::Receiver;
 
-pub use lynxtally_net::folder::Folder;
+pub use lynxtally_net::directory::DirectoryStorage;
 
 /// What the log's thread is to make durable.
 pub struct Job {
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -6,17 +6,18 @@
 use crate::connection::{Connections, News, Order, Via};
 use crate::control::{self, Verb};
 use crate::cookie;
-use crate::disk::{self, Folder, Job};
+use crate::disk::{self, DirectoryStorage, Job};
 use crate::serving::{Ask, Counts, Serving, ZoneState};
 use crate::settings::{self, stage, Checked};
 use crate::tsig::Keys;
 use crate::udp;
 use lynxtally::{CallOutcome, Instant, Policy, Span};
 use lynxtally_engine::{Engine, FinalResponse, IncomingRequest, Rejection, Responder, RunEnd, Scheduler};
-use lynxtally_net::alarm::Alarm;
 use lynxtally_net::clock::Clock;
-use lynxtally_net::line::{guarded, lock, spawn};
-use lynxtally_net::turnstile::Turnstile;
+use lynxtally_net::coroutine::{catch_panic, spawn};
+use lynxtally_net::fair_yield::FairYield;
+use lynxtally_net::sync::lock;
+use lynxtally_net::timer::Timer;
 use lynxtally_wal::{Disk, Journal, Rotation};
 use lynxtally_zones::change::{between, Change};
 use lynxtally_zones::file;
@@ -270,11 +271,11 @@
     }
     let ear = Ear::new()?;
     let (sockets, listeners, listen) = open_sockets(&settings)?;
-    let alarm = Alarm::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
+    let alarm = Timer::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
     let own = ear.clone();
     control::listen(&state, move |verb, answer| own.say(Heard::Control(verb, answer)))
         .map_err(|fault| format!("{}: {fault}", control::path(&state).display()))?;
-    let turnstile = Turnstile::start().map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
+    let turnstile = FairYield::start().map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
     let own = ear.clone();
     let news = move |news| own.say(Heard::Tcp(news));
     let connections = Arc::new(Connections::new(settings.limits.connections, alarm, turnstile, news));
@@ -283,7 +284,7 @@
         spawn(
             STACK_WORDS,
             move || all.accept(listener),
-            |text| error!(text, "no connections are taken any more"),
+            |panic| error!(%panic, "no connections are taken any more"),
         )
         .map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
     }
@@ -322,9 +323,9 @@
     drop(sockets);
     let work = move || {
         let mut server = server;
-        let worked = guarded(|| server.work());
-        if let Err(text) = &worked {
-            error!(text, "the owner failed; every open task is answered that it failed");
+        let worked = catch_panic(|| server.work());
+        if let Err(panic) = &worked {
+            error!(%panic, "the owner failed; every open task is answered that it failed");
             server.give_up();
         }
         server.connections.close();
@@ -354,7 +355,7 @@
         let open = || -> std::io::Result<_> {
             let socket = udp::open(*at)?;
             let own = socket.local_addr()?;
-            Ok((socket, lynxtally_net::gate::listen(own)?, own))
+            Ok((socket, lynxtally_net::listener::listen(own)?, own))
         };
         let tries = if at.port() == 0 { PORTS } else { 1 };
         let mut opened = open();
@@ -372,8 +373,8 @@
 }
 
 /// Opens a state folder.
-pub fn folder(state: &Path) -> Result<Folder, String> {
-    Folder::new(state).map_err(|fault| format!("{}: {fault}", state.display()))
+pub fn folder(state: &Path) -> Result<DirectoryStorage, String> {
+    DirectoryStorage::new(state).map_err(|fault| format!("{}: {fault}", state.display()))
 }
 
 /// The name of a zone's journal.
@@ -416,7 +417,7 @@
 }
 
 /// Writes a base to its own file; tells its name.
-fn write_base(folder: &mut Folder, name: &str, zone: &Zone) -> Result<String, String> {
+fn write_base(folder: &mut DirectoryStorage, name: &str, zone: &Zone) -> Result<String, String> {
     let file = format!("{name}.{:016x}.base", rand::rng().random::<u64>());
     let octets = lynxtally_wal::seal(u64::from(zone.serial().0), &encode_base(zone));
     folder.replace(&file, &octets).map_err(|fault| format!("{file}: {fault}"))?;
@@ -424,7 +425,7 @@
 }
 
 /// Reads it.
-pub fn read_base(folder: &mut Folder, file: &str) -> Option<Zone> {
+pub fn read_base(folder: &mut DirectoryStorage, file: &str) -> Option<Zone> {
     let octets = folder.read(file).ok()??;
     decode_base(lynxtally_wal::unseal(&octets)?.1)
 }
@@ -432,7 +433,7 @@
 /// Takes a zone from its log, or from its file where it has none yet. A damaged log freezes the zone as far as it
 /// could be read; nothing is written to it then.
 pub fn load(
-    folder: &mut Folder,
+    folder: &mut DirectoryStorage,
     zone: &settings::Zone,
     settings: &Checked,
     now: Instant,
@@ -524,7 +525,7 @@
 
 /// Takes away bases that no snapshot or log that is left names: all but those of the last two snapshots and the
 /// logs after them.
-fn clean_bases(state: &Path, folder: &mut Folder, name: &str) {
+fn clean_bases(state: &Path, folder: &mut DirectoryStorage, name: &str) {
     let Ok(files) = folder.list() else { return };
     let mut named = Vec::new();
     for file in files.iter().filter(|file| file.starts_with(&format!("{name}."))) {
--- a/crates/frontends/net/src/lib.rs
+++ b/crates/frontends/net/src/lib.rs
@@ -1,12 +1,16 @@
-//! What every front reads and writes through: the driver under a connection, the ways in which one ends, the
-//! clockwork and the clock, listeners and the table of who is connected. It knows no protocol and makes no choice.
+//! What every frontend reads and writes through: sockets and connections, why a connection was closed, listeners,
+//! the table of open connections, the timer, the clock and a directory as storage. It knows no protocol and decides
+//! nothing.
 
-pub mod alarm;
 pub mod clock;
-pub mod end;
-pub mod folder;
-pub mod gate;
-pub mod line;
-pub mod seats;
+pub mod close_reason;
+pub mod connection;
+pub mod connection_table;
+pub mod coroutine;
+pub mod directory;
+pub mod fair_yield;
+pub mod listener;
+pub mod mailbox;
 pub mod socket;
-pub mod turnstile;
+pub mod sync;
+pub mod timer;
--- /dev/null
+++ b/crates/frontends/net/src/mailbox.rs
@@ -0,0 +1,74 @@
+//! Messages for a coroutine that waits on its connection.
+
+use crate::connection::Connection;
+use crate::sync::lock;
+use may::io::WaitIoWaker;
+use std::collections::VecDeque;
+use std::sync::Mutex;
+
+/// A queue of messages for a coroutine that waits on its connection; a new message wakes it.
+pub struct Mailbox<T> {
+    state: Mutex<State<T>>,
+}
+
+struct State<T> {
+    queue: VecDeque<T>,
+    waker: Option<WaitIoWaker>,
+    closed: bool,
+}
+
+impl<T> Default for Mailbox<T> {
+    fn default() -> Self {
+        Self { state: Mutex::new(State { queue: VecDeque::new(), waker: None, closed: false }) }
+    }
+}
+
+impl<T> Mailbox<T> {
+    /// Adds a message and wakes the connection; false where the mailbox is closed and nobody will take it.
+    pub fn push(&self, message: T) -> bool {
+        let mut state = lock(&self.state);
+        if state.closed {
+            return false;
+        }
+        state.queue.push_back(message);
+        if let Some(waker) = &state.waker {
+            waker.wakeup();
+        }
+        true
+    }
+
+    /// Wakes the connection without a message.
+    pub fn wake(&self) {
+        if let Some(waker) = &lock(&self.state).waker {
+            waker.wakeup();
+        }
+    }
+
+    /// Takes the oldest message.
+    pub fn take(&self) -> Option<T> {
+        lock(&self.state).queue.pop_front()
+    }
+
+    /// Looks at the oldest message without taking it.
+    pub fn peek<R>(&self, look: impl FnOnce(&T) -> R) -> Option<R> {
+        lock(&self.state).queue.front().map(look)
+    }
+
+    /// From now on messages wake this connection.
+    pub fn attach(&self, connection: &Connection) {
+        lock(&self.state).waker = Some(connection.waker());
+    }
+
+    /// No connection is woken until the next one is attached.
+    pub fn detach(&self) {
+        lock(&self.state).waker = None;
+    }
+
+    /// Accepts no message any more; those not taken yet are handed back.
+    pub fn close(&self) -> VecDeque<T> {
+        let mut state = lock(&self.state);
+        state.closed = true;
+        state.waker = None;
+        std::mem::take(&mut state.queue)
+    }
+}
--- a/crates/frontends/net/src/socket.rs
+++ b/crates/frontends/net/src/socket.rs
@@ -1,104 +1,121 @@
-//! A connection that may be read and written from several coroutines without waiting; who has nothing left to do
-//! waits on it.
+//! A TCP socket that several coroutines may read and write without blocking; one that has nothing left to do waits
+//! on it.
 
-use crate::end::End;
+use crate::close_reason::CloseReason;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// `may` takes a connect timeout of zero for none at all, so no timeout is shorter than this.
+const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1);
+
 /// What one read found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
-    /// So many octets.
-    Octets(usize),
+pub enum ReadOutcome {
+    /// So many bytes.
+    Bytes(usize),
     /// Nothing is there yet.
-    Nothing,
-    /// The other side sends no more.
-    End,
+    WouldBlock,
+    /// The peer sends no more.
+    EndOfStream,
 }
 
-/// A connection over TCP.
+/// A TCP socket.
 pub struct Socket {
     stream: CoIo<TcpStream>,
 }
 
 impl Socket {
-    /// Takes a connection over.
+    /// Takes an accepted connection over. Small writes are sent at once (`TCP_NODELAY`).
+    ///
+    /// # Errors
+    /// The connection is broken already.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
-        let stream = CoIo::new(stream).map_err(|fault| io::Error::other(fault.to_string()))?;
+        let stream = CoIo::new(stream).map_err(|error| io::Error::other(error.to_string()))?;
         Ok(Self { stream })
     }
 
     /// Connects within the given time.
-    pub fn connect(to: SocketAddr, within: Duration) -> Result<Self, End> {
-        let made = may::net::TcpStream::connect_timeout(&to, within.max(Duration::from_millis(1)));
-        let made = made.map_err(|fault| End::unmade(&fault))?;
-        // The same socket under a waiter of its own: this end of it knows nothing of what came before.
-        let stream = made.inner().try_clone().map_err(|fault| End::unmade(&fault))?;
-        drop(made);
-        Self::new(stream).map_err(|fault| End::unmade(&fault))
+    ///
+    /// # Errors
+    /// Why no connection was made.
+    pub fn connect(to: SocketAddr, timeout: Duration) -> Result<Self, CloseReason> {
+        let connected = may::net::TcpStream::connect_timeout(&to, timeout.max(MIN_CONNECT_TIMEOUT));
+        let connected = connected.map_err(|error| CloseReason::from_connect_error(&error))?;
+        // The same socket, registered anew with the event loop: this registration has seen no events of the connect.
+        let stream =
+            connected.inner().try_clone().map_err(|error| CloseReason::from_connect_error(&error))?;
+        drop(connected);
+        Self::new(stream).map_err(|error| CloseReason::from_connect_error(&error))
     }
 
-    /// Reads what is there, no more than there is room for.
-    pub fn read(&self, into: &mut [u8]) -> Result<Got, End> {
+    /// Reads what is there, as far as the buffer has room.
+    ///
+    /// # Errors
+    /// The connection broke.
+    pub fn read(&self, buffer: &mut [u8]) -> Result<ReadOutcome, CloseReason> {
         loop {
-            match self.stream.inner().read(into) {
-                Ok(0) => return Ok(Got::End),
-                Ok(octets) => return Ok(Got::Octets(octets)),
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return Ok(Got::Nothing),
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                Err(fault) => return Err(End::of(&fault)),
+            match self.stream.inner().read(buffer) {
+                Ok(0) => return Ok(ReadOutcome::EndOfStream),
+                Ok(bytes) => return Ok(ReadOutcome::Bytes(bytes)),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(ReadOutcome::WouldBlock),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(CloseReason::from_io_error(&error)),
             }
         }
     }
 
-    /// Writes as much as goes; tells how much that was.
-    pub fn write(&self, octets: &[u8]) -> Result<usize, End> {
+    /// Writes as much as the system takes now, and returns how many bytes that was.
+    ///
+    /// # Errors
+    /// The connection broke.
+    pub fn write(&self, bytes: &[u8]) -> Result<usize, CloseReason> {
         let mut written = 0;
-        while written < octets.len() {
-            match self.stream.inner().write(&octets[written..]) {
-                Ok(0) => return Err(End::Reset),
+        while written < bytes.len() {
+            match self.stream.inner().write(&bytes[written..]) {
+                Ok(0) => return Err(CloseReason::Reset),
                 Ok(n) => written += n,
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => break,
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                Err(fault) => return Err(End::of(&fault)),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => return Err(CloseReason::from_io_error(&error)),
             }
         }
         Ok(written)
     }
 
-    /// Waits until something can be read or written, or the waiter is woken.
+    /// Waits until something can be read or written, or the waker is used.
     pub fn wait(&self) {
         self.stream.wait_io();
     }
 
-    /// What wakes who waits on it.
+    /// Wakes the coroutine that waits on this socket.
     pub fn waker(&self) -> WaitIoWaker {
         self.stream.waker()
     }
 
-    /// Whether the other side is known to be gone altogether.
-    pub fn broken(&self) -> bool {
+    /// Whether the peer is known to be gone altogether.
+    pub fn is_broken(&self) -> bool {
         !matches!(self.stream.inner().take_error(), Ok(None))
     }
 
-    /// Ends the writing side; false where the connection is gone altogether.
-    pub fn shutdown(&self) -> bool {
+    /// Closes the writing side; false where the connection is gone altogether.
+    pub fn shutdown_write(&self) -> bool {
         self.stream.inner().shutdown(Shutdown::Write).is_ok()
     }
 
-    /// The system holds no more than about so many octets for it, each way.
-    pub fn bound(&self, octets: usize) {
+    /// Limits the system's send and receive buffers to about so many bytes each.
+    pub fn limit_buffers(&self, bytes: usize) {
         let socket = socket2::SockRef::from(self.stream.inner());
-        // Where the system has bounds of its own, those hold.
-        let _ = socket.set_recv_buffer_size(octets).and(socket.set_send_buffer_size(octets));
+        // Where the system has limits of its own, those hold.
+        let _ = socket.set_recv_buffer_size(bytes).and(socket.set_send_buffer_size(bytes));
     }
 
-    /// From now on its closing breaks it off, so that nothing sent on it can look whole.
-    pub fn break_off(&self) {
-        // Where that can't be had, the connection is gone already.
+    /// From now on closing the socket resets the connection, so that the peer can't take what was sent on it for a
+    /// complete message.
+    pub fn reset_on_close(&self) {
+        // Where this fails, the connection is gone already.
         let _ = socket2::SockRef::from(self.stream.inner()).set_linger(Some(Duration::ZERO));
     }
 }
--- a/crates/frontends/stream/src/archive.rs
+++ b/crates/frontends/stream/src/archive.rs
@@ -2,8 +2,8 @@
 //! that writes, reads and makes durable, so that no stream waits for another's disk.
 
 use lynxtally_flow::uploads::{Entry, UploadId, UploadLimits, Uploads};
-use lynxtally_net::folder::Folder;
-use lynxtally_net::line::lock;
+use lynxtally_net::directory::DirectoryStorage;
+use lynxtally_net::sync::lock;
 use lynxtally_wal::{Disk, Journal};
 use std::path::Path;
 use std::sync::mpsc::{self, Receiver, Sender};
@@ -77,7 +77,7 @@
     /// that the log tells of is not kept.
     pub fn open(path: &Path, limits: UploadLimits) -> Result<Arc<Self>, String> {
         let shown = path.display();
-        let mut folder = Folder::new(path).map_err(|fault| format!("{shown}: {fault}"))?;
+        let mut folder = DirectoryStorage::new(path).map_err(|fault| format!("{shown}: {fault}"))?;
         let (mut journal, found) =
             Journal::open(&mut folder, NAME).map_err(|fault| format!("{shown}: {fault}"))?;
         for damage in &found.damage {
@@ -173,7 +173,7 @@
 }
 
 /// Compares an upload with what lies there; what is past it was never told to be durable and is cut off.
-fn check(folder: &mut Folder, uploads: &Uploads, id: UploadId) -> Result<(), String> {
+fn check(folder: &mut DirectoryStorage, uploads: &Uploads, id: UploadId) -> Result<(), String> {
     let upload = uploads.get(id).ok_or("it is not known")?;
     let name = file(id);
     let (mut at, mut sum) = (0, 0);
@@ -195,7 +195,7 @@
     Ok(())
 }
 
-fn work(mut folder: Folder, mut journal: Journal, mut durable: Uploads, todo: &Receiver<Job>) {
+fn work(mut folder: DirectoryStorage, mut journal: Journal, mut durable: Uploads, todo: &Receiver<Job>) {
     // After a failed sync nobody knows what is on the disk: nothing more is called durable.
     let mut broken: Option<String> = None;
     for job in todo {
@@ -226,7 +226,7 @@
 }
 
 fn note(
-    folder: &mut Folder,
+    folder: &mut DirectoryStorage,
     journal: &mut Journal,
     durable: &mut Uploads,
     entry: Entry,
--- a/crates/frontends/stream/src/front.rs
+++ b/crates/frontends/stream/src/front.rs
@@ -10,14 +10,15 @@
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::UploadId;
 use lynxtally_flow::Sent;
-use lynxtally_net::alarm::Alarm;
 use lynxtally_net::clock::Clock;
-use lynxtally_net::end::End;
-use lynxtally_net::gate::Gate;
-use lynxtally_net::line::{lock, spawn};
-use lynxtally_net::seats::Seats;
-use lynxtally_net::socket::{Got, Socket};
-use lynxtally_net::turnstile::Turnstile;
+use lynxtally_net::close_reason::CloseReason;
+use lynxtally_net::connection_table::{ConnectionTable, Inserted};
+use lynxtally_net::coroutine::{spawn, Panic};
+use lynxtally_net::fair_yield::FairYield;
+use lynxtally_net::listener::ListenerSet;
+use lynxtally_net::socket::{ReadOutcome, Socket};
+use lynxtally_net::sync::lock;
+use lynxtally_net::timer::Timer;
 use may::io::WaitIoWaker;
 use std::net::{IpAddr, SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -49,11 +50,11 @@
     pub owner: Mutex<Owner<P>>,
     pub(crate) settings: Checked,
     clock: Clock,
-    seats: Seats<Arc<Latch>>,
+    seats: ConnectionTable<Arc<Latch>>,
     /// The listeners.
-    pub gate: Gate,
-    alarm: Alarm,
-    turnstile: Turnstile,
+    pub gate: ListenerSet,
+    alarm: Timer,
+    turnstile: FairYield,
     pub(crate) scratch: Mutex<Vec<u8>>,
     /// Uploads that can be gone on with.
     pub archive: Option<Arc<Archive>>,
@@ -65,7 +66,7 @@
     /// With its next message.
     Message,
     /// It ends.
-    Close(End),
+    Close(CloseReason),
 }
 
 /// How a stream goes on.
@@ -84,7 +85,7 @@
     /// It can't look whole.
     Cut,
     /// The client is gone.
-    Gone(End),
+    Gone(CloseReason),
 }
 
 /// A body that comes from the archive, not from the client.
@@ -110,7 +111,7 @@
     /// Octets that went up on this connection.
     sent_up: u64,
     /// Why this connection to an upstream is of no use any more.
-    failed: Option<End>,
+    failed: Option<CloseReason>,
     client_ended: bool,
     /// The client sent more before it was answered.
     pipelined: bool,
@@ -138,15 +139,15 @@
     pub fn new(
         settings: Checked,
         owner: Owner<P>,
-        alarm: Alarm,
-        turnstile: Turnstile,
+        alarm: Timer,
+        turnstile: FairYield,
         archive: Option<Arc<Archive>>,
     ) -> Arc<Self> {
         Arc::new_cyclic(|own| Self {
             owner: Mutex::new(owner),
             clock: Clock::default(),
-            seats: Seats::new(settings.limits.connections),
-            gate: Gate::new(alarm.clone()),
+            seats: ConnectionTable::new(settings.limits.connections),
+            gate: ListenerSet::new(alarm.clone()),
             alarm,
             turnstile,
             scratch: Mutex::new(vec![0; SCRATCH]),
@@ -160,7 +161,7 @@
     fn bound(&self, socket: &Socket) {
         let octets = (self.settings.limits.socket_kb << 10) as usize;
         if octets > 0 {
-            socket.bound(octets);
+            socket.limit_buffers(octets);
         }
     }
 
@@ -178,7 +179,7 @@
         drop(owner);
         if let Some(wait) = wait {
             let own = self.own.clone();
-            self.alarm.after(Duration::from_micros(wait.micros()), move || {
+            self.alarm.run_after(Duration::from_micros(wait.micros()), move || {
                 if let Some(own) = own.upgrade() {
                     own.turn();
                 }
@@ -191,7 +192,7 @@
     /// for a message that is on its way.
     pub fn sweep(&self, leaving: bool) {
         let idle = Duration::from_millis(self.settings.limits.idle_ms);
-        for latch in self.seats.resting(if leaving { idle.min(LEAVING) } else { idle }) {
+        for latch in self.seats.idle_for(if leaving { idle.min(LEAVING) } else { idle }) {
             latch.close.store(true, Ordering::Relaxed);
             latch.waker.wakeup();
         }
@@ -204,7 +205,7 @@
         let Ok(socket) = Socket::new(stream) else { return };
         self.bound(&socket);
         let latch = Arc::new(Latch { close: AtomicBool::new(false), waker: socket.waker() });
-        let Ok((number, goes)) = self.seats.take(latch.clone()) else {
+        let Ok(Inserted { number, evicted: goes }) = self.seats.insert(latch.clone()) else {
             return debug!(%from, "no room for a connection");
         };
         if let Some(goes) = goes {
@@ -215,19 +216,25 @@
         let work = move || {
             let end = front.serve(&Arc::new(socket), from.ip(), number, &latch);
             debug!(%from, %end, "connection ended");
-            front.seats.leave(number);
+            front.seats.remove(number);
         };
         let front = self.clone();
-        let failed = move |text: String| {
-            warn!(text, "a connection's coroutine failed");
-            front.seats.leave(number);
+        let failed = move |panic: Panic| {
+            warn!(%panic, "a connection's coroutine failed");
+            front.seats.remove(number);
         };
         if spawn(STACK_WORDS, work, failed).is_err() {
-            self.seats.leave(number);
+            self.seats.remove(number);
         }
     }
 
-    fn serve(self: &Arc<Self>, socket: &Arc<Socket>, from: IpAddr, number: u64, latch: &Latch) -> End {
+    fn serve(
+        self: &Arc<Self>,
+        socket: &Arc<Socket>,
+        from: IpAddr,
+        number: u64,
+        latch: &Latch,
+    ) -> CloseReason {
         let mut came = Vec::new();
         loop {
             let asked = match self.head(socket, &mut came, number, latch) {
@@ -240,7 +247,7 @@
                     return self.last_words(socket, &out);
                 }
             };
-            self.seats.stand(number, false);
+            self.seats.set_idle(number, false);
             let next = match &self.archive {
                 Some(archive) if self.is_upload(&asked) => {
                     self.upload(archive, socket, from, asked, &mut came)
@@ -251,7 +258,7 @@
                 Next::Message => {}
                 Next::Close(end) => return end,
             }
-            self.seats.stand(number, true);
+            self.seats.set_idle(number, true);
         }
     }
 
@@ -262,7 +269,7 @@
         came: &mut Vec<u8>,
         number: u64,
         latch: &Latch,
-    ) -> Result<Asked, Result<End, Bad>> {
+    ) -> Result<Asked, Result<CloseReason, Bad>> {
         let mut begun = None;
         loop {
             // Empty lines before a message are allowed for (RFC 9112 section 2.2).
@@ -274,28 +281,36 @@
             }
             let mut scratch = lock(&self.scratch);
             let got = socket.read(&mut scratch[..HEAD_MOST + 1]);
-            if let Ok(Got::Octets(octets)) = got {
+            if let Ok(ReadOutcome::Bytes(octets)) = got {
                 came.extend_from_slice(&scratch[..octets]);
                 continue;
             }
             drop(scratch);
             match got {
                 Err(end) => return Err(Ok(end)),
-                Ok(Got::End) => return Err(Ok(if came.is_empty() { End::Closed } else { End::Truncated })),
-                Ok(_) if latch.close.load(Ordering::Relaxed) && came.is_empty() => return Err(Ok(End::Idle)),
+                Ok(ReadOutcome::EndOfStream) => {
+                    return Err(Ok(if came.is_empty() {
+                        CloseReason::ClosedByPeer
+                    } else {
+                        CloseReason::Truncated
+                    }))
+                }
+                Ok(_) if latch.close.load(Ordering::Relaxed) && came.is_empty() => {
+                    return Err(Ok(CloseReason::IdleTimeout))
+                }
                 Ok(_) => {}
             }
             // One that sends its head by drips would hold a seat that others want.
-            self.seats.stand(number, came.is_empty());
+            self.seats.set_idle(number, came.is_empty());
             if !came.is_empty() {
                 let limit = Duration::from_millis(self.settings.limits.head_ms);
                 let since = *begun.get_or_insert_with(|| {
                     let waker = socket.waker();
-                    self.alarm.after(limit, move || waker.wakeup());
+                    self.alarm.run_after(limit, move || waker.wakeup());
                     Instant::now()
                 });
                 if since.elapsed() >= limit {
-                    return Err(Ok(End::Expired));
+                    return Err(Ok(CloseReason::TimedOut));
                 }
             }
             socket.wait();
@@ -303,11 +318,11 @@
     }
 
     /// Writes a last answer, and reads on for a while so that it is not lost with what the client still sends.
-    pub(crate) fn last_words(&self, socket: &Arc<Socket>, out: &[u8]) -> End {
+    pub(crate) fn last_words(&self, socket: &Arc<Socket>, out: &[u8]) -> CloseReason {
         let limits = &self.settings.limits;
         let until = Instant::now() + Duration::from_millis(limits.rest_ms);
         let waker = socket.waker();
-        self.alarm.after(Duration::from_millis(limits.rest_ms), move || waker.wakeup());
+        self.alarm.run_after(Duration::from_millis(limits.rest_ms), move || waker.wakeup());
         let (mut written, mut rest, mut shut) = (0, limits.rest_kb << 10, false);
         loop {
             if written < out.len() {
@@ -316,17 +331,17 @@
                     Err(end) => return end,
                 }
             }
-            if written == out.len() && !std::mem::replace(&mut shut, true) && !socket.shutdown() {
-                return End::Reset;
+            if written == out.len() && !std::mem::replace(&mut shut, true) && !socket.shutdown_write() {
+                return CloseReason::Reset;
             }
             let mut scratch = lock(&self.scratch);
             let got = socket.read(&mut scratch);
             drop(scratch);
             match got {
-                Ok(Got::Octets(octets)) if octets as u64 <= rest => rest -= octets as u64,
-                Ok(Got::Nothing) if Instant::now() < until => socket.wait(),
+                Ok(ReadOutcome::Bytes(octets)) if octets as u64 <= rest => rest -= octets as u64,
+                Ok(ReadOutcome::WouldBlock) if Instant::now() < until => socket.wait(),
                 Err(end) => return end,
-                Ok(_) => return End::Finished,
+                Ok(_) => return CloseReason::Completed,
             }
         }
     }
@@ -412,7 +427,7 @@
                         break over;
                     }
                 }
-                Pumped::Turn => self.turnstile.pass(socket),
+                Pumped::Turn => self.turnstile.yield_on(socket),
                 Pumped::Wait => socket.wait(),
             }
         };
@@ -426,7 +441,7 @@
         let ticket = &exchange.ticket;
         if let Some(upstream) = inner.upstream.take().filter(|_| !whole || !inner.relay.answer_whole()) {
             // What is cut must not look whole.
-            upstream.break_off();
+            upstream.reset_on_close();
         }
         let well = inner.relay.reply().map(|reply| reply.status < 500);
         let answered = well.is_some() && inner.relay.answer_whole();
@@ -437,8 +452,8 @@
             Over::Answered if last || inner.pipelined || inner.client_ended => None,
             Over::Answered => Some(Next::Message),
             Over::Cut => {
-                exchange.client.break_off();
-                Some(Next::Close(End::GivenUp))
+                exchange.client.reset_on_close();
+                Some(Next::Close(CloseReason::Cancelled))
             }
             Over::Gone(end) => Some(Next::Close(end)),
         };
@@ -511,11 +526,11 @@
             }
             Fault::Upstream(bad) => {
                 debug!(%bad, "an upstream's answer can't be read");
-                (inner.failed, inner.up_ended) = (Some(End::Garbled), true);
+                (inner.failed, inner.up_ended) = (Some(CloseReason::Malformed), true);
             }
             Fault::Changed(changed) => {
                 debug!(?changed, "the rest of a download is of another object");
-                (inner.failed, inner.up_ended) = (Some(End::Moved), true);
+                (inner.failed, inner.up_ended) = (Some(CloseReason::AddressChanged), true);
             }
         }
     }
@@ -528,8 +543,8 @@
             return Pumped::Over;
         }
         if !exchange.ticket.running() && !inner.relay.begun() {
-            if exchange.client.broken() {
-                inner.over = Some(Over::Gone(End::Reset));
+            if exchange.client.is_broken() {
+                inner.over = Some(Over::Gone(CloseReason::Reset));
                 return Pumped::Over;
             }
             return Pumped::Wait;
@@ -645,10 +660,10 @@
             let most = room.min(scratch.len());
             let octets = if inner.left.is_empty() {
                 match exchange.client.read(&mut scratch[..most]) {
-                    Ok(Got::Octets(octets)) => octets,
-                    Ok(Got::Nothing) => return step,
-                    Ok(Got::End) => {
-                        inner.over = Some(Over::Gone(End::Truncated));
+                    Ok(ReadOutcome::Bytes(octets)) => octets,
+                    Ok(ReadOutcome::WouldBlock) => return step,
+                    Ok(ReadOutcome::EndOfStream) => {
+                        inner.over = Some(Over::Gone(CloseReason::Truncated));
                         return step;
                     }
                     Err(end) => {
@@ -694,18 +709,18 @@
         }
         if !inner.pipelined && inner.left.is_empty() {
             match exchange.client.read(&mut scratch[..WATCH]) {
-                Ok(Got::Octets(octets)) => {
+                Ok(ReadOutcome::Bytes(octets)) => {
                     inner.left.extend_from_slice(&scratch[..octets]);
                     inner.pipelined = true;
                 }
-                Ok(Got::Nothing) => {}
-                Ok(Got::End) => inner.client_ended = true,
+                Ok(ReadOutcome::WouldBlock) => {}
+                Ok(ReadOutcome::EndOfStream) => inner.client_ended = true,
                 Err(end) => inner.over = Some(Over::Gone(end)),
             }
         } else {
             inner.pipelined = true;
-            if exchange.client.broken() {
-                inner.over = Some(Over::Gone(End::Reset));
+            if exchange.client.is_broken() {
+                inner.over = Some(Over::Gone(CloseReason::Reset));
             }
         }
         step
@@ -713,8 +728,8 @@
 
     /// From the archive to the upstream; tells how many octets moved.
     fn draw(&self, exchange: &Exchange, inner: &mut Inner, room: usize) -> usize {
-        if exchange.client.broken() {
-            inner.over = Some(Over::Gone(End::Reset));
+        if exchange.client.is_broken() {
+            inner.over = Some(Over::Gone(CloseReason::Reset));
         }
         let Some(source) = inner.source.as_mut().filter(|_| room > 0 && inner.relay.wants_client()) else {
             return 0;
@@ -728,7 +743,7 @@
                 }
                 // The disk gives less than it was given: the body can't be whole, and must not look so.
                 _ => {
-                    (inner.failed, inner.up_ended) = (Some(End::Failed), true);
+                    (inner.failed, inner.up_ended) = (Some(CloseReason::InternalError), true);
                     return 0;
                 }
             }
@@ -793,7 +808,7 @@
         }
         let most = room.min(scratch.len());
         let done = match upstream.read(&mut scratch[..most]) {
-            Ok(Got::Octets(octets)) => {
+            Ok(ReadOutcome::Bytes(octets)) => {
                 step += octets;
                 let mut at = 0;
                 let straight = inner.relay.straight_down(octets).min(credit(moved));
@@ -818,11 +833,11 @@
                     Ok(())
                 }
             }
-            Ok(Got::Nothing) => inner.relay.flush_down(),
-            Ok(Got::End) => {
+            Ok(ReadOutcome::WouldBlock) => inner.relay.flush_down(),
+            Ok(ReadOutcome::EndOfStream) => {
                 inner.up_ended = true;
                 inner.relay.upstream_ended().map(|whole| {
-                    inner.failed = (!whole).then_some(End::Truncated);
+                    inner.failed = (!whole).then_some(CloseReason::Truncated);
                 })
             }
             Err(end) => {
@@ -841,8 +856,8 @@
         let (front, own) = (self.clone(), exchange.clone());
         let work = move || front.climb(&own, told);
         let (front, own) = (self.clone(), exchange.clone());
-        let failed = move |text: String| {
-            warn!(text, "a coroutine to an upstream failed");
+        let failed = move |panic: Panic| {
+            warn!(%panic, "a coroutine to an upstream failed");
             front.with(|owner, now| owner.ended(now, &own.ticket, RunEnd::Failed));
         };
         if spawn(STACK_WORDS, work, failed).is_err() {
@@ -888,7 +903,10 @@
             }
             (inner.upstream, inner.failed) = (None, Some(end));
             if inner.relay.begun() {
-                let piece = inner.relay.piece().filter(|_| end != End::Moved && end != End::Garbled);
+                let piece = inner
+                    .relay
+                    .piece()
+                    .filter(|_| end != CloseReason::AddressChanged && end != CloseReason::Malformed);
                 let may = piece.filter(|_| lock(&self.owner).may_go_on(self.clock.now(), &not));
                 let Some((piece, _)) = may else {
                     drop(inner);
@@ -924,7 +942,7 @@
 
     /// Carries a stream on from its upstream's side; comes back with why the upstream failed, or with nothing once the
     /// stream is over.
-    fn carry(&self, exchange: &Exchange, socket: &Arc<Socket>) -> Option<End> {
+    fn carry(&self, exchange: &Exchange, socket: &Arc<Socket>) -> Option<CloseReason> {
         loop {
             let pumped = self.pump(exchange);
             let inner = lock(&exchange.inner);
@@ -937,7 +955,7 @@
             drop(inner);
             match pumped {
                 Pumped::Over => return None,
-                Pumped::Turn => self.turnstile.pass(socket),
+                Pumped::Turn => self.turnstile.yield_on(socket),
                 Pumped::Wait => socket.wait(),
             }
         }
--- a/crates/frontends/stream/src/owner.rs
+++ b/crates/frontends/stream/src/owner.rs
@@ -7,7 +7,7 @@
     Engine, Executor, FinalResponse, IncomingRequest, RequestCounts, Responder, RunEnd, Scheduler,
 };
 use lynxtally_flow::{Link, Pool, Progress, Repeats, Sent, Sizes, Spools, StreamId, Upstreams};
-use lynxtally_net::line::lock;
+use lynxtally_net::sync::lock;
 use may::io::WaitIoWaker;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
--- a/crates/frontends/stream/src/server.rs
+++ b/crates/frontends/stream/src/server.rs
@@ -6,11 +6,11 @@
 use crate::settings::Checked;
 use lynxtally::{Instant, Policy, Span};
 use lynxtally_engine::Scheduler;
-use lynxtally_net::alarm::Alarm;
 use lynxtally_net::clock::Clock;
-use lynxtally_net::gate::listen;
-use lynxtally_net::line::spawn;
-use lynxtally_net::turnstile::Turnstile;
+use lynxtally_net::coroutine::spawn;
+use lynxtally_net::fair_yield::FairYield;
+use lynxtally_net::listener::listen;
+use lynxtally_net::timer::Timer;
 use rand::Rng;
 use std::net::SocketAddr;
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError, Sender};
@@ -67,8 +67,8 @@
     // One worker carries all streams: it is fed by what comes, and the copying is the work.
     may::config().set_workers(1).set_stack_size(STACK_WORDS).set_worker_pin(false);
     let now = Clock::default().now();
-    let alarm = Alarm::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
-    let turnstile = Turnstile::start().map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
+    let alarm = Timer::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
+    let turnstile = FairYield::start().map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
     let owner = Owner::new(&settings, now, decide(&settings, now), rand::rng().random());
     let (stop, at) = (settings.stop, settings.listen.clone());
     let archive = settings.state.as_ref().map(|path| Archive::open(path, settings.uploads)).transpose()?;
@@ -79,7 +79,7 @@
         listening.push(listener.local_addr().map_err(|fault| format!("`listen`: {at}: {fault}"))?);
         let all = front.clone();
         let take = move || all.gate.accept(listener, |stream, from| all.take(stream, from));
-        spawn(STACK_WORDS, take, |text| error!(text, "no connections are taken any more"))
+        spawn(STACK_WORDS, take, |panic| error!(%panic, "no connections are taken any more"))
             .map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
     }
     front.turn();
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -10,9 +10,9 @@
 use crate::way::Way;
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::{Refused, Upload, UploadId};
-use lynxtally_net::end::End;
-use lynxtally_net::line::lock;
-use lynxtally_net::socket::{Got, Socket};
+use lynxtally_net::close_reason::CloseReason;
+use lynxtally_net::socket::{ReadOutcome, Socket};
+use lynxtally_net::sync::lock;
 use rand::Rng;
 use std::fmt::Write;
 use std::net::IpAddr;
@@ -40,7 +40,7 @@
     /// An answer of our own is owed.
     Own(Own),
     /// The client is gone.
-    Gone(End),
+    Gone(CloseReason),
 }
 
 /// What is done with an upload by one message.
@@ -86,7 +86,7 @@
         }
     }
 
-    fn put(&self, socket: &Arc<Socket>, mut out: &[u8]) -> Result<(), End> {
+    fn put(&self, socket: &Arc<Socket>, mut out: &[u8]) -> Result<(), CloseReason> {
         loop {
             let written = socket.write(out)?;
             out = &out[written..];
@@ -144,9 +144,9 @@
             if let Some(answer) = ticket.answer() {
                 return self.say(socket, &asked, &owed(&answer, None), whole);
             }
-            if socket.broken() {
+            if socket.is_broken() {
                 self.with(|owner, now| owner.gone(now, &ticket));
-                return Next::Close(End::Reset);
+                return Next::Close(CloseReason::Reset);
             }
             socket.wait();
         }
@@ -362,9 +362,11 @@
                     let mut scratch = lock(&self.scratch);
                     let most = room.min(scratch.len());
                     match socket.read(&mut scratch[..most]) {
-                        Ok(Got::Octets(octets)) => scratch[..octets].to_vec(),
-                        Ok(Got::Nothing) => Vec::new(),
-                        Ok(Got::End) => return self.leave_off(doing, way, on_its_way, End::Truncated),
+                        Ok(ReadOutcome::Bytes(octets)) => scratch[..octets].to_vec(),
+                        Ok(ReadOutcome::WouldBlock) => Vec::new(),
+                        Ok(ReadOutcome::EndOfStream) => {
+                            return self.leave_off(doing, way, on_its_way, CloseReason::Truncated)
+                        }
                         Err(end) => return self.leave_off(doing, way, on_its_way, end),
                     }
                 } else {
@@ -416,7 +418,7 @@
         doing: &mut Doing,
         way: &mut Way,
         on_its_way: Option<(usize, Awaited)>,
-        end: End,
+        end: CloseReason,
     ) -> Stored {
         let mut last = on_its_way.map(|(_, awaited)| awaited);
         if !way.out.is_empty() {
--- a/crates/lynxtally-coordinator/src/keeper.rs
+++ b/crates/lynxtally-coordinator/src/keeper.rs
@@ -5,7 +5,7 @@
 use crate::settings::Settings;
 use crate::store::{self, Log, Machine, Shared};
 use crate::Raft;
-use lynxtally_net::folder::Folder;
+use lynxtally_net::directory::DirectoryStorage;
 use openraft::{BasicNode, Config, SnapshotPolicy};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -84,7 +84,7 @@
 /// # Errors
 /// One line that says why it can't go on.
 pub async fn keep(settings: Settings, end: impl Future<Output = ()> + Send) -> Result<(), KeeperFault> {
-    let folder = Folder::new(&settings.folder)
+    let folder = DirectoryStorage::new(&settings.folder)
         .map_err(|why| KeeperFault::Folder(format!("{}: {why}", settings.folder.display())))?;
     let folder_fault =
         |why: store::StoreFault| KeeperFault::Folder(format!("{}: {why}", settings.folder.display()));
--- a/crates/lynxtally-node/src/accept/connection.rs
+++ b/crates/lynxtally-node/src/accept/connection.rs
@@ -4,8 +4,11 @@
 use crate::answer::{self, Answer};
 use crate::heard::Heard;
 use crate::http::{Asked, Message, Reader};
-use lynxtally_net::end::End;
-use lynxtally_net::line::{self as wire, Filled, Line};
+use lynxtally_net::close_reason::CloseReason;
+use lynxtally_net::connection::{self as net, ReadProgress};
+use lynxtally_net::coroutine;
+use lynxtally_net::sync as wire;
+
 use std::time::Instant;
 use tracing::{debug, warn};
 
@@ -27,14 +30,14 @@
 
 impl Connection<'_> {
     /// Carries the connection from its first byte to its last.
-    pub fn carry(mut self, mut line: Line) {
-        let end = wire::guarded(|| self.serve(&mut line)).unwrap_or_else(|text| {
-            warn!(text, "a connection's coroutine failed");
-            End::Failed
+    pub fn carry(mut self, mut line: net::Connection) {
+        let end = coroutine::catch_panic(|| self.serve(&mut line)).unwrap_or_else(|panic| {
+            warn!(%panic, "a connection's coroutine failed");
+            CloseReason::InternalError
         });
         if let Some((id, _)) = self.task.take() {
-            if end == End::Failed {
-                answer::write(line.out(), &Answer::Abandoned, None, true);
+            if end == CloseReason::InternalError {
+                answer::write(line.output(), &Answer::Abandoned, None, true);
                 // If it does not go, the connection ends without it.
                 let _ = line.flush();
             }
@@ -47,15 +50,19 @@
         self.entrance.counters.connection_ends.add(end);
         debug!(connection = self.number, %end, "a connection ends");
         match end {
-            End::Finished | End::Idle | End::Closed | End::Garbled | End::Expired => {
+            CloseReason::Completed
+            | CloseReason::IdleTimeout
+            | CloseReason::ClosedByPeer
+            | CloseReason::Malformed
+            | CloseReason::TimedOut => {
                 self.stand(Stand::Leaving);
                 self.linger(&mut line);
             }
             // It stays among those that were told to go, so nobody is told in its place meanwhile.
-            End::Crowded if self.answered => {
+            CloseReason::Evicted if self.answered => {
                 let handle = self.handle.clone();
-                self.entrance.alarm.after(SETTLE, move || {
-                    handle.push(Order::Close(End::Crowded));
+                self.entrance.alarm.run_after(SETTLE, move || {
+                    handle.push(Order::Close(CloseReason::Evicted));
                 });
                 self.linger(&mut line);
             }
@@ -72,8 +79,8 @@
     /// Ends the writing side and reads on: a socket closed with unread bytes would reset the connection and
     /// lose the last answer. Bounded in bytes here, and in time by the sweep, or where others need the room by the
     /// moment that first bytes are given.
-    fn linger(&self, line: &mut Line) {
-        if !line.shutdown() {
+    fn linger(&self, line: &mut net::Connection) {
+        if !line.shutdown_write() {
             return;
         }
         let (mut scratch, mut left) = (Vec::new(), self.entrance.bounds.linger_bytes);
@@ -85,8 +92,8 @@
             }
             scratch.clear();
             match line.fill(&mut scratch, LINGER_CHUNK) {
-                Ok(Filled::End) | Err(_) => return,
-                Ok(Filled::All) if scratch.is_empty() => line.wait(),
+                Ok(ReadProgress::EndOfStream) | Err(_) => return,
+                Ok(ReadProgress::Drained) if scratch.is_empty() => line.wait(),
                 Ok(_) => self.entrance.leave_turn(),
             }
             left = left.saturating_sub(scratch.len());
@@ -100,35 +107,35 @@
         }
     }
 
-    fn serve(&mut self, line: &mut Line) -> End {
+    fn serve(&mut self, line: &mut net::Connection) -> CloseReason {
         let mut reader = Reader::default();
         let (mut last, mut sends, mut stood) = (None, true, Stand::New);
         loop {
-            let (mut filled, mut close, mut asked) = (Filled::All, None, 0);
+            let (mut filled, mut close, mut asked) = (ReadProgress::Drained, None, 0);
             let mut moved = false;
             while let Some(order) = self.handle.take() {
                 match order {
                     Order::Answer(answer) => {
-                        let ends = self.answer(line.out(), &answer);
-                        last = last.or(ends.then_some(End::Finished));
+                        let ends = self.answer(line.output(), &answer);
+                        last = last.or(ends.then_some(CloseReason::Completed));
                         moved = true;
                     }
                     Order::Close(end) => close = Some(end),
                 }
             }
             // Nobody is read whose answers are not taken: else a client that only asks fills the memory.
-            let behind = !line.clear();
+            let behind = !line.is_flushed();
             if sends && last.is_none() && !behind {
                 match line.fill(&mut reader.buffer, Reader::ROOM) {
                     Ok(found) => filled = found,
                     Err(end) => return end,
                 }
-                sends = filled != Filled::End;
+                sends = filled != ReadProgress::EndOfStream;
             }
             while self.task.is_none() && last.is_none() && !behind && asked < AT_ONCE {
                 match reader.next_asked(&self.entrance.names, self.entrance.clock.micros() / 1000) {
                     Ok(Some(message)) => {
-                        last = self.asked(message, line.out()).then_some(End::Finished);
+                        last = self.asked(message, line.output()).then_some(CloseReason::Completed);
                         (moved, asked) = (true, asked + 1);
                     }
                     Ok(None) => break,
@@ -136,8 +143,8 @@
                         debug!(%bad, "a message can't be taken");
                         self.entrance.count_bad(bad);
                         let free = self.entrance.standing.free();
-                        answer::write(line.out(), &Answer::Unfit(bad.status()), free, true);
-                        last = Some(End::Garbled);
+                        answer::write(line.output(), &Answer::Unfit(bad.status()), free, true);
+                        last = Some(CloseReason::Malformed);
                     }
                 }
             }
@@ -145,31 +152,35 @@
                 return end;
             }
             if self.task.is_none() && !sends && last.is_none() && !behind && asked < AT_ONCE {
-                last = Some(if reader.buffer.is_empty() { End::Closed } else { End::Truncated });
+                last = Some(if reader.buffer.is_empty() {
+                    CloseReason::ClosedByPeer
+                } else {
+                    CloseReason::Truncated
+                });
             }
             // Told to close, it does so only where nothing is under way, once all that came is read.
             if let Some(end) = close.filter(|_| self.task.is_none() && !moved) {
                 // Who does not take its answer in time loses it; who only is to be gone soon may still take it.
-                if !line.clear() && end != End::Finished {
-                    return End::Reset;
+                if !line.is_flushed() && end != CloseReason::Completed {
+                    return CloseReason::Reset;
                 }
-                if last.is_none() && (end != End::Idle || reader.buffer.is_empty()) {
+                if last.is_none() && (end != CloseReason::IdleTimeout || reader.buffer.is_empty()) {
                     last = Some(end);
                 }
             }
             // A sidecar that sends no more and reads no more either is gone.
-            if !sends && line.broken() {
-                return End::Reset;
+            if !sends && line.is_broken() {
+                return CloseReason::Reset;
             }
             match last {
-                Some(end) if line.clear() && self.task.is_none() => return end,
+                Some(end) if line.is_flushed() && self.task.is_none() => return end,
                 _ => {}
             }
             let stand = match stood {
                 _ if self.task.is_some() => Stand::Busy,
                 // Bytes that make no message yet give it no further time.
                 Stand::New if !moved => Stand::New,
-                _ if !line.clear() || !reader.buffer.is_empty() => Stand::Halfway,
+                _ if !line.is_flushed() || !reader.buffer.is_empty() => Stand::Halfway,
                 _ => Stand::Resting,
             };
             if moved || stand != stood {
@@ -180,11 +191,11 @@
                 // What rests needs no buffer.
                 reader.buffer = Vec::new();
             }
-            if behind && line.clear() {
+            if behind && line.is_flushed() {
                 continue;
             }
             // What there was no room for is read now, or, while a task is open, after its answer.
-            if asked == AT_ONCE || filled == Filled::Full && reader.buffer.len() < Reader::ROOM {
+            if asked == AT_ONCE || filled == ReadProgress::BufferFull && reader.buffer.len() < Reader::ROOM {
                 self.entrance.leave_turn();
             } else {
                 line.wait();
--- a/crates/lynxtally-node/src/accept/listener.rs
+++ b/crates/lynxtally-node/src/accept/listener.rs
@@ -3,9 +3,11 @@
 use super::connection::Connection;
 use super::{Entrance, Handle, Room, Seat, Stand, PAUSE, TURN};
 use crate::heard::Heard;
-use lynxtally_net::end::End;
-use lynxtally_net::gate::begin_none;
-use lynxtally_net::line::{self as wire, Line};
+use lynxtally_net::close_reason::CloseReason;
+use lynxtally_net::coroutine::{self, Panic};
+use lynxtally_net::listener::ignore_new_connections;
+use lynxtally_net::sync as wire;
+
 use may::io::{CoIo, WaitIo};
 use std::io::ErrorKind;
 use std::net::{TcpListener, TcpStream};
@@ -56,7 +58,7 @@
                 Err(fault) if fault.kind() == ErrorKind::WouldBlock && settled => break,
                 Err(fault) if fault.kind() == ErrorKind::WouldBlock => {
                     // What had begun before has come after this, and nothing begins any more.
-                    if let Err(fault) = begin_none(listener.inner()) {
+                    if let Err(fault) = ignore_new_connections(listener.inner()) {
                         debug!(%fault, "connections may begin until the listener is closed");
                     }
                     settled = true;
@@ -81,11 +83,11 @@
 
     fn take(self: &Arc<Self>, stream: TcpStream) {
         self.counters.connections.add();
-        let line = match Line::new(stream) {
+        let line = match lynxtally_net::connection::Connection::new(stream) {
             Ok(line) => line,
             Err(fault) => {
                 debug!(%fault, "a connection broke as it was taken");
-                return self.counters.connection_ends.add(End::Reset);
+                return self.counters.connection_ends.add(CloseReason::Reset);
             }
         };
         let number = self.next.fetch_add(1, Ordering::Relaxed);
@@ -99,13 +101,13 @@
                 .carry(line)
         };
         let entrance = self.clone();
-        let failed = move |text: String| {
-            warn!(text, "a connection's coroutine failed as it ended");
+        let failed = move |panic: Panic| {
+            warn!(%panic, "a connection's coroutine failed as it ended");
             wire::lock(&entrance.open).remove(&number);
         };
-        if wire::spawn(STACK_WORDS, work, failed).is_err() {
+        if coroutine::spawn(STACK_WORDS, work, failed).is_err() {
             wire::lock(&self.open).remove(&number);
-            self.counters.connection_ends.add(End::Failed);
+            self.counters.connection_ends.add(CloseReason::InternalError);
         }
     }
 }
--- a/crates/lynxtally-node/src/accept/mod.rs
+++ b/crates/lynxtally-node/src/accept/mod.rs
@@ -4,17 +4,17 @@
 mod listener;
 
 pub use crate::heard::{Handle, Order, Taken};
-pub use lynxtally_net::gate::listen;
+pub use lynxtally_net::listener::listen;
 
 use crate::answer::{Answer, Standing};
 use crate::config::Bounds;
 use crate::counters::Counters;
 use crate::heard::Heard;
 use crate::http::{Bad, Names};
-use lynxtally_net::alarm::Alarm;
 use lynxtally_net::clock::Clock;
-use lynxtally_net::end::End;
-use lynxtally_net::line as wire;
+use lynxtally_net::close_reason::CloseReason;
+use lynxtally_net::sync as wire;
+use lynxtally_net::timer::Timer;
 use may::io::WaitIoWaker;
 use may::sync::mpsc::Sender;
 use std::collections::BTreeMap;
@@ -78,7 +78,7 @@
     names: Names,
     standing: Arc<Standing>,
     clock: Clock,
-    alarm: Alarm,
+    alarm: Timer,
     owner: Sender<Heard>,
     counters: Arc<Counters>,
 }
@@ -89,7 +89,7 @@
         bounds: Bounds,
         names: Names,
         standing: Arc<Standing>,
-        alarm: Alarm,
+        alarm: Timer,
         owner: Sender<Heard>,
         counters: Arc<Counters>,
     ) -> Self {
@@ -126,7 +126,7 @@
 
     /// Has connections closed that carried nothing for so long.
     pub fn close_idle(&self, since: Duration) {
-        self.close_where(End::Idle, |seat| {
+        self.close_where(CloseReason::IdleTimeout, |seat| {
             matches!(seat.stand, Stand::New | Stand::Resting) && seat.since.elapsed() >= since
         });
     }
@@ -137,7 +137,7 @@
     /// needs longer than a task's time for one message.
     pub fn sweep(&self) {
         let Bounds { message, linger, idle, .. } = self.bounds;
-        self.close_where(End::Expired, |seat| {
+        self.close_where(CloseReason::TimedOut, |seat| {
             let over = |span| seat.since.elapsed() >= span;
             match seat.stand {
                 Stand::Leaving => over(linger),
@@ -151,10 +151,10 @@
     /// Has all connections closed that have no task, also such as stand in the middle of a message. The last thing
     /// before the end: what is half written then would be reset by it, so its sidecar is told, and sends once more.
     pub fn close_all(&self) {
-        self.close_where(End::Finished, |seat| !matches!(seat.stand, Stand::Leaving | Stand::Busy));
+        self.close_where(CloseReason::Completed, |seat| !matches!(seat.stand, Stand::Leaving | Stand::Busy));
     }
 
-    fn close_where(&self, end: End, goes: impl Fn(&Seat) -> bool) {
+    fn close_where(&self, end: CloseReason, goes: impl Fn(&Seat) -> bool) {
         for seat in wire::lock(&self.open).values().filter(|seat| goes(seat)) {
             seat.handle.push(Order::Close(end));
         }
@@ -181,7 +181,7 @@
         let Some(seat) = first else { return Room::Later };
         // Each makes room for one: told again, it would be counted on twice.
         seat.told = true;
-        seat.handle.push(Order::Close(End::Crowded));
+        seat.handle.push(Order::Close(CloseReason::Evicted));
         if full {
             Room::Soon
         } else {
--- a/crates/lynxtally-node/src/control.rs
+++ b/crates/lynxtally-node/src/control.rs
@@ -1,7 +1,7 @@
 //! Reports to the control plane, by which sidecars learn of this node.
 
 use crate::counters::Counters;
-use lynxtally_net::alarm::Alarm;
+use lynxtally_net::timer::Timer;
 use may::sync::mpsc::{Receiver, Sender};
 use std::net::{SocketAddr, UdpSocket};
 
@@ -30,7 +30,7 @@
     mut at: SocketAddr,
     states: &Receiver<State>,
     again: &Sender<State>,
-    alarm: &Alarm,
+    alarm: &Timer,
     counters: &Counters,
 ) {
     let mut socket: Option<UdpSocket> = None;
@@ -42,7 +42,7 @@
             State::Again => {
                 let again = again.clone();
                 // Nobody hears it only where the program ends.
-                alarm.after(EVERY, move || {
+                alarm.run_after(EVERY, move || {
                     let _ = again.send(State::Again);
                 });
             }
--- a/crates/lynxtally-node/src/counters.rs
+++ b/crates/lynxtally-node/src/counters.rs
@@ -1,6 +1,6 @@
 //! What the program takes in, sends and answers, counted; printed as one line of JSON.
 
-use lynxtally_net::end::End;
+use lynxtally_net::close_reason::CloseReason;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -32,23 +32,23 @@
 
 /// Connections by how they ended.
 #[derive(Debug, Default)]
-pub struct Ends([Count; End::ALL.len()]);
+pub struct Ends([Count; CloseReason::ALL.len()]);
 
 impl Ends {
     /// One more that ended so.
-    pub fn add(&self, end: End) {
+    pub fn add(&self, end: CloseReason) {
         self.0[end as usize].add();
     }
 
     /// How many ended so.
-    pub fn get(&self, end: End) -> u64 {
+    pub fn get(&self, end: CloseReason) -> u64 {
         self.0[end as usize].get()
     }
 
     fn print(&self, line: &mut String) {
         object(
             line,
-            End::ALL.iter().filter(|end| self.get(**end) > 0).map(|end| (end.name(), self.get(*end))),
+            CloseReason::ALL.iter().filter(|end| self.get(**end) > 0).map(|end| (end.name(), self.get(*end))),
         );
     }
 }
--- a/crates/lynxtally-node/src/decide.rs
+++ b/crates/lynxtally-node/src/decide.rs
@@ -15,8 +15,8 @@
 use crate::shares::Shares;
 use lynxtally::{CallOutcome, Effect, Gauges, Instant, Policy, RequestId, Span};
 use lynxtally_engine::{Engine, Executor, IncomingRequest, Rejection, RejectionReason, Responder, RunEnd};
-use lynxtally_net::alarm::Alarm;
 use lynxtally_net::clock::Clock;
+use lynxtally_net::timer::Timer;
 use may::sync::mpsc::{Receiver, Sender};
 use std::sync::Arc;
 use std::time::Duration;
@@ -195,7 +195,7 @@
     closed: Option<Instant>,
     /// Whether the last point to end at has come.
     over: bool,
-    alarm: Alarm,
+    alarm: Timer,
     owner: Sender<Heard>,
     machine: Machine,
     callers: Callers,
@@ -207,7 +207,7 @@
 /// The other parts, as the owner reaches them.
 pub struct Parts {
     /// What wakes the owner.
-    pub alarm: Alarm,
+    pub alarm: Timer,
     /// Messages to the owner itself.
     pub owner: Sender<Heard>,
     /// Reports to the control plane.
@@ -297,7 +297,7 @@
             let owner = self.owner.clone();
             let wait = Duration::from_micros((at - self.clock.now()).micros());
             // Nobody hears it only where the program ends.
-            self.alarm.after(wait, move || {
+            self.alarm.run_after(wait, move || {
                 let _ = owner.send(Heard::Due);
             });
         }
--- a/crates/lynxtally-node/src/heard.rs
+++ b/crates/lynxtally-node/src/heard.rs
@@ -5,8 +5,8 @@
 use crate::config::Config;
 use crate::http::{Reply, Sent};
 use lynxtally::CallOutcome;
-use lynxtally_net::end::End;
-use lynxtally_net::line::Outbox;
+use lynxtally_net::close_reason::CloseReason;
+use lynxtally_net::mailbox::Mailbox;
 use std::sync::Arc;
 
 /// What the owner hears.
@@ -22,7 +22,7 @@
         /// The connection; another's task may have the same name.
         from: Handle,
         /// How the connection ended.
-        end: End,
+        end: CloseReason,
     },
     /// The kernel said something.
     Kernel(Notice),
@@ -53,11 +53,11 @@
     /// The final answer to its task.
     Answer(Answer),
     /// Close if no task is open and nothing came meanwhile; the end says why.
-    Close(End),
+    Close(CloseReason),
 }
 
 /// A connection, as the owner knows it.
-pub type Handle = Arc<Outbox<Order>>;
+pub type Handle = Arc<Mailbox<Order>>;
 
 /// What a keeper said to a message, or that it surely says nothing.
 pub struct Said {
@@ -142,7 +142,7 @@
     /// No whole reply came.
     Without {
         /// How the connection ended.
-        end: End,
+        end: CloseReason,
         /// Whether any byte of the call was written.
         written: bool,
     },
--- a/crates/lynxtally-node/src/kernel.rs
+++ b/crates/lynxtally-node/src/kernel.rs
@@ -4,9 +4,12 @@
 use crate::counters::Counters;
 use crate::heard::Heard;
 pub use crate::heard::{Notice, Reaped};
-use lynxtally_net::alarm::Alarm;
-use lynxtally_net::end::End;
-use lynxtally_net::line::{lock, Filled, Line, Outbox};
+use lynxtally_net::close_reason::CloseReason;
+use lynxtally_net::connection::{self as net, ReadProgress};
+use lynxtally_net::sync::lock;
+use lynxtally_net::timer::Timer;
+
+use lynxtally_net::mailbox::Mailbox;
 use may::sync::mpsc::Sender;
 use std::io::Write;
 use std::net::SocketAddr;
@@ -93,14 +96,14 @@
 
 /// Where the owner leaves commands, and where the kernel is.
 pub struct Orders {
-    waiting: Outbox<Order>,
+    waiting: Mailbox<Order>,
     at: Mutex<SocketAddr>,
 }
 
 impl Orders {
     /// No orders yet, for a kernel at this address.
     pub fn new(at: SocketAddr) -> Self {
-        Self { waiting: Outbox::default(), at: Mutex::new(at) }
+        Self { waiting: Mailbox::default(), at: Mutex::new(at) }
     }
 
     /// Has a command written on the present link.
@@ -150,12 +153,12 @@
     }
 
     /// The next whole notice, with its number where it has one.
-    pub fn next_notice(&mut self) -> Result<Option<(Option<u64>, Notice)>, End> {
+    pub fn next_notice(&mut self) -> Result<Option<(Option<u64>, Notice)>, CloseReason> {
         let bytes = &self.buffer[self.understood..];
         // A remark means nothing, however long it is and whatever it is made of.
         let most = if bytes.starts_with(b"DMESG ") { PART_MOST } else { LINE_MOST };
         let Some(end) = bytes.windows(2).position(|pair| pair == b"\r\n") else {
-            return if bytes.len() > most { Err(End::Garbled) } else { Ok(None) };
+            return if bytes.len() > most { Err(CloseReason::Malformed) } else { Ok(None) };
         };
         let text = String::from_utf8_lossy(&bytes[..end]);
         let words: Vec<&str> = text.split_ascii_whitespace().collect();
@@ -165,7 +168,7 @@
         };
         let start = end + 2;
         if length.is_some_and(|length| length > PART_MOST) {
-            return Err(End::Garbled);
+            return Err(CloseReason::Malformed);
         }
         let whole = start + length.map_or(0, |length| length + 2);
         if bytes.len() < whole {
@@ -173,7 +176,7 @@
         }
         let part = length.map_or(&[][..], |length| &bytes[start..start + length]);
         if length.is_some() && &bytes[whole - 2..whole] != b"\r\n" {
-            return Err(End::Garbled);
+            return Err(CloseReason::Malformed);
         }
         let notice = match words[..] {
             ["BOOTED", state @ ("COLD" | "WARM"), ms] => {
@@ -185,7 +188,7 @@
                     "ERROR" => Reaped::Error,
                     "STOPPED" => Reaped::Stopped,
                     "MOOT" => Reaped::Moot,
-                    _ => return Err(End::Garbled),
+                    _ => return Err(CloseReason::Malformed),
                 };
                 (Some(number(Some(n))?), Notice::Ended { id: id.to_owned(), how, result: part.to_vec() })
             }
@@ -203,7 +206,7 @@
                 (None, Notice::Refused { command: command.to_owned(), id: id.join(" ") })
             }
             ["DMESG", ref text @ ..] => (number(text.first().copied()).ok(), Notice::Remark(text.join(" "))),
-            _ => return Err(End::Garbled),
+            _ => return Err(CloseReason::Malformed),
         };
         self.understood += whole;
         Ok(Some(notice))
@@ -211,24 +214,24 @@
 }
 
 /// A number that means something: not negative, not endless.
-fn figure(word: &str) -> Result<f64, End> {
+fn figure(word: &str) -> Result<f64, CloseReason> {
     number::<f64>(Some(word)).and_then(|value| {
         let fits = value >= 0.0 && value.is_finite();
-        fits.then_some(value).ok_or(End::Garbled)
+        fits.then_some(value).ok_or(CloseReason::Malformed)
     })
 }
 
-fn number<T: std::str::FromStr>(word: Option<&str>) -> Result<T, End> {
-    word.and_then(|word| word.parse().ok()).ok_or(End::Garbled)
+fn number<T: std::str::FromStr>(word: Option<&str>) -> Result<T, CloseReason> {
+    word.and_then(|word| word.parse().ok()).ok_or(CloseReason::Malformed)
 }
 
 /// Holds a link to the kernel open for as long as the program runs, and makes a new one when it breaks or the
 /// kernel is elsewhere.
-pub fn hold(orders: &Orders, owner: &Sender<Heard>, alarm: &Alarm, counters: &Counters) {
+pub fn hold(orders: &Orders, owner: &Sender<Heard>, alarm: &Timer, counters: &Counters) {
     let (mut seen, mut link) = (0, 0);
     loop {
         let at = orders.at();
-        match Line::connect(at, CONNECT) {
+        match net::Connection::connect(at, CONNECT) {
             Ok(line) => {
                 counters.kernel_links.add();
                 info!(notices_read = seen, %at, "link to the kernel made");
@@ -236,7 +239,7 @@
                 let end = carry(line, at, link, &mut seen, orders, owner);
                 orders.waiting.detach();
                 counters.kernel_ends.add(end);
-                if end == End::GivenUp {
+                if end == CloseReason::Cancelled {
                     return;
                 }
                 warn!(%end, notices_read = seen, "link to the kernel lost");
@@ -257,19 +260,19 @@
 
 /// Carries one link until it ends.
 fn carry(
-    mut line: Line,
+    mut line: net::Connection,
     at: SocketAddr,
     link: u64,
     seen: &mut u64,
     orders: &Orders,
     owner: &Sender<Heard>,
-) -> End {
+) -> CloseReason {
     let mut reader = Reader::default();
     // What was ordered before is not lost: once all was told, the owner says again what it knows no effect
     // of. Written twice, a reply could reach the run's next call.
     let mut begun = false;
     orders.waiting.attach(&line);
-    Command::Open(*seen).write(line.out());
+    Command::Open(*seen).write(line.output());
     loop {
         let filled = match line.fill(reader.room(), Reader::ROOM) {
             Ok(filled) => filled,
@@ -286,19 +289,19 @@
             }
             *seen = number.unwrap_or(*seen);
             if matches!(notice, Notice::Booted { .. }) {
-                Command::Sync(link).write(line.out());
+                Command::Sync(link).write(line.output());
             }
             if owner.send(Heard::Kernel(notice)).is_err() {
-                return End::GivenUp;
+                return CloseReason::Cancelled;
             }
         }
-        if filled == Filled::End {
-            return if reader.is_empty() { End::Closed } else { End::Truncated };
+        if filled == ReadProgress::EndOfStream {
+            return if reader.is_empty() { CloseReason::ClosedByPeer } else { CloseReason::Truncated };
         }
         while let Some(order) = orders.waiting.take() {
             match order {
                 Order::From(number) => begun = number == link,
-                Order::Say(command) if begun => command.write(line.out()),
+                Order::Say(command) if begun => command.write(line.output()),
                 Order::Say(_) => {}
             }
         }
@@ -306,9 +309,9 @@
             return end;
         }
         if orders.at() != at {
-            return End::Moved;
+            return CloseReason::AddressChanged;
         }
-        if filled == Filled::All {
+        if filled == ReadProgress::Drained {
             line.wait();
         }
     }
--- a/crates/lynxtally-node/src/ledger.rs
+++ b/crates/lynxtally-node/src/ledger.rs
@@ -5,8 +5,12 @@
 pub use crate::heard::Ended;
 use crate::heard::Heard;
 use crate::http::{self, Message};
-use lynxtally_net::end::End;
-use lynxtally_net::line::{self as wire, Filled, Line, Outbox};
+use lynxtally_net::close_reason::CloseReason;
+use lynxtally_net::connection::{self as net, ReadProgress};
+use lynxtally_net::coroutine::{self, Panic};
+use lynxtally_net::sync as wire;
+
+use lynxtally_net::mailbox::Mailbox;
 use may::sync::mpsc::Sender;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -46,7 +50,7 @@
 }
 
 /// A connection, as the owner knows it.
-pub type Handle = Arc<Outbox<Order>>;
+pub type Handle = Arc<Mailbox<Order>>;
 
 /// The connections to the ledger.
 pub struct Ledger {
@@ -89,13 +93,13 @@
         handle.push(Order::Make(call.clone()));
         let (ledger, own) = (self.clone(), handle.clone());
         let (owner, id, number) = (self.owner.clone(), call.id, call.number);
-        let failed = move |text: String| {
-            tracing::error!(id, text, "a call's coroutine failed");
-            let ended = Ended::Without { end: End::Failed, written: true };
+        let failed = move |panic: Panic| {
+            tracing::error!(id, %panic, "a call's coroutine failed");
+            let ended = Ended::Without { end: CloseReason::InternalError, written: true };
             // The owner outlives its calls.
             let _ = owner.send(Heard::Called { id, number, ended });
         };
-        wire::spawn(STACK_WORDS, move || ledger.serve(&own), failed).ok().map(|_| handle)
+        coroutine::spawn(STACK_WORDS, move || ledger.serve(&own), failed).ok().map(|_| handle)
     }
 
     /// Closes the connections that were idle for long.
@@ -127,7 +131,7 @@
             {
                 let mut idle = wire::lock(&self.idle);
                 if *wire::lock(&self.at) != at {
-                    self.ended(End::Moved);
+                    self.ended(CloseReason::AddressChanged);
                     break;
                 }
                 idle.push((Instant::now(), handle.clone()));
@@ -143,28 +147,28 @@
         // An order that came between the last look and now is not lost: it never ran.
         for order in handle.close() {
             if let Order::Make(Call { id, number, .. }) = order {
-                let ended = Ended::Without { end: End::Closed, written: false };
+                let ended = Ended::Without { end: CloseReason::ClosedByPeer, written: false };
                 let _ = self.owner.send(Heard::Called { id, number, ended });
             }
         }
     }
 
     /// Waits for the next call; tells the end of the connection where it ends first.
-    fn rest(&self, line: Option<&mut Line>, handle: &Handle) -> Option<End> {
+    fn rest(&self, line: Option<&mut net::Connection>, handle: &Handle) -> Option<CloseReason> {
         let line = line?;
         let mut stray = Vec::new();
         loop {
             match line.fill(&mut stray, 1) {
-                Ok(Filled::All) => {}
-                Ok(Filled::Full) => return Some(self.ended(End::Garbled)),
-                Ok(Filled::End) => return Some(self.ended(End::Closed)),
+                Ok(ReadProgress::Drained) => {}
+                Ok(ReadProgress::BufferFull) => return Some(self.ended(CloseReason::Malformed)),
+                Ok(ReadProgress::EndOfStream) => return Some(self.ended(CloseReason::ClosedByPeer)),
                 Err(end) => return Some(self.ended(end)),
             }
             match handle.peek(|order| matches!(order, Order::Make(_))) {
                 Some(true) => return None,
                 Some(false) => {
                     if let Some(Order::Close) = handle.take() {
-                        return Some(self.ended(End::Idle));
+                        return Some(self.ended(CloseReason::IdleTimeout));
                     }
                 }
                 None => line.wait(),
@@ -172,7 +176,7 @@
         }
     }
 
-    fn ended(&self, end: End) -> End {
+    fn ended(&self, end: CloseReason) -> CloseReason {
         self.counters.ledger_ends.add(end);
         end
     }
@@ -182,16 +186,16 @@
         &self,
         call: &Call,
         at: Option<SocketAddr>,
-        kept: Option<Line>,
+        kept: Option<net::Connection>,
         handle: &Handle,
-    ) -> (Ended, Option<Line>) {
+    ) -> (Ended, Option<net::Connection>) {
         let until = call.until;
         let without = |end, written| (Ended::Without { end: self.ended(end), written }, None);
         let mut line = match kept {
             Some(line) => line,
             None => {
-                let Some(at) = at else { return without(End::Unmade, false) };
-                match Line::connect(at, until.saturating_duration_since(Instant::now())) {
+                let Some(at) = at else { return without(CloseReason::ConnectFailed, false) };
+                match net::Connection::connect(at, until.saturating_duration_since(Instant::now())) {
                     Ok(line) => line,
                     Err(end) => return without(end, false),
                 }
@@ -204,22 +208,22 @@
             while let Some(order) = handle.take() {
                 if matches!(order, Order::GiveUp(number) if number == call.number) {
                     return without(
-                        if Instant::now() >= until { End::Expired } else { End::GivenUp },
+                        if Instant::now() >= until { CloseReason::TimedOut } else { CloseReason::Cancelled },
                         written,
                     );
                 }
             }
-            if line.clear() && !written {
+            if line.is_flushed() && !written {
                 // Looked at here and not sooner: a process that was stopped on the way wakes with a call whose time
                 // may be over, and whose part of what all share another may have by now.
                 let left = until.saturating_duration_since(Instant::now());
                 if left.is_zero() {
-                    return without(End::Expired, false);
+                    return without(CloseReason::TimedOut, false);
                 }
-                http::write_call(line.out(), &call.id, (left.as_millis() as u64).max(1), &call.body);
+                http::write_call(line.output(), &call.id, (left.as_millis() as u64).max(1), &call.body);
             }
             let flushed = line.flush();
-            written |= line.clear() || line.written() > 0;
+            written |= line.is_flushed() || line.written() > 0;
             if let Err(end) = flushed {
                 return without(end, written);
             }
@@ -229,20 +233,24 @@
             };
             match reader.next_reply() {
                 Ok(Some(Message { what, last })) => {
-                    let keep = !last && filled == Filled::All && reader.buffer.is_empty();
+                    let keep = !last && filled == ReadProgress::Drained && reader.buffer.is_empty();
                     if !keep {
-                        self.ended(End::Finished);
+                        self.ended(CloseReason::Completed);
                     }
                     return (Ended::Replied(what), keep.then_some(line));
                 }
-                Ok(None) if filled == Filled::End => {
-                    let end = if reader.buffer.is_empty() { End::Closed } else { End::Truncated };
+                Ok(None) if filled == ReadProgress::EndOfStream => {
+                    let end = if reader.buffer.is_empty() {
+                        CloseReason::ClosedByPeer
+                    } else {
+                        CloseReason::Truncated
+                    };
                     return without(end, written);
                 }
                 Ok(None) => line.wait(),
                 Err(bad) => {
                     debug!(id = call.id, %bad, "a reply of the ledger can't be read");
-                    return without(End::Garbled, written);
+                    return without(CloseReason::Malformed, written);
                 }
             }
         }
--- a/crates/lynxtally-node/src/node.rs
+++ b/crates/lynxtally-node/src/node.rs
@@ -11,8 +11,9 @@
 use crate::kernel::{self, Orders};
 use crate::ledger::Ledger;
 use crate::shares::{Carrier, Shares};
-use lynxtally_net::alarm::Alarm;
-use lynxtally_net::line::{guarded, spawn};
+use lynxtally_net::coroutine::spawn;
+use lynxtally_net::coroutine::{catch_panic, Panic};
+use lynxtally_net::timer::Timer;
 use may::sync::mpsc::{channel, Receiver, Sender};
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
@@ -54,7 +55,7 @@
     let counters = Arc::new(Counters::new(&names.stages));
     let standing = Arc::new(Standing::default());
     let (owner, heard) = channel();
-    let alarm = Alarm::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
+    let alarm = Timer::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
     let entrance = Arc::new(Entrance::new(
         config.bounds(),
         names,
@@ -70,8 +71,8 @@
     heed_signals(signals, owner.clone(), counters.clone(), read);
     let (ended, end) = mpsc::channel();
     let part = |name: &'static str, ended: mpsc::Sender<bool>| {
-        move |text: String| {
-            error!(part = name, text, "a part of the node failed");
+        move |panic: Panic| {
+            error!(part = name, %panic, "a part of the node failed");
             // The receiver waits for as long as the program runs.
             let _ = ended.send(false);
         }
@@ -120,7 +121,7 @@
         shares,
     };
     let work = move || own(config, parts, &heard, &ended);
-    let failed = |text: String| error!(text, "the owner failed as it gave up");
+    let failed = |panic: Panic| error!(%panic, "the owner failed as it gave up");
     spawn(OWNER_STACK_WORDS, work, failed).map_err(started)?;
 
     let well = end.recv().unwrap_or(false);
@@ -137,9 +138,9 @@
 /// is answered all the same.
 pub fn own(config: Config, parts: Parts, heard: &Receiver<Heard>, ended: &mpsc::Sender<bool>) {
     let mut owner = Owner::new(config, parts);
-    let worked = guarded(|| owner.work(heard));
-    if let Err(text) = &worked {
-        error!(text, "the owner failed; every open task is answered that it failed");
+    let worked = catch_panic(|| owner.work(heard));
+    if let Err(panic) = &worked {
+        error!(%panic, "the owner failed; every open task is answered that it failed");
         owner.give_up();
     }
     // The receiver waits for as long as the program runs.
