--- a/crates/lynxtally-node/src/ledger.rs
+++ b/crates/lynxtally-node/src/downstream/mod.rs
@@ -2,9 +2,9 @@
 //! made once; whether it is made again is decided elsewhere.
 
 use crate::counters::Counters;
-pub use crate::heard::Ended;
-use crate::heard::Heard;
 use crate::http::{self, Message};
+pub use crate::messages::Ended;
+use crate::messages::Heard;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::connection::{self as net, ReadProgress};
 use lynxtally_net::coroutine::{self, Panic};
--- a/crates/lynxtally-node/src/decide.rs
+++ b/crates/lynxtally-node/src/event_loop/mod.rs
@@ -2,16 +2,16 @@
 //! sends it messages; it takes all that wait, lets the module settle once, and hands out orders. It never
 //! blocks and never writes to a socket itself, and decides nothing that the module should.
 
-use crate::accept::{self, Entrance};
-use crate::answer::{Answer, Standing};
 use crate::config::Config;
-use crate::control::Reporter;
 use crate::counters::Counters;
-use crate::heard::{Ended, Handle, Heard, Notice, Reaped, Said, Taken};
+use crate::downstream::{self as ledger, Call, Ledger};
+use crate::executor_link::{Command, Orders};
+use crate::health_reports::Reporter;
 use crate::http::Names;
-use crate::kernel::{Command, Orders};
-use crate::ledger::{self, Call, Ledger};
-use crate::repeat;
+use crate::idempotency as repeat;
+use crate::listener::{self as accept, Entrance};
+use crate::messages::{Ended, Handle, Heard, Notice, Reaped, Said, Taken};
+use crate::response::{Answer, Standing};
 use crate::shares::Shares;
 use lynxtally::{CallOutcome, Effect, Gauges, Instant, Policy, RequestId, Span};
 use lynxtally_engine::{Engine, Executor, IncomingRequest, Rejection, RejectionReason, Responder, RunEnd};
--- a/crates/lynxtally-node/src/kernel.rs
+++ b/crates/lynxtally-node/src/executor_link/mod.rs
@@ -2,8 +2,8 @@
 //! open.
 
 use crate::counters::Counters;
-use crate::heard::Heard;
-pub use crate::heard::{Notice, Reaped};
+use crate::messages::Heard;
+pub use crate::messages::{Notice, Reaped};
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::connection::{self as net, ReadProgress};
 use lynxtally_net::sync::lock;
--- a/crates/lynxtally-node/src/lib.rs
+++ b/crates/lynxtally-node/src/lib.rs
@@ -1,15 +1,15 @@
 //! The program round the module: sockets on one side, decisions on the other.
 
-pub mod accept;
-pub mod answer;
 pub mod config;
-pub mod control;
 pub mod counters;
-pub mod decide;
-pub mod heard;
+pub mod downstream;
+pub mod event_loop;
+pub mod executor_link;
+pub mod health_reports;
 pub mod http;
-pub mod kernel;
-pub mod ledger;
+pub mod idempotency;
+pub mod listener;
+pub mod messages;
 pub mod node;
-pub mod repeat;
+pub mod response;
 pub mod shares;
--- a/crates/lynxtally-node/src/accept/listener.rs
+++ b/crates/lynxtally-node/src/listener/accept_loop.rs
@@ -2,7 +2,7 @@
 
 use super::connection::Connection;
 use super::{Entrance, Handle, Room, Seat, Stand, PAUSE, TURN};
-use crate::heard::Heard;
+use crate::messages::Heard;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::coroutine::{self, Panic};
 use lynxtally_net::listener::ignore_new_connections;
--- a/crates/lynxtally-node/src/accept/connection.rs
+++ b/crates/lynxtally-node/src/listener/connection.rs
@@ -1,9 +1,9 @@
 //! One connection from a sidecar: read eagerly, one task at a time.
 
 use super::{Entrance, Handle, Order, Stand, Taken, SETTLE};
-use crate::answer::{self, Answer};
-use crate::heard::Heard;
 use crate::http::{Asked, Message, Reader};
+use crate::messages::Heard;
+use crate::response::{self as answer, Answer};
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::connection::{self as net, ReadProgress};
 use lynxtally_net::coroutine;
--- a/crates/lynxtally-node/src/accept/mod.rs
+++ b/crates/lynxtally-node/src/listener/mod.rs
@@ -1,16 +1,16 @@
 //! Connections from sidecars: taken eagerly, read eagerly, one task at a time on each.
 
+mod accept_loop;
 mod connection;
-mod listener;
 
-pub use crate::heard::{Handle, Order, Taken};
+pub use crate::messages::{Handle, Order, Taken};
 pub use lynxtally_net::listener::listen;
 
-use crate::answer::{Answer, Standing};
 use crate::config::Bounds;
 use crate::counters::Counters;
-use crate::heard::Heard;
 use crate::http::{Bad, Names};
+use crate::messages::Heard;
+use crate::response::{Answer, Standing};
 use lynxtally_net::clock::Clock;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::sync as wire;
--- a/crates/lynxtally-node/src/heard.rs
+++ b/crates/lynxtally-node/src/messages.rs
@@ -1,9 +1,9 @@
 //! What the owner hears, and what the others are told: the messages between the parts of a node, on which all
 //! of them stand and which stands on none.
 
-use crate::answer::Answer;
 use crate::config::Config;
 use crate::http::{Reply, Sent};
+use crate::response::Answer;
 use lynxtally::CallOutcome;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::mailbox::Mailbox;
--- a/crates/lynxtally-node/src/node.rs
+++ b/crates/lynxtally-node/src/node.rs
@@ -1,15 +1,15 @@
 //! One node from its start to its end: makes the parts, joins them, and waits for the owner.
 
-use crate::accept::{self, Entrance};
-use crate::answer::Standing;
 use crate::config::Config;
-use crate::control::{self, Reporter, State};
 use crate::counters::Counters;
-use crate::decide::{Owner, Parts};
-use crate::heard::{Heard, Said};
+use crate::downstream::Ledger;
+use crate::event_loop::{Owner, Parts};
+use crate::executor_link::{self as kernel, Orders};
+use crate::health_reports::{self as control, Reporter, State};
 use crate::http::Names;
-use crate::kernel::{self, Orders};
-use crate::ledger::Ledger;
+use crate::listener::{self as accept, Entrance};
+use crate::messages::{Heard, Said};
+use crate::response::Standing;
 use crate::shares::{Carrier, Shares};
 use lynxtally_net::coroutine::spawn;
 use lynxtally_net::coroutine::{catch_panic, Panic};
--- a/crates/lynxtally-node/tests/codecs.rs
+++ b/crates/lynxtally-node/tests/codecs.rs
@@ -3,11 +3,11 @@
 use lynxtally::{CallOutcome, Duplicate, Instant, RequestId, Span};
 use lynxtally_engine::Repeats;
 use lynxtally_net::close_reason::CloseReason;
-use lynxtally_node::answer::{self, Answer};
 use lynxtally_node::config;
+use lynxtally_node::downstream::Ended;
+use lynxtally_node::executor_link::{self as kernel, Command, Notice, Reaped};
 use lynxtally_node::http::{Asked, Bad, Message, Names, Reader, Sent, BODY_MOST, HEAD_MOST};
-use lynxtally_node::kernel::{self, Command, Notice, Reaped};
-use lynxtally_node::ledger::Ended;
+use lynxtally_node::response::{self as answer, Answer};
 
 #[allow(dead_code)]
 #[path = "../../../tests/host/mod.rs"]
