--- a/src/lib.rs
+++ b/src/lib.rs
@@ -66,17 +66,17 @@
 #![forbid(unsafe_code)]
 
 mod action;
+mod caller_similarity;
 mod event;
-mod inside;
-mod lately;
-mod likeness;
-mod load;
+mod expiry_set;
 mod pcg;
 mod policy;
+mod request;
 mod request_id;
+mod resource_usage;
 mod settings;
+mod sliding_sum;
 mod time;
-mod times;
 
 pub use action::Action;
 pub use event::{Arrival, CallLease, CallOutcome, Duplicate, Event, Gauges, LeasedQuotas, RunOutcome};
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,16 +4,16 @@
 //! until one no longer fits under the learned throughput. Decisions set where a task is wanted; `emit` works
 //! out the difference to what the host was told.
 
-mod answer;
-mod calls;
-mod learn;
-mod select;
+mod downstream_calls;
+mod emit;
+mod learning;
+mod selection;
 
-use crate::inside::{Place, Row, Task};
-use crate::lately::Lately;
-use crate::likeness::Likeness;
-use crate::load::Load;
-use crate::times::Times;
+use crate::caller_similarity::Likeness;
+use crate::expiry_set::Times;
+use crate::request::{Place, Row, Task};
+use crate::resource_usage::Load;
+use crate::sliding_sum::Lately;
 use crate::*;
 use std::collections::BTreeSet;
 
