--- a/src/caller_similarity.rs
+++ b/src/caller_similarity.rs
@@ -1,30 +1,36 @@
-//! How likely two arrivals are of one caller: an estimate, no choice.
+//! An estimate of how likely two arrivals come from the same caller.
 
 use std::collections::VecDeque;
 
-/// So many arrivals are compared with each new one.
-const KEPT: usize = 16;
+/// Each arrival is compared with this many before it.
+const COMPARED_ARRIVALS: usize = 16;
 
-/// The callers of the last arrivals, and how often two of them are one.
-pub(crate) struct Likeness {
-    last: VecDeque<u64>,
-    pub alike: f64,
+/// The callers of the last arrivals, and how often two of them were the same.
+pub(crate) struct CallerSimilarity {
+    recent_callers: VecDeque<u64>,
+    same_caller_probability: f64,
 }
 
-impl Likeness {
-    /// As many send alike as there are callers.
-    pub fn of(callers: u32) -> Self {
-        Self { last: VecDeque::new(), alike: 1.0 / f64::from(callers.max(1)) }
+impl CallerSimilarity {
+    /// Begins as if `callers` callers sent equally often.
+    pub fn new(callers: u32) -> Self {
+        let same_caller_probability = 1.0 / f64::from(callers.max(1));
+        Self { recent_callers: VecDeque::new(), same_caller_probability }
     }
 
-    /// An arrival's caller; it moves the estimate by this part. Two arrivals are of one caller as often as there
-    /// are few of them.
-    pub fn note(&mut self, caller: u64, gain: f64) {
-        let alike = self.last.iter().filter(|&&known| known == caller).count() as f64;
-        self.last.push_back(caller);
-        if self.last.len() > KEPT {
-            self.last.pop_front();
-            self.alike += (alike / KEPT as f64 - self.alike) * gain;
+    /// The probability, from 0 to 1, that two arrivals are of one caller: high where few callers send.
+    pub fn same_caller_probability(&self) -> f64 {
+        self.same_caller_probability
+    }
+
+    /// Takes in an arrival's caller, which moves the estimate by the fraction `gain`.
+    pub fn observe(&mut self, caller: u64, gain: f64) {
+        let matches = self.recent_callers.iter().filter(|&&known| known == caller).count() as f64;
+        self.recent_callers.push_back(caller);
+        if self.recent_callers.len() > COMPARED_ARRIVALS {
+            self.recent_callers.pop_front();
+            let observed = matches / COMPARED_ARRIVALS as f64;
+            self.same_caller_probability += (observed - self.same_caller_probability) * gain;
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -67,21 +67,29 @@
 
 mod action;
 mod caller_similarity;
+mod cost_model;
+mod dependency_usage;
 mod event;
 mod expiry_set;
+mod outbox;
 mod pcg;
 mod policy;
+mod rate_queue;
+mod receive_delay;
 mod request;
 mod request_id;
+mod request_table;
 mod resource_usage;
 mod settings;
 mod sliding_sum;
+mod tenant_rates;
 mod time;
 
 pub use action::Action;
+pub use dependency_usage::CallUsage;
 pub use event::{Arrival, CallLease, CallOutcome, Duplicate, Event, Gauges, LeasedQuotas, RunOutcome};
 pub use pcg::Pcg;
-pub use policy::{CallUsage, Policy};
+pub use policy::Policy;
 pub use request_id::{RequestId, RequestIdTable};
 pub use settings::{CapacityFormat, Downstream, Effect, RequestClass, Settings};
 pub use time::{Instant, Span};
--- /dev/null
+++ b/src/policy/final_response.rs
@@ -0,0 +1,63 @@
+//! Which final response does a request get?
+//!
+//! The rule: each request gets one final response. One that was never started, or has no effect, may be
+//! rejected, and its caller may try elsewhere; one whose effect may have happened only fails. A caller that
+//! is gone gets none.
+
+use super::Policy;
+use crate::request::RequestState;
+use crate::*;
+
+impl Policy {
+    /// Rejects a request, with the Retry-After of this moment.
+    pub(super) fn reject(&mut self, id: RequestId, no_retry: bool) {
+        let retry_after = self.retry_after();
+        self.finish(id, Action::Reject { request: id, retry_after, no_retry });
+    }
+
+    /// Gives a request its final response, if it has none yet. A run that can't be stopped goes on.
+    pub(super) fn finish(&mut self, id: RequestId, response: Action) {
+        let request = &mut self.requests[id];
+        let may_have_had_effect = request.run.started && request.effect != Effect::Idempotent;
+        let response = if may_have_had_effect { Action::Fail(id) } else { response };
+        request.response.get_or_insert(response);
+        let state = request.state;
+        let never_run_tenant = request.tenant.take_if(|_| !request.run.started);
+        if let Some(tenant) = never_run_tenant {
+            self.learned.tenants.uncount(tenant);
+        }
+        if self.requests.leave_queue(id) {
+            return;
+        }
+        if state == RequestState::Running && self.settings.stoppable {
+            self.requests.set_state(id, RequestState::Finishing);
+        } else {
+            self.requests.mark_changed(id);
+        }
+    }
+
+    /// The caller stopped waiting. What was not started never is; whether a run ends early is the host's
+    /// choice.
+    pub(super) fn caller_gone(&mut self, id: RequestId) {
+        self.requests[id].response_owed = false;
+        self.requests.leave_queue(id);
+    }
+
+    /// A run ended. If it gave no response, and one is owed, the request fails.
+    pub(super) fn run_ended(&mut self, id: RequestId, outcome: RunOutcome) {
+        let has_responded = outcome == RunOutcome::Responded;
+        let request = &mut self.requests[id];
+        let is_measured = has_responded && request.state == RequestState::Running;
+        if has_responded {
+            request.response_owed = false;
+        }
+        if request.state == RequestState::Calling {
+            self.call_budget.usage.call_cancelled(self.now);
+        }
+        self.requests.set_known_state(id, RequestState::Done);
+        self.finish(id, Action::Fail(id));
+        if is_measured {
+            self.learn_from_run(id);
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/shutdown.rs
@@ -0,0 +1,40 @@
+//! How does a shutdown end?
+//!
+//! The rule: from the notice on, health checks fail and no capacity is advertised. What arrives within the
+//! grace may still start, later arrivals are rejected. All that is here gets its response before the process
+//! is killed: every deadline is moved to a margin before that moment.
+
+use super::Policy;
+use crate::request::RequestState;
+use crate::*;
+
+/// A graceful shutdown that has begun.
+#[derive(Clone, Copy)]
+pub(super) struct Shutdown {
+    /// What arrives from here on is not started.
+    pub last_start: Instant,
+    /// When the process is killed.
+    pub deadline: Instant,
+}
+
+impl Policy {
+    /// A shutdown begins; the process is killed at `deadline`.
+    pub(super) fn begin_shutdown(&mut self, deadline: Instant) {
+        self.requests.arm_pending_timers();
+        let margin = self.profile.response_margin();
+        let last_start = self.now + self.settings.drain_grace - margin;
+        self.shutdown = Some(Shutdown { last_start, deadline });
+        let unanswered = self.requests.usage().started + self.requests.run_queue().len();
+        self.outbox.log(format!("draining: {unanswered:.0} requests to answer"));
+        for id in self.requests.with_armed_timers() {
+            let request = &mut self.requests[id];
+            if request.state == RequestState::Done {
+                continue;
+            }
+            request.deadline = request.deadline.min(deadline - margin);
+            request.respond_by = request.respond_by.min(request.deadline);
+            let check_at = request.timer.at.min(request.deadline);
+            self.requests.set_timer(id, self.now, check_at);
+        }
+    }
+}
--- a/src/resource_usage.rs
+++ b/src/resource_usage.rs
@@ -1,46 +1,46 @@
-//! What tasks use where they are: plain sums, no choice.
+//! What requests use in their present states: plain sums.
 
 use std::ops::{AddAssign, Sub};
 
-/// What one task uses, or all of them together.
+/// What one request uses, or all of them together.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Load {
+pub(crate) struct ResourceUsage {
     /// Memory, in kilobytes.
-    pub kb: f64,
-    /// Demand, in cores.
+    pub memory_kb: f64,
+    /// Demand of the requests on the cores, in cores.
     pub demand: f64,
-    /// Tasks on the cores.
-    pub on_cores: f64,
-    /// Tasks that run, stand at a call or are paused.
-    pub out: f64,
-    /// Calls in hand.
-    pub calling: f64,
-    /// When each of them is over below at the latest, in seconds since the start, added up.
-    pub calls_over: f64,
+    /// Requests on the cores.
+    pub running: f64,
+    /// Requests that were started and have not ended: on the cores, waiting for a call or calling.
+    pub started: f64,
+    /// Downstream calls in flight.
+    pub calls: f64,
+    /// The latest ends of those calls downstream, in seconds since the policy's start, added up.
+    pub call_end_secs: f64,
 }
 
-impl Load {
-    fn with(self, other: Self, join: impl Fn(f64, f64) -> f64) -> Self {
+impl ResourceUsage {
+    fn combine(self, other: Self, operation: impl Fn(f64, f64) -> f64) -> Self {
         Self {
-            kb: join(self.kb, other.kb),
-            demand: join(self.demand, other.demand),
-            on_cores: join(self.on_cores, other.on_cores),
-            out: join(self.out, other.out),
-            calling: join(self.calling, other.calling),
-            calls_over: join(self.calls_over, other.calls_over),
+            memory_kb: operation(self.memory_kb, other.memory_kb),
+            demand: operation(self.demand, other.demand),
+            running: operation(self.running, other.running),
+            started: operation(self.started, other.started),
+            calls: operation(self.calls, other.calls),
+            call_end_secs: operation(self.call_end_secs, other.call_end_secs),
         }
     }
 }
 
-impl Sub for Load {
+impl Sub for ResourceUsage {
     type Output = Self;
     fn sub(self, other: Self) -> Self {
-        self.with(other, |a, b| a - b)
+        self.combine(other, |a, b| a - b)
     }
 }
 
-impl AddAssign for Load {
+impl AddAssign for ResourceUsage {
     fn add_assign(&mut self, other: Self) {
-        *self = self.with(other, |a, b| a + b);
+        *self = self.combine(other, |a, b| a + b);
     }
 }
