--- a/src/lib.rs
+++ b/src/lib.rs
@@ -66,22 +66,30 @@
 #![forbid(unsafe_code)]
 
 mod action;
+mod caller_similarity;
+mod cost_model;
+mod dependency_usage;
 mod event;
-mod inside;
-mod lately;
-mod likeness;
-mod load;
+mod expiry_set;
+mod outbox;
 mod pcg;
 mod policy;
+mod rate_queue;
+mod receive_delay;
+mod request;
 mod request_id;
+mod request_table;
+mod resource_usage;
 mod settings;
+mod sliding_sum;
+mod tenant_rates;
 mod time;
-mod times;
 
 pub use action::Action;
+pub use dependency_usage::CallUsage;
 pub use event::{Arrival, CallLease, CallOutcome, Duplicate, Event, Gauges, LeasedQuotas, RunOutcome};
 pub use pcg::Pcg;
-pub use policy::{CallUsage, Policy};
+pub use policy::Policy;
 pub use request_id::{RequestId, RequestIdTable};
 pub use settings::{CapacityFormat, Downstream, Effect, RequestClass, Settings};
 pub use time::{Instant, Span};
