--- a/crates/frontends/net/src/socket.rs
+++ b/crates/frontends/net/src/socket.rs
@@ -70,19 +70,9 @@
     /// Writes as much as the system takes now, and returns how many bytes that was.
     ///
     /// # Errors
-    /// The connection broke.
+    /// The connection broke before any byte was taken; see [`write_available`].
     pub fn write(&self, bytes: &[u8]) -> Result<usize, CloseReason> {
-        let mut written = 0;
-        while written < bytes.len() {
-            match self.stream.inner().write(&bytes[written..]) {
-                Ok(0) => return Err(CloseReason::Reset),
-                Ok(n) => written += n,
-                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
-                Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                Err(error) => return Err(CloseReason::from_io_error(&error)),
-            }
-        }
-        Ok(written)
+        write_available(&mut self.stream.inner(), bytes)
     }
 
     /// Waits until something can be read or written, or the waker is used.
@@ -119,3 +109,32 @@
         let _ = socket2::SockRef::from(self.stream.inner()).set_linger(Some(Duration::ZERO));
     }
 }
+
+/// Writes as much as a non-blocking writer takes now, and returns how many bytes that was.
+///
+/// Bytes written before a failure are counted, and the failure is left to the next call, because the peer may have acted on
+/// them. Were the count lost with the error, a request sent in part would look like one of which nothing was sent, and
+/// might be sent a second time elsewhere. A connection that failed once fails every later write, so nothing is hidden.
+///
+/// # Errors
+/// The writer failed before it took any byte.
+pub fn write_available(to: &mut impl Write, bytes: &[u8]) -> Result<usize, CloseReason> {
+    let mut written = 0;
+    while written < bytes.len() {
+        let failure = match to.write(&bytes[written..]) {
+            Ok(0) => CloseReason::Reset,
+            Ok(more) => {
+                written += more;
+                continue;
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+            Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+            Err(error) => CloseReason::from_io_error(&error),
+        };
+        if written == 0 {
+            return Err(failure);
+        }
+        break;
+    }
+    Ok(written)
+}
--- a/crates/frontends/stream/src/front.rs
+++ b/crates/frontends/stream/src/front.rs
@@ -110,6 +110,8 @@
     up_ended: bool,
     /// Octets that went up on this connection.
     sent_up: u64,
+    /// Whether any went up on this one or one before.
+    ever_sent: bool,
     /// Why this connection to an upstream is of no use any more.
     failed: Option<CloseReason>,
     client_ended: bool,
@@ -126,6 +128,22 @@
     upstream: Mutex<Option<WaitIoWaker>>,
 }
 
+impl Inner {
+    /// So many octets went up on this connection.
+    fn sent(&mut self, octets: usize) {
+        self.sent_up += octets as u64;
+        self.ever_sent |= octets > 0;
+    }
+
+    /// What is known of a connection to an upstream is forgotten, before what is to go up on the next one is made ready:
+    /// the client's side runs on meanwhile, and would drop that as it drops what a failed connection no longer takes.
+    fn renew_connection(&mut self) {
+        self.up_closed = false;
+        self.up_ended = false;
+        self.sent_up = 0;
+    }
+}
+
 impl Exchange {
     fn wake_upstream(&self) {
         if let Some(waker) = &*lock(&self.upstream) {
@@ -404,6 +422,7 @@
                 up_closed: false,
                 up_ended: false,
                 sent_up: 0,
+                ever_sent: false,
                 failed: None,
                 client_ended: false,
                 pipelined: false,
@@ -621,7 +640,7 @@
             match upstream.write(inner.relay.up.out.front()) {
                 Ok(octets) => {
                     inner.relay.up.out.took(octets);
-                    inner.sent_up += octets as u64;
+                    inner.sent(octets);
                     moved.up_took += octets as u64;
                     step += octets;
                 }
@@ -629,7 +648,10 @@
                 Err(_) => inner.up_closed = true,
             }
         }
-        let dumb = inner.up_closed || inner.relay.refused();
+        // An upstream that takes no more and was sent something gets no more of this body; the rest is read and dropped.
+        // One that was sent nothing may be replaced by another, which is to get all of it: what waits is not dropped.
+        let deaf = inner.up_closed && (inner.sent_up > 0 || inner.relay.begun());
+        let dumb = deaf || inner.relay.refused();
         if dumb && !inner.relay.up.out.is_empty() {
             let octets = inner.relay.up.out.len();
             inner.relay.up.out.took(octets);
@@ -684,7 +706,8 @@
             if let Some(upstream) = upstream.filter(|_| straight > 0 && !dumb) {
                 match upstream.write(&scratch[..straight]) {
                     Ok(written) => {
-                        (at, inner.sent_up) = (written, inner.sent_up + written as u64);
+                        at = written;
+                        inner.sent(written);
                         moved.up_took += written as u64;
                         if let Err(fault) = inner.relay.passed_up(written) {
                             self.fault(inner, fault);
@@ -885,8 +908,9 @@
                     if inner.over.is_some() {
                         return;
                     }
-                    (inner.upstream, inner.failed, inner.sent_up) = (Some(socket.clone()), None, 0);
-                    (inner.up_closed, inner.up_ended) = (false, false);
+                    inner.upstream = Some(socket.clone());
+                    inner.failed = None;
+                    inner.renew_connection();
                     drop(inner);
                     match self.carry(exchange, &socket) {
                         Some(end) => end,
@@ -912,6 +936,7 @@
                     drop(inner);
                     return self.fall(exchange);
                 };
+                inner.renew_connection();
                 inner.relay.ask_rest(piece);
             } else {
                 let sent = Sent {
@@ -924,7 +949,8 @@
                     drop(inner);
                     return self.fall(exchange);
                 }
-                if inner.sent_up > 0 {
+                inner.renew_connection();
+                if sent.octets > 0 {
                     inner.relay.again();
                 }
             }
@@ -934,7 +960,7 @@
     /// No upstream is left to try: the stream ends, as one that never ran where nothing went up.
     fn fall(&self, exchange: &Exchange) {
         let inner = lock(&exchange.inner);
-        let untouched = inner.sent_up == 0 && !inner.relay.begun();
+        let untouched = !inner.ever_sent && !inner.relay.begun();
         drop(inner);
         let end = if untouched { RunEnd::Unavailable(Span::from_secs(1.0)) } else { RunEnd::Failed };
         self.with(|owner, now| owner.ended(now, &exchange.ticket, end));
--- a/crates/frontends/stream/tests/stories.rs
+++ b/crates/frontends/stream/tests/stories.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use lynxtally_test_doubles::stream::{piece, Client, Got};
+use lynxtally_test_doubles::stream::{piece, resetting, Client, Got, Saw, Upstream};
 use serde_json::json;
 use std::io::Read;
 use std::time::{Duration, Instant};
@@ -187,6 +187,67 @@
     assert_eq!(counters["abandoned"], 2, "{counters}");
 }
 
+/// An upstream breaks off in the middle of an upload whose client is still sending. The octets that it took have to be
+/// known, however its reset and our next write cross: an upload of which some went up and that may not be done twice is
+/// never sent to another upstream, nor answered as one of which nothing was done. And there is always an answer.
+#[test]
+fn an_upload_whose_client_still_sends_when_the_upstream_breaks_off_gets_its_answer() {
+    let world =
+        World::start(2, json!({"repeats": {"price": 1, "most": 500}, "leave_out": {"failures": 1000}}));
+    let body = piece(0, 100_000);
+    let rounds = 30;
+    for round in 0..rounds {
+        let at = 3_000 * (round + 1);
+        for (method, path) in [("PUT", "/break"), ("POST", "/halt")] {
+            let target = format!("{path}/{at}/{round}");
+            let mut client = world.client();
+            let head = format!("{method} {target} HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n");
+            client.send(head.as_bytes()).expect("sent");
+            for part in body.chunks(4 * 1024) {
+                // One that is answered need not take the rest.
+                if client.send(part).is_err() {
+                    break;
+                }
+            }
+            assert_eq!(client.answer(method).status, 502, "{method} {target}");
+        }
+        let tries = |what: &str| -> usize {
+            let seen = |saw: &&Saw| saw.asked.ends_with(what);
+            world.upstreams.iter().map(|upstream| upstream.saw().iter().filter(seen).count()).sum()
+        };
+        assert_eq!(tries(&format!("/break/{at}/{round}")), 2, "it may be sent again, and is");
+        assert_eq!(tries(&format!("/halt/{at}/{round}")), 1, "it may not be sent again");
+    }
+    let counters = world.leave();
+    assert_eq!(counters["abandoned"], 2 * rounds, "{counters}");
+}
+
+/// An upstream resets each connection as soon as it has taken it, as one does whose process is just being replaced. What
+/// could not be written to it goes to the other one, whole: it is not lost with the connection that never carried it.
+#[test]
+fn an_upload_that_its_first_upstream_resets_unread_arrives_whole_at_the_other() {
+    let well = Upstream::start(world::address()).expect("an upstream");
+    let mut first = well.clone();
+    first.at = resetting(world::address()).expect("an upstream");
+    let more = json!({"repeats": {"price": 1, "most": 500}, "leave_out": {"failures": 1000}});
+    let settings = world::settings(&[first, well.clone()], more);
+    let world = World::with(settings, vec![well]);
+    let body = piece(0, 100_000);
+    for round in 0..100 {
+        let got = world.client().put("/count", "", &body).expect("sent");
+        assert_eq!((got.status, &got.body[..]), (200, &b"100000 true\n"[..]), "round {round}");
+        // Where some of it was written, another upstream may not have it; nothing else may come of it.
+        let mut client = world.client();
+        let head = "POST /once HTTP/1.1\r\nHost: h\r\nContent-Length: 100000\r\n\r\n";
+        let _ = client.send(head.as_bytes()).and(client.send(&body));
+        let status = client.answer("POST").status;
+        assert!(matches!(status, 200 | 502), "round {round}: {status}");
+    }
+    let saw = world.upstreams[0].saw();
+    assert!(saw.iter().all(|saw| saw.whole && saw.right && saw.octets == 100_000), "{saw:?}");
+    world.leave();
+}
+
 #[test]
 fn one_that_no_upstream_took_is_rejected_and_nothing_of_it_was_done() {
     let world = World::start(1, json!({}));
--- a/crates/testing/test-doubles/src/stream.rs
+++ b/crates/testing/test-doubles/src/stream.rs
@@ -43,8 +43,8 @@
 
 /// An upstream. What it does stands in the path: `/bytes/N` (`/chunked/N`, `/close/N`) gives an object of N octets,
 /// `/die/N/AT` breaks off at an octet unless the rest is asked for, `/count` takes a body, `/slow/N` takes N octets
-/// every 10 ms, `/refuse/N` answers 413 after N octets, `/break/AT` breaks off after so many octets of a body,
-/// `/drip/N` gives N octets, one every 50 ms, `/text/N` gives a text, `/status/N` answers so.
+/// every 10 ms, `/refuse/N` answers 413 after N octets, `/break/AT` (`/halt/AT`) breaks off after so many octets of a
+/// body, `/drip/N` gives N octets, one every 50 ms, `/text/N` gives a text, `/status/N` answers so.
 #[derive(Clone)]
 pub struct Upstream {
     /// Where it listens.
@@ -156,6 +156,14 @@
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
+/// An upstream that resets each connection as soon as it has taken it; tells where it listens.
+pub fn resetting(at: SocketAddr) -> io::Result<SocketAddr> {
+    let listener = TcpListener::bind(at)?;
+    let at = listener.local_addr()?;
+    std::thread::spawn(move || listener.incoming().flatten().for_each(|stream| break_off(&stream)));
+    Ok(at)
+}
+
 impl Upstream {
     /// Starts one; port 0 takes a free one.
     pub fn start(at: SocketAddr) -> io::Result<Self> {
@@ -224,14 +232,14 @@
             if what_ref == "slow" {
                 std::thread::sleep(Duration::from_millis(10 * data.len() as u64 / stop_at.max(1)));
             }
-            Ok(!(matches!(what_ref, "refuse" | "break") && octets >= stop_at))
+            Ok(!(matches!(what_ref, "refuse" | "break" | "halt") && octets >= stop_at))
         };
         let whole = body(&mut from, &head, false, false, &mut take)?;
         let saw = Saw { asked: format!("{method} {target}"), octets, whole, right };
         lock(&self.inside.saw).push(saw);
         let mut to = stream;
         match what.as_str() {
-            "break" if !whole => {
+            "break" | "halt" if !whole => {
                 break_off(stream);
                 return Ok(());
             }
