--- /dev/null
+++ b/crates/core/zones/tests/stored_formats.rs
@@ -0,0 +1,142 @@
+//! What a zone's log and snapshots hold, written by the program before its types were renamed.
+//!
+//! A server that is upgraded reads what the one before it wrote, and one that is rolled back reads what the newer one
+//! wrote. So each kind of entry, the snapshot and the file of a base are read to the same values and written again octet
+//! for octet. The form has no names in it: the order of fields and of variants is the form.
+
+use lynxtally::{Instant, Span};
+use lynxtally_zones::change::Change;
+use lynxtally_zones::keeper::{
+    decode, decode_base, encode, encode_base, Entry, Keeper, Limits, Snapshot, FORM,
+};
+use lynxtally_zones::update::Refusal;
+use lynxtally_zones::zone::{Record, Zone};
+use lynxtally_zones::{Kind, Name, Serial};
+
+/// The lines of a fixture: each is the octets of one value, in hexadecimal digits.
+fn fixture(file: &str) -> Vec<Vec<u8>> {
+    let path = format!("{}/tests/fixtures/{file}", env!("CARGO_MANIFEST_DIR"));
+    let text = std::fs::read_to_string(path).expect("a fixture");
+    let octet =
+        |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("ASCII"), 16).expect("digits");
+    text.lines().map(|line| line.as_bytes().chunks(2).map(octet).collect()).collect()
+}
+
+fn name(text: &str) -> Name {
+    Name::parse(text.as_bytes(), Some(&"example.org".parse().expect("a name"))).expect("a name")
+}
+
+fn address(owner: &str, ttl: u32, last: u8) -> Record {
+    Record { name: name(owner), kind: Kind::A, ttl, data: vec![192, 0, 2, last] }
+}
+
+/// The zone's own record, of this version.
+fn start(serial: u32) -> Record {
+    let mut data = [name("ns").wire(), name("host").wire()].concat();
+    for number in [serial, 3600, 600, 86_400, 60] {
+        data.extend_from_slice(&u32::to_be_bytes(number));
+    }
+    Record { name: name("@"), kind: Kind::SOA, ttl: 300, data }
+}
+
+fn base() -> Zone {
+    let mut zone = Zone::new(name("@"));
+    let server = Record { name: name("@"), kind: Kind::NS, ttl: 300, data: name("ns").wire().to_vec() };
+    let text = Record { name: name("www"), kind: Kind::TXT, ttl: 77, data: b"\x05hello".to_vec() };
+    for record in [start(1), server, address("ns", 300, 1), address("www", 300, 2), text] {
+        zone.add(&record).expect("it fits");
+    }
+    zone
+}
+
+/// From one version to the next: an address goes and another comes.
+fn change(from: u32, gone: u8, fresh: u8) -> Change {
+    Change {
+        from: Serial(from),
+        to: Serial(from + 1),
+        removed: vec![start(from), address("www", 300, gone)],
+        added: vec![start(from + 1), address("www", 60, fresh)],
+    }
+}
+
+/// One of each kind, and of each form that a kind may take.
+fn entries() -> Vec<Entry> {
+    let held = (name("n7.pool"), Kind::A, vec![192, 0, 2, 7]);
+    vec![
+        Entry::Changed {
+            change: change(1, 2, 3),
+            mark: Some([0xa5; 16]),
+            lease: 600,
+            kept: vec![held.clone()],
+        },
+        Entry::Changed { change: change(2, 3, 4), mark: None, lease: 0, kept: vec![] },
+        Entry::Kept(vec![held]),
+        Entry::Based { base: "example.org.2.base".to_owned(), serial: Serial(9), since: change(3, 4, 5) },
+        Entry::Followed { base: "example.org.3.base".to_owned() },
+    ]
+}
+
+/// A state with something in each place, and each refusal that a repeat may be answered with.
+fn snapshot() -> Snapshot {
+    use Refusal::*;
+    let refusals =
+        [Malformed, OutOfZone, NameMissing, NameThere, SetMissing, SetThere, NotAllowed, Frozen].map(Err);
+    let results = std::iter::once(Ok(Serial(2))).chain(refusals);
+    Snapshot {
+        form: FORM,
+        base: "example.org.1.base".to_owned(),
+        overlay: change(1, 2, 3),
+        history: vec![change(0, 1, 2), change(1, 2, 3)],
+        marks: (1..).zip(results).map(|(mark, result)| ([mark; 16], result)).collect(),
+        leases: vec![(name("www"), Kind::A, vec![192, 0, 2, 3], 600)],
+    }
+}
+
+#[test]
+fn entries_of_the_log_keep_their_octets() {
+    let stored = fixture("entries.hex");
+    assert_eq!(stored.len(), entries().len());
+    for (octets, entry) in stored.iter().zip(entries()) {
+        assert_eq!(decode::<Entry>(octets).expect("an entry"), entry);
+        assert_eq!(encode(&entry), *octets, "{entry:?}");
+    }
+}
+
+#[test]
+fn the_snapshot_keeps_its_octets() {
+    let stored = fixture("snapshot.hex").remove(0);
+    assert_eq!(decode::<Snapshot>(&stored).expect("a snapshot"), snapshot());
+    assert_eq!(encode(&snapshot()), stored);
+    // The state that is restored from it is written as the same snapshot.
+    let start = Instant::from_micros(0);
+    let keeper = Keeper::restore(start, base(), snapshot(), Limits::default()).expect("it fits");
+    assert_eq!(keeper.live().serial(), Serial(2));
+    assert_eq!(encode(&keeper.snapshot()), stored);
+}
+
+#[test]
+fn the_file_of_a_base_keeps_its_octets() {
+    let stored = fixture("base.hex").remove(0);
+    let read = decode_base(&stored).expect("a base");
+    assert_eq!(read.all(), base().all());
+    assert_eq!(encode_base(&read), stored);
+}
+
+/// A server that was stopped goes on from its log: what each entry makes of the state is part of the form.
+#[test]
+fn the_log_is_replayed_to_the_same_state() {
+    let start = Instant::from_micros(0);
+    let mut keeper = Keeper::restore(start, base(), snapshot(), Limits::default()).expect("it fits");
+    let mut log = vec![
+        Entry::Changed { change: change(2, 3, 4), mark: Some([0xa5; 16]), lease: 600, kept: vec![] },
+        Entry::Kept(vec![(name("www"), Kind::A, vec![192, 0, 2, 4])]),
+    ];
+    for entry in log.drain(..) {
+        let octets = encode(&entry);
+        keeper.replay(start, decode(&octets).expect("an entry"), |_| None).expect("it fits");
+    }
+    assert_eq!(encode(&keeper.snapshot()), fixture("replayed.hex").remove(0));
+    let first = fixture("entries.hex").remove(0);
+    let misfit = keeper.replay(start + Span::from_millis(1), decode(&first).expect("an entry"), |_| None);
+    assert!(misfit.is_err(), "an entry of another version is not put on");
+}
