--- a/crates/core/coordination/src/budgets/holding.rs
+++ b/crates/core/coordination/src/budgets/holding.rs
@@ -2,7 +2,7 @@
 
 use crate::time::micros;
 use lynxtally::Instant;
-use lynxtally_messages::Want;
+use lynxtally_messages::BudgetReport;
 use serde::{Deserialize, Serialize};
 
 /// A grant that may still be in use.
@@ -48,11 +48,11 @@
 
     /// The holder tells which grant is in force there, and what is in use. Once that fits under this grant it
     /// goes on fitting, as nothing is begun beyond it: what was given before is not in use any more.
-    pub fn reported(&mut self, want: &Want) {
+    pub fn reported(&mut self, want: &BudgetReport) {
         // Where that grant itself is not kept any more, a later one covers it.
-        let adopted = self.given.iter().find(|given| given.version >= want.adopted);
+        let adopted = self.given.iter().find(|given| given.version >= want.lease_version);
         if adopted.is_some_and(|given| want.in_use <= given.amount) {
-            self.given.retain(|given| given.version >= want.adopted);
+            self.given.retain(|given| given.version >= want.lease_version);
         }
     }
 
--- a/crates/core/coordination/src/budgets/mod.rs
+++ b/crates/core/coordination/src/budgets/mod.rs
@@ -12,7 +12,7 @@
 use crate::time::{drifted, micros};
 use holding::Holding;
 use lynxtally::{Instant, Span};
-use lynxtally_messages::{Grant, Terms, Want};
+use lynxtally_messages::{BudgetReport, BudgetTerms, Lease};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use turns::Turns;
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Division {
     /// Its terms.
-    pub terms: Terms,
+    pub terms: BudgetTerms,
     /// What may be in use at most, over all nodes.
     pub counted: u64,
     /// What is not counted for anybody.
@@ -38,7 +38,7 @@
 /// One budget.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub(crate) struct Budget {
-    terms: Terms,
+    terms: BudgetTerms,
     holdings: BTreeMap<u64, Holding>,
     /// The sum of what is counted for each.
     counted: u64,
@@ -55,7 +55,7 @@
 }
 
 impl Budget {
-    pub fn new(terms: Terms, now: Instant) -> Self {
+    pub fn new(terms: BudgetTerms, now: Instant) -> Self {
         Self {
             terms,
             holdings: BTreeMap::new(),
@@ -68,7 +68,7 @@
 
     /// Other terms. A smaller whole comes into force as grants end; a longer span or another drift counts from
     /// the next grant on.
-    pub fn change(&mut self, now: Instant, terms: Terms) -> Result<(), String> {
+    pub fn change(&mut self, now: Instant, terms: BudgetTerms) -> Result<(), String> {
         if terms.kind != self.terms.kind {
             return Err("`what.budget.terms.kind` can't be changed".to_owned());
         }
@@ -78,13 +78,13 @@
     }
 
     fn free(&self) -> u64 {
-        self.terms.whole.saturating_sub(self.counted)
+        self.terms.capacity.saturating_sub(self.counted)
     }
 
     /// What only a first share is taken from.
     fn kept_back(&self) -> u64 {
         // The whole is at most 2^40 and the part at most a thousand.
-        self.terms.whole * self.terms.kept_back / 1000
+        self.terms.capacity * self.terms.newcomer_reserve_permille / 1000
     }
 
     pub fn division(&self) -> Division {
@@ -92,7 +92,7 @@
             terms: self.terms,
             counted: self.counted,
             free: self.free(),
-            in_force: self.counted <= self.terms.whole,
+            in_force: self.counted <= self.terms.capacity,
             holders: self.holdings.values().filter(|holding| holding.counted() > 0).count(),
         }
     }
@@ -116,11 +116,11 @@
     }
 
     /// A holder reports, and asks. `version` is greater than that of all grants before.
-    pub fn ask(&mut self, now: Instant, version: u64, incarnation: u64, want: &Want) -> Grant {
+    pub fn ask(&mut self, now: Instant, version: u64, incarnation: u64, want: &BudgetReport) -> Lease {
         self.holdings.entry(incarnation).or_default();
         self.with(incarnation, |holding| {
             holding.reported(want);
-            holding.need = want.need;
+            holding.need = want.demand_milliunits;
             holding.suspect = false;
         });
         let counted = self.counted(incarnation);
@@ -129,11 +129,16 @@
         let first = self.holdings.get(&incarnation).is_some_and(|holding| holding.target.is_none());
         let kept = if first { 0 } else { self.kept_back() };
         let amount = target.min(counted + self.free().saturating_sub(kept));
-        let Terms { span_us, drift, margin_us, .. } = self.terms;
-        let whole_span = Span::from_micros(span_us.saturating_add(want.tail_us));
+        let BudgetTerms {
+            lease_duration_us: span_us,
+            max_clock_drift_ppm: drift,
+            pause_margin_us: margin_us,
+            ..
+        } = self.terms;
+        let whole_span = Span::from_micros(span_us.saturating_add(want.max_in_flight_us));
         let end = now + drifted(whole_span, drift) + Span::from_micros(margin_us);
         self.with(incarnation, |holding| holding.give(version, amount, end));
-        Grant { budget: want.budget.clone(), version, amount, span_us }
+        Lease { budget: want.budget.clone(), version, amount, duration_us: span_us }
     }
 
     /// What a holder should have.
@@ -143,21 +148,21 @@
         };
         // Any division gives a need this much at least, so what was not needed yet at the last one may be had now.
         let there = self.holdings.values().filter(|other| !other.muted && !other.suspect).count();
-        let fair = self.terms.whole / there.max(1) as u64;
+        let fair = self.terms.capacity / there.max(1) as u64;
         let at_once = holding.need.div_ceil(division::UNIT).min(fair);
         match holding.target {
             Some(target) => (target + u64::from(self.turns.has(incarnation))).max(at_once),
             // A newcomer has one unit at least, to begin with.
-            None => at_once.max(self.terms.floor).max(1),
+            None => at_once.max(self.terms.min_per_node).max(1),
         }
     }
 
     /// Divides what there is anew. The floor is part of the need, so it is met as far as it goes round.
     pub fn divide(&mut self, now: Instant) {
-        let floor = self.terms.floor * division::UNIT;
+        let floor = self.terms.min_per_node * division::UNIT;
         let there = |holding: &&mut Holding| !holding.muted && !holding.suspect;
         let needs: Vec<u64> = self.holdings.values_mut().filter(there).map(|h| h.need.max(floor)).collect();
-        let whole = self.terms.whole.saturating_sub(self.kept_back());
+        let whole = self.terms.capacity.saturating_sub(self.kept_back());
         let wants = division::wants(whole, &needs);
         let units: u64 = wants.iter().map(|want| want / division::UNIT).sum();
         let mut lacking = BTreeMap::new();
@@ -168,7 +173,7 @@
                 lacking.insert(*incarnation, want % division::UNIT);
             }
         }
-        self.turns.turn(now, Span::from_micros(self.terms.span_us), &lacking, whole - units);
+        self.turns.turn(now, Span::from_micros(self.terms.lease_duration_us), &lacking, whole - units);
     }
 
     /// The leader hears nothing of a holder, or hears it again. It goes on being counted; only what it needs is
--- a/crates/core/coordination/src/command.rs
+++ b/crates/core/coordination/src/command.rs
@@ -3,7 +3,7 @@
 use crate::snapshot::Digest;
 use crate::time::micros;
 use lynxtally::Instant;
-use lynxtally_messages::{Order, Outcome, Reply, Say};
+use lynxtally_messages::{AdminRequest, AdminResponse, NodeRequest, NodeResponse};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -41,9 +41,9 @@
         had: BTreeMap<u64, u64>,
     },
     /// A node spoke.
-    Say(Say),
+    Say(NodeRequest),
     /// An operator ordered something.
-    Order(Order),
+    Order(AdminRequest),
     /// The leader hears nothing of a process, or hears it again.
     Suspect {
         /// Which.
@@ -68,9 +68,9 @@
     /// Nothing is owed to anybody.
     Nothing,
     /// To a node.
-    Reply(Reply),
+    Reply(NodeResponse),
     /// To an operator.
-    Outcome(Outcome),
+    Outcome(AdminResponse),
     /// The stamp was not of the entry's term, and nothing was applied: it has to be stamped and written again.
     Again,
     /// The digest here.
--- a/crates/core/coordination/src/lib.rs
+++ b/crates/core/coordination/src/lib.rs
@@ -30,7 +30,10 @@
 
 use budgets::{Budget, Division};
 use lynxtally::Instant;
-use lynxtally_messages::{Document, Granted, Id, Order, OrderWhat, Outcome, Refusal, Reply, Say};
+use lynxtally_messages::{
+    AdminAction, AdminRequest, AdminResponse, Document, IdempotencyKey, LeaseUpdate, NodeRequest,
+    NodeResponse, Rejection,
+};
 use members::Members;
 use orders::Orders;
 use schemas::Schemas;
@@ -107,23 +110,23 @@
         self.budgets.values_mut().for_each(|budget| budget.lapse(now));
     }
 
-    fn say(&mut self, now: Instant, say: &Say) -> Reply {
+    fn say(&mut self, now: Instant, say: &NodeRequest) -> NodeResponse {
         if say.incarnation == 0 {
             return match self.members.ask(now, self.number, say) {
-                Some(incarnation) => Reply::Granted(Granted {
+                Some(incarnation) => NodeResponse::Accepted(LeaseUpdate {
                     incarnation,
-                    number: say.number,
-                    grants: Vec::new(),
-                    reserves: Vec::new(),
+                    sequence: say.sequence,
+                    leases: Vec::new(),
+                    reservations: Vec::new(),
                     document: None,
-                    unreadable: None,
+                    unreadable_reason: None,
                 }),
-                None => Reply::Refused(Refusal::Full),
+                None => NodeResponse::Rejected(Rejection::TooManyJoining),
             };
         }
         match self.members.hear(now, say) {
             members::Heard::Again(reply) => reply,
-            members::Heard::Refused(refusal) => Reply::Refused(refusal),
+            members::Heard::Refused(refusal) => NodeResponse::Rejected(refusal),
             members::Heard::New { replaced } => {
                 if let Some(former) = replaced {
                     // It may still be using what it has, but it shall get no more.
@@ -137,81 +140,81 @@
         }
     }
 
-    fn grant(&mut self, now: Instant, say: &Say) -> Reply {
+    fn grant(&mut self, now: Instant, say: &NodeRequest) -> NodeResponse {
         let (mut grants, mut reserves) = (Vec::new(), Vec::new());
-        if say.over {
+        if say.ends_session {
             for (name, wallet) in &mut self.wallets {
-                wallet.over(say.incarnation, say.purses.iter().find(|purse| purse.wallet == *name));
+                wallet.over(say.incarnation, say.wallets.iter().find(|purse| purse.wallet == *name));
             }
             for budget in self.budgets.values_mut() {
                 budget.over(say.incarnation);
             }
             self.members.over(say.incarnation);
         } else {
-            for want in &say.wants {
+            for want in &say.budgets {
                 if let Some(budget) = self.budgets.get_mut(&want.budget) {
                     grants.push(budget.ask(now, self.number, say.incarnation, want));
                 }
             }
         }
-        for purse in say.purses.iter().filter(|_| !say.over) {
+        for purse in say.wallets.iter().filter(|_| !say.ends_session) {
             if let Some(wallet) = self.wallets.get_mut(&purse.wallet) {
                 reserves.push(wallet.ask(now, self.number, say.incarnation, purse));
             }
         }
         let (document, unreadable) = self.document(say);
-        Reply::Granted(Granted {
+        NodeResponse::Accepted(LeaseUpdate {
             incarnation: say.incarnation,
-            number: say.number,
-            grants,
-            reserves,
+            sequence: say.sequence,
+            leases: grants,
+            reservations: reserves,
             document,
-            unreadable,
+            unreadable_reason: unreadable,
         })
     }
 
     /// The route document that a reader is to have, where that is another than it has, or that it can read none.
-    fn document(&self, say: &Say) -> (Option<Document>, Option<String>) {
-        let (Some(applied), Some(number)) = (&say.applied, self.schemas.number()) else {
+    fn document(&self, say: &NodeRequest) -> (Option<Document>, Option<String>) {
+        let (Some(applied), Some(number)) = (&say.applied_document, self.schemas.number()) else {
             return (None, None);
         };
-        match self.schemas.document(&say.schemas) {
-            Some(document) if (document.number, document.version) == (applied.number, applied.version) => {
+        match self.schemas.document(&say.schema_versions) {
+            Some(document) if (document.index, document.version) == (applied.index, applied.version) => {
                 (None, None)
             }
             Some(document) => (Some(document), None),
             None => {
-                let read: Vec<String> = say.schemas.iter().map(ToString::to_string).collect();
+                let read: Vec<String> = say.schema_versions.iter().map(ToString::to_string).collect();
                 let why = format!("document {number} can't be had in the versions {}", read.join(", "));
                 (None, Some(why))
             }
         }
     }
 
-    fn order(&mut self, now: Instant, order: &Order) -> Outcome {
-        let Order { id, what } = order;
+    fn order(&mut self, now: Instant, order: &AdminRequest) -> AdminResponse {
+        let AdminRequest { key: id, action: what } = order;
         if let Some(outcome) = self.orders.known(id) {
             return outcome;
         }
         let outcome = match what {
-            OrderWhat::Budget { name, .. }
+            AdminAction::SetBudget { name, .. }
                 if self.budgets.len() >= budgets::MOST && !self.budgets.contains_key(name) =>
             {
                 Err(format!("`what.budget.name` {name}: there are {} budgets already", budgets::MOST))
             }
-            OrderWhat::Budget { name, terms } => match self.budgets.get_mut(name) {
+            AdminAction::SetBudget { name, terms } => match self.budgets.get_mut(name) {
                 Some(budget) => budget.change(now, *terms).map_err(|why| format!("{why} of {name}")),
                 None => {
                     self.budgets.insert(name.clone(), Budget::new(*terms, now));
                     Ok(())
                 }
             },
-            OrderWhat::Wallet { name, .. }
+            AdminAction::SetWallet { name, .. }
                 if self.wallets.len() >= wallets::MOST && !self.wallets.contains_key(name) =>
             {
                 Err(format!("`what.wallet.name` {name}: there are {} wallets already", wallets::MOST))
             }
-            OrderWhat::Wallet { name, terms } => match self.wallets.get_mut(name) {
+            AdminAction::SetWallet { name, terms } => match self.wallets.get_mut(name) {
                 Some(wallet) => {
                     wallet.terms = terms.clone();
                     Ok(())
@@ -221,19 +224,19 @@
                     Ok(())
                 }
             },
-            OrderWhat::TopUp { wallet, units } => match self.wallets.get_mut(wallet) {
+            AdminAction::TopUp { wallet, units } => match self.wallets.get_mut(wallet) {
                 Some(own) => own.top_up(*units).map_err(|why| format!("`what.top_up.units` {why}")),
                 None => Err(format!("`what.top_up.wallet` {wallet}: there is none of this name")),
             },
-            OrderWhat::Correct { wallet, units } => match self.wallets.get_mut(wallet) {
+            AdminAction::Withdraw { wallet, units } => match self.wallets.get_mut(wallet) {
                 Some(own) => own.correct(*units).map_err(|why| format!("`what.correct.units` {why}")),
                 None => Err(format!("`what.correct.wallet` {wallet}: there is none of this name")),
             },
-            OrderWhat::Schema { schema } => self.schemas.propose(schema, &self.members.readers()),
-            OrderWhat::Document { version, body } => {
+            AdminAction::ProposeSchema { schema } => self.schemas.propose(schema, &self.members.readers()),
+            AdminAction::PublishDocument { version, body } => {
                 self.schemas.publish(self.number, *version, body, &self.members.readers())
             }
-            OrderWhat::Over { incarnation } => {
+            AdminAction::EndIncarnation { incarnation } => {
                 let known = self.members.over(*incarnation)
                     | self.budgets.values_mut().fold(false, |any, budget| budget.over(*incarnation) | any);
                 let why = || format!("`what.over.incarnation` {incarnation}: holds nothing and is not there");
@@ -241,8 +244,8 @@
             }
         };
         let outcome = match outcome {
-            Ok(()) => Outcome::Done { number: self.number },
-            Err(why) => Outcome::Refused(Refusal::Wrong { why }),
+            Ok(()) => AdminResponse::Applied { index: self.number },
+            Err(why) => AdminResponse::Rejected(Rejection::Invalid { reason: why }),
         };
         self.orders.remember(id, self.number, outcome.clone());
         outcome
@@ -289,7 +292,7 @@
     }
 
     /// Whether an order with this id was carried out or refused before.
-    pub fn knows(&self, id: &Id) -> bool {
+    pub fn knows(&self, id: &IdempotencyKey) -> bool {
         self.orders.known(id).is_some()
     }
 
--- a/crates/core/coordination/src/members/mod.rs
+++ b/crates/core/coordination/src/members/mod.rs
@@ -6,7 +6,7 @@
 use crate::time::micros;
 use asking::Asking;
 use lynxtally::{Instant, Span};
-use lynxtally_messages::{Applied, Refusal, Reply, Say};
+use lynxtally_messages::{AppliedDocument, NodeRequest, NodeResponse, Rejection};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -23,11 +23,11 @@
     #[serde(with = "micros")]
     pub heard: Instant,
     /// The route document that it has applied.
-    pub applied: Option<Applied>,
+    pub applied: Option<AppliedDocument>,
     /// Whether the leader hears nothing of it.
     pub suspect: bool,
     /// The last message that was applied, and what was said to it.
-    last: (u64, Option<Reply>),
+    last: (u64, Option<NodeResponse>),
 }
 
 /// The processes that are there. One is there until it says that it is over, another takes its name, or it has
@@ -44,9 +44,9 @@
 /// What a message is.
 pub(crate) enum Heard {
     /// One that was applied before, with what was said then.
-    Again(Reply),
+    Again(NodeResponse),
     /// One that can't be applied.
-    Refused(Refusal),
+    Refused(Rejection),
     /// A new one; perhaps the first of a life that takes the name from another.
     New {
         /// The one that had it.
@@ -59,28 +59,30 @@
 
 impl Members {
     /// A process asks for an incarnation; none where too many ask at once.
-    pub fn ask(&mut self, now: Instant, number: u64, say: &Say) -> Option<u64> {
-        let incarnation = self.asking.ask(now, number, &say.name, say.number)?;
+    pub fn ask(&mut self, now: Instant, number: u64, say: &NodeRequest) -> Option<u64> {
+        let incarnation = self.asking.ask(now, number, &say.name, say.sequence)?;
         self.given = self.given.max(incarnation);
         Some(incarnation)
     }
 
     /// A process speaks under its incarnation.
-    pub fn hear(&mut self, now: Instant, say: &Say) -> Heard {
+    pub fn hear(&mut self, now: Instant, say: &NodeRequest) -> Heard {
         if let Some(member) = self.all.get_mut(&say.incarnation) {
             let (number, reply) = &member.last;
-            return match (say.number.cmp(number), reply) {
+            return match (say.sequence.cmp(number), reply) {
                 (std::cmp::Ordering::Equal, Some(reply)) => Heard::Again(reply.clone()),
                 (std::cmp::Ordering::Greater, _) => {
                     member.take(now, say);
                     Heard::New { replaced: None }
                 }
-                _ => Heard::Refused(Refusal::Old),
+                _ => Heard::Refused(Rejection::OutOfOrder),
             };
         }
         match self.by_name.get(&say.name) {
-            Some(own) if *own > say.incarnation => return Heard::Refused(Refusal::Replaced),
-            _ if !self.asking.take(say.incarnation, &say.name) => return Heard::Refused(Refusal::Unknown),
+            Some(own) if *own > say.incarnation => return Heard::Refused(Rejection::Replaced),
+            _ if !self.asking.take(say.incarnation, &say.name) => {
+                return Heard::Refused(Rejection::UnknownIncarnation)
+            }
             _ => {}
         }
         let mut member = Standing {
@@ -102,9 +104,9 @@
     }
 
     /// What was said to a new message.
-    pub fn replied(&mut self, say: &Say, reply: Reply) {
+    pub fn replied(&mut self, say: &NodeRequest, reply: NodeResponse) {
         if let Some(member) = self.all.get_mut(&say.incarnation) {
-            member.last = (say.number, Some(reply));
+            member.last = (say.sequence, Some(reply));
         }
     }
 
@@ -146,10 +148,10 @@
 }
 
 impl Standing {
-    fn take(&mut self, now: Instant, say: &Say) {
+    fn take(&mut self, now: Instant, say: &NodeRequest) {
         (self.heard, self.suspect) = (now, false);
-        self.program.clone_from(&say.program);
-        self.schemas.clone_from(&say.schemas);
-        self.applied.clone_from(&say.applied);
+        self.program.clone_from(&say.program_version);
+        self.schemas.clone_from(&say.schema_versions);
+        self.applied.clone_from(&say.applied_document);
     }
 }
--- a/crates/core/coordination/src/schemas/mod.rs
+++ b/crates/core/coordination/src/schemas/mod.rs
@@ -168,7 +168,7 @@
                 render(&newer.fields, &older.fields, &written.body)
             };
             match body {
-                Ok(body) => return Ok(Document { number: written.number, version, body }),
+                Ok(body) => return Ok(Document { index: written.number, version, body }),
                 Err(fault) => why = format!("version {version}: {fault}"),
             }
         }
--- a/crates/core/coordination/src/schemas/reading.rs
+++ b/crates/core/coordination/src/schemas/reading.rs
@@ -30,7 +30,7 @@
 }
 
 fn whole(at: &str, field: &Field, value: &Value) -> Result<Value, String> {
-    if !field.list {
+    if !field.is_list {
         return one(at, &field.kind, value);
     }
     let Some(all) = value.as_array() else { return Err(format!("`{at}` is no list")) };
@@ -40,16 +40,20 @@
 
 fn one(at: &str, kind: &FieldKind, value: &Value) -> Result<Value, String> {
     let fits = match kind {
-        FieldKind::Whole { least, most } => value.as_i64().is_some_and(|n| (*least..=*most).contains(&n)),
-        FieldKind::Text { longest } => value.as_str().is_some_and(|text| text.len() <= *longest as usize),
-        FieldKind::Flag {} => value.is_boolean(),
-        FieldKind::OneOf { names } => {
+        FieldKind::Integer { min: least, max: most } => {
+            value.as_i64().is_some_and(|n| (*least..=*most).contains(&n))
+        }
+        FieldKind::Text { max_bytes: longest } => {
+            value.as_str().is_some_and(|text| text.len() <= *longest as usize)
+        }
+        FieldKind::Boolean {} => value.is_boolean(),
+        FieldKind::Enumeration { names } => {
             value.as_str().is_some_and(|text| names.iter().any(|name| name == text))
         }
         FieldKind::Record { fields } => return record(&format!("{at}."), fields, value),
     };
     fits.then(|| value.clone())
-        .ok_or_else(|| format!("`{at}` is {value}, which its kind {kind:?} does not allow"))
+        .ok_or_else(|| format!("`{at}` is {value}, which its kind {kind} does not allow"))
 }
 
 /// Writes a document of the newer schema for a reader of the older one, so that what both know comes out equal.
@@ -94,7 +98,7 @@
 }
 
 fn field_down(at: &str, new: &Field, old: &Field, value: &Value) -> Result<Value, String> {
-    let value = match (new.list, old.list) {
+    let value = match (new.is_list, old.is_list) {
         (false, true) => Value::Array(vec![value.clone()]),
         (true, false) => match value.as_array().map(Vec::as_slice) {
             Some([one]) => one.clone(),
--- a/crates/core/coordination/src/schemas/rules.rs
+++ b/crates/core/coordination/src/schemas/rules.rs
@@ -44,13 +44,13 @@
 
 /// The field of the newer schema that stands for one of the older.
 pub(super) fn successor<'a>(newer: &'a Fields, name: &str) -> Option<(&'a String, &'a Field)> {
-    let renamed = || newer.iter().find(|(_, field)| field.was.as_deref() == Some(name));
+    let renamed = || newer.iter().find(|(_, field)| field.renamed_from.as_deref() == Some(name));
     newer.get_key_value(name).or_else(renamed)
 }
 
 /// Whether a field of the newer schema stands for one that the older knows.
 pub(super) fn is_known(older: &Fields, name: &str, field: &Field) -> bool {
-    older.contains_key(name) || field.was.as_ref().is_some_and(|was| older.contains_key(was))
+    older.contains_key(name) || field.renamed_from.as_ref().is_some_and(|was| older.contains_key(was))
 }
 
 /// Compares two schemas.
@@ -92,7 +92,7 @@
 }
 
 fn one(at: &str, new: &Field, old: &Field, verdict: &mut Verdict) {
-    match (new.list, old.list) {
+    match (new.is_list, old.is_list) {
         (true, false) => verdict.cannot(at, "single, now a list"),
         (false, true) => verdict.lost(at, "a list, now single: written as a list of one"),
         _ => {}
@@ -109,23 +109,23 @@
         }
     }
     match (&new.kind, &old.kind) {
-        (FieldKind::Whole { least, most }, FieldKind::Whole { least: from, most: to }) => {
+        (FieldKind::Integer { min: least, max: most }, FieldKind::Integer { min: from, max: to }) => {
             if least < from || most > to {
                 verdict.cannot(at, &format!("range {least} to {most}, was {from} to {to}: widened"));
             }
         }
-        (FieldKind::Text { longest }, FieldKind::Text { longest: before }) => {
+        (FieldKind::Text { max_bytes: longest }, FieldKind::Text { max_bytes: before }) => {
             if longest > before {
                 verdict.cannot(at, &format!("length {longest}, was {before}: widened"));
             }
         }
-        (FieldKind::Flag {}, FieldKind::Flag {}) => {}
-        (FieldKind::OneOf { names }, FieldKind::OneOf { names: before }) => {
+        (FieldKind::Boolean {}, FieldKind::Boolean {}) => {}
+        (FieldKind::Enumeration { names }, FieldKind::Enumeration { names: before }) => {
             if let Some(name) = names.iter().find(|name| !before.contains(name)) {
                 verdict.cannot(at, &format!("`{name}` was added to its names: widened"));
             }
         }
-        (FieldKind::OneOf { names }, FieldKind::Text { longest }) => {
+        (FieldKind::Enumeration { names }, FieldKind::Text { max_bytes: longest }) => {
             if let Some(name) = names.iter().find(|name| name.len() > *longest as usize) {
                 verdict.cannot(at, &format!("`{name}` is longer than {longest}"));
             }
@@ -140,7 +140,7 @@
 /// Whether leaving the field out means the same to both.
 fn same_default(new: &Field, old: &Field) -> bool {
     match (&new.default, &old.default) {
-        (Some(new_value), Some(old_value)) if new.list != old.list => {
+        (Some(new_value), Some(old_value)) if new.is_list != old.is_list => {
             new_value == old_value
                 || old_value.as_array().is_some_and(|all| all.as_slice() == [new_value.clone()])
         }
--- a/crates/core/coordination/src/wallets/account.rs
+++ b/crates/core/coordination/src/wallets/account.rs
@@ -2,7 +2,7 @@
 
 use crate::time::micros;
 use lynxtally::Instant;
-use lynxtally_messages::Purse;
+use lynxtally_messages::WalletReport;
 use serde::{Deserialize, Serialize};
 
 /// One process's reservation. All amounts only grow.
@@ -51,11 +51,11 @@
     }
 
     /// How much of what it has it may keep: what it wants. The rest lies idle and is called back.
-    pub fn keep(&self, purse: &Purse) -> u64 {
+    pub fn keep(&self, purse: &WalletReport) -> u64 {
         if self.muted {
             0
         } else {
-            purse.want.min(self.left())
+            purse.demand.min(self.left())
         }
     }
 }
--- a/crates/core/coordination/src/wallets/mod.rs
+++ b/crates/core/coordination/src/wallets/mod.rs
@@ -11,7 +11,7 @@
 use crate::time::drifted;
 use account::Account;
 use lynxtally::{Instant, Span};
-use lynxtally_messages::{Doubt, Purse, Reserve, WalletTerms};
+use lynxtally_messages::{InDoubtPolicy, Reservation, WalletReport, WalletTerms};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -69,7 +69,7 @@
 
     /// Units are bought.
     pub fn top_up(&mut self, units: u64) -> Result<(), String> {
-        let sum = self.books.bought.checked_add(units).filter(|sum| *sum <= lynxtally_messages::UNITS_MOST);
+        let sum = self.books.bought.checked_add(units).filter(|sum| *sum <= lynxtally_messages::MAX_UNITS);
         let bought = sum.ok_or_else(|| format!("has {} already", self.books.bought))?;
         self.books.bought = bought;
         self.books.balance += units;
@@ -85,7 +85,7 @@
     }
 
     /// A node accounts for what it charged, gives back, and asks for more. `number` is that of the log.
-    pub fn ask(&mut self, now: Instant, number: u64, incarnation: u64, purse: &Purse) -> Reserve {
+    pub fn ask(&mut self, now: Instant, number: u64, incarnation: u64, purse: &WalletReport) -> Reservation {
         let own = self.accounts.get(&purse.account).filter(|own| own.incarnation == incarnation);
         let known = own.is_some_and(|own| !own.settled);
         if let Some(settled) = own.filter(|own| own.settled) {
@@ -103,9 +103,9 @@
         let size = self.size(at, purse);
         let Terms { span_us, drift, margin_us } = Terms::of(&self.terms);
         let end = now
-            + drifted(Span::from_micros(span_us.saturating_add(purse.tail_us)), drift)
+            + drifted(Span::from_micros(span_us.saturating_add(purse.max_in_flight_us)), drift)
             + Span::from_micros(margin_us);
-        let Some(account) = self.accounts.get_mut(&at) else { return Reserve::default() };
+        let Some(account) = self.accounts.get_mut(&at) else { return Reservation::default() };
         if account.doubt.take().is_some() {
             // It is back before its doubt was settled: what it holds is with a node again.
             self.books.in_doubt -= account.left();
@@ -114,13 +114,13 @@
         account.give(size, end);
         self.books.balance -= size;
         self.books.reserved += size;
-        Reserve {
+        Reservation {
             wallet: purse.wallet.clone(),
             account: at,
-            given: account.given,
-            keep: account.keep(purse),
-            span_us,
-            empty: self.books.balance == 0,
+            granted: account.given,
+            retain: account.keep(purse),
+            duration_us: span_us,
+            exhausted: self.books.balance == 0,
             prices: self.terms.prices.clone(),
         }
     }
@@ -140,7 +140,7 @@
 
     /// How much more a node gets: what it wants, but of the balance no more than a part, shared by all; and where
     /// that is less than one task, one task's while there is any.
-    fn size(&self, at: u64, purse: &Purse) -> u64 {
+    fn size(&self, at: u64, purse: &WalletReport) -> u64 {
         let Some(account) = self.accounts.get(&at).filter(|account| !account.muted) else { return 0 };
         let there =
             self.accounts.values().filter(|other| other.doubt.is_none() && !other.settled).count().max(1)
@@ -148,12 +148,12 @@
         let part = self.books.balance / AT_ONCE / there;
         let dearest = self.terms.prices.values().copied().max().unwrap_or(1);
         let most = part.max(dearest).min(self.books.balance);
-        purse.want.saturating_sub(account.left()).min(most)
+        purse.demand.saturating_sub(account.left()).min(most)
     }
 
     /// The balance, and what lies idle, can't cover anything more.
     pub fn tick(&mut self, now: Instant) {
-        let doubt = Span::from_micros(self.terms.doubt_us);
+        let doubt = Span::from_micros(self.terms.in_doubt_timeout_us);
         let numbers: Vec<u64> = self.accounts.keys().copied().collect();
         for at in numbers.iter().copied() {
             let Some(account) = self.accounts.get_mut(&at) else { continue };
@@ -182,9 +182,9 @@
         let Some(account) = self.accounts.get_mut(&at) else { return };
         let left = account.settle();
         self.books.in_doubt -= left;
-        match self.terms.doubt {
-            Doubt::Return => self.books.balance += left,
-            Doubt::Charge => {
+        match self.terms.in_doubt_policy {
+            InDoubtPolicy::Return => self.books.balance += left,
+            InDoubtPolicy::Charge => {
                 self.books.charged += left;
                 self.books.charged_for_doubt += left;
             }
@@ -192,7 +192,7 @@
     }
 
     /// A process says that it is over, with its last account: what it did not charge is free.
-    pub fn over(&mut self, incarnation: u64, purse: Option<&Purse>) {
+    pub fn over(&mut self, incarnation: u64, purse: Option<&WalletReport>) {
         if let Some(purse) = purse {
             let own = self.accounts.get(&purse.account).filter(|own| !own.settled);
             if own.is_some_and(|own| own.incarnation == incarnation) {
@@ -226,6 +226,10 @@
 
 impl Terms {
     fn of(terms: &WalletTerms) -> Self {
-        Self { span_us: terms.span_us, drift: terms.drift, margin_us: terms.margin_us }
+        Self {
+            span_us: terms.reservation_duration_us,
+            drift: terms.max_clock_drift_ppm,
+            margin_us: terms.pause_margin_us,
+        }
     }
 }
--- a/crates/core/lease-client/src/lib.rs
+++ b/crates/core/lease-client/src/lib.rs
@@ -16,7 +16,7 @@
 mod talk;
 
 use lynxtally::{Instant, Pcg, Span};
-use lynxtally_messages::{Applied, Document, Granted, Refusal, Reply, Say};
+use lynxtally_messages::{AppliedDocument, Document, LeaseUpdate, NodeRequest, NodeResponse, Rejection};
 use purse::Purse;
 use share::Share;
 use talk::Talk;
@@ -81,7 +81,7 @@
     /// By what its end is known.
     pub token: u64,
     /// The message.
-    pub say: Say,
+    pub say: NodeRequest,
 }
 
 /// What the host hears.
@@ -108,7 +108,7 @@
     /// Another process has this name: this one has no part in anything any more.
     Replaced,
     /// A keeper refused a message; nothing was applied.
-    Refused(Refusal),
+    Refused(Rejection),
 }
 
 /// How it stands with the register.
@@ -141,7 +141,7 @@
     purses: Vec<Purse>,
     talk: Talk,
     /// The route document that the host has applied.
-    applied: Applied,
+    applied: AppliedDocument,
     /// How long a reservation lasts.
     reserved: Option<Span>,
     /// When the next message is due, unless one is under way.
@@ -168,7 +168,7 @@
             purses,
             talk,
             reserved: None,
-            applied: Applied { number: 0, version: 0 },
+            applied: AppliedDocument { index: 0, version: 0 },
             due: now,
             events,
             leaving: false,
@@ -239,7 +239,7 @@
 
     /// The host has applied a route document.
     pub fn applied(&mut self, number: u64, version: u32) {
-        self.applied = Applied { number, version };
+        self.applied = AppliedDocument { index: number, version };
     }
 
     /// Nothing more is begun. Once nothing is in use the register is told so.
@@ -297,37 +297,37 @@
         Some(Outgoing { keeper, token, say })
     }
 
-    fn say(&mut self) -> Say {
+    fn say(&mut self) -> NodeRequest {
         let over = self.often() * (1.0 / AGAIN);
         let Settings { name, program, schemas, budgets, wallets, .. } = &self.settings;
-        let mut say = Say {
+        let mut say = NodeRequest {
             name: name.clone(),
             incarnation: 0,
-            number: 0,
-            program: program.clone(),
-            schemas: schemas.clone(),
-            wants: Vec::new(),
-            purses: Vec::new(),
-            applied: (!schemas.is_empty()).then(|| self.applied.clone()),
-            over: false,
+            sequence: 0,
+            program_version: program.clone(),
+            schema_versions: schemas.clone(),
+            budgets: Vec::new(),
+            wallets: Vec::new(),
+            applied_document: (!schemas.is_empty()).then(|| self.applied.clone()),
+            ends_session: false,
         };
         match self.life {
-            Life::Asking(drawn) => say.number = drawn,
+            Life::Asking(drawn) => say.sequence = drawn,
             Life::There(incarnation) | Life::Leaving(incarnation) => {
-                (say.incarnation, say.number) = (incarnation, self.talk.next_number());
-                say.over = self.leaving
+                (say.incarnation, say.sequence) = (incarnation, self.talk.next_number());
+                say.ends_session = self.leaving
                     && self.shares.iter().all(|share| share.in_use() == 0)
                     && self.purses.iter().all(|purse| purse.held() == 0);
                 let purse = |(purse, asked): (&mut Purse, &AskedWallet)| {
                     purse.tell(self.now, over, asked, self.leaving)
                 };
-                say.purses = self.purses.iter_mut().zip(wallets).map(purse).collect();
-                if say.over {
+                say.wallets = self.purses.iter_mut().zip(wallets).map(purse).collect();
+                if say.ends_session {
                     self.life = Life::Leaving(incarnation);
                 } else {
                     let (now, over, leaving) = (self.now, over, self.leaving);
                     let want = |(share, asked): (&mut Share, &Asked)| share.want(now, over, asked, leaving);
-                    say.wants = self.shares.iter_mut().zip(budgets).map(want).collect();
+                    say.budgets = self.shares.iter_mut().zip(budgets).map(want).collect();
                 }
             }
             Life::Over => {}
@@ -336,23 +336,23 @@
     }
 
     /// A reply came, or surely none will. What belongs to a message that is not under way is passed over.
-    pub fn heard(&mut self, now: Instant, token: u64, reply: Option<Reply>) {
+    pub fn heard(&mut self, now: Instant, token: u64, reply: Option<NodeResponse>) {
         self.advance(now);
         let pause = self.pause();
         let Some(reply) = reply else { return self.talk.lost(self.now, token, pause) };
         let Some((sent, say)) = self.talk.open(token) else { return };
         match reply {
-            Reply::Granted(granted) if granted.number == say.number => {
+            NodeResponse::Accepted(granted) if granted.sequence == say.sequence => {
                 self.talk.done();
                 self.granted(sent, &say, granted);
             }
-            Reply::Refused(Refusal::NotLeader { leader }) => {
+            NodeResponse::Rejected(Rejection::NotLeader { leader }) => {
                 let named = leader.and_then(|number| usize::try_from(number).ok()?.checked_sub(1));
                 self.talk.turned_away(self.now, named, pause);
             }
-            Reply::Refused(refusal) => self.refused(&say, refusal),
+            NodeResponse::Rejected(refusal) => self.refused(&say, refusal),
             // An answer to something else: as if there were none.
-            Reply::Granted(_) => self.talk.lost(self.now, token, pause),
+            NodeResponse::Accepted(_) => self.talk.lost(self.now, token, pause),
         }
     }
 
@@ -360,39 +360,39 @@
         self.settings.patience * (AGAIN * (1.0 + STRAY * self.chance.unit()))
     }
 
-    fn granted(&mut self, sent: Instant, say: &Say, granted: Granted) {
+    fn granted(&mut self, sent: Instant, say: &NodeRequest, granted: LeaseUpdate) {
         if let Life::Asking(_) = self.life {
             self.life = Life::There(granted.incarnation);
             self.due = self.now;
             return self.events.push(Event::Joined { incarnation: granted.incarnation });
         }
-        if say.over {
+        if say.ends_session {
             self.life = Life::Over;
             return self.drop_all();
         }
-        for grant in granted.grants {
+        for grant in granted.leases {
             let Some(budget) = self.settings.budgets.iter().position(|asked| asked.name == grant.budget)
             else {
                 continue;
             };
-            let until = sent + Span::from_micros(grant.span_us);
+            let until = sent + Span::from_micros(grant.duration_us);
             if self.shares[budget].grant(self.now, &grant, until) {
                 self.events.push(Event::Share { budget, amount: self.shares[budget].amount() });
             }
         }
-        for reserve in granted.reserves {
+        for reserve in granted.reservations {
             let Some(wallet) = self.settings.wallets.iter().position(|asked| asked.name == reserve.wallet)
             else {
                 continue;
             };
-            let until = sent + Span::from_micros(reserve.span_us);
+            let until = sent + Span::from_micros(reserve.duration_us);
             if self.purses[wallet].reserve(self.now, &reserve, until) {
                 self.events.push(Event::Purse(wallet));
             }
-            self.reserved = Some(Span::from_micros(reserve.span_us));
+            self.reserved = Some(Span::from_micros(reserve.duration_us));
         }
         self.events.extend(granted.document.map(Event::Document));
-        self.events.extend(granted.unreadable.map(Event::Unreadable));
+        self.events.extend(granted.unreadable_reason.map(Event::Unreadable));
         let stray = 1.0 - STRAY * self.chance.unit();
         self.due = (sent + self.often() * stray).max(self.now);
     }
@@ -410,17 +410,17 @@
         }
     }
 
-    fn refused(&mut self, say: &Say, refusal: Refusal) {
+    fn refused(&mut self, say: &NodeRequest, refusal: Rejection) {
         self.talk.done();
         self.due = self.now + self.pause();
         match &refusal {
-            _ if say.over => self.life = Life::Over,
-            Refusal::Replaced => {
+            _ if say.ends_session => self.life = Life::Over,
+            Rejection::Replaced => {
                 self.drop_all();
                 self.life = Life::Over;
                 return self.events.push(Event::Replaced);
             }
-            Refusal::Unknown => {
+            Rejection::UnknownIncarnation => {
                 // What it had may be others' by now.
                 self.drop_all();
                 self.life = Life::Asking(Self::draw(&mut self.chance));
--- a/crates/core/lease-client/src/purse.rs
+++ b/crates/core/lease-client/src/purse.rs
@@ -2,7 +2,7 @@
 
 use crate::AskedWallet;
 use lynxtally::{Instant, Span};
-use lynxtally_messages::{Purse as Told, Reserve};
+use lynxtally_messages::{Reservation, WalletReport as Told};
 use std::collections::BTreeMap;
 
 /// What may be let in against a wallet.
@@ -72,25 +72,25 @@
             account: self.account,
             spent: self.spent,
             returned: self.returned,
-            want: if leaving { self.held } else { self.held + ahead },
-            tail_us: asked.tail.micros(),
+            demand: if leaving { self.held } else { self.held + ahead },
+            max_in_flight_us: asked.tail.micros(),
         }
     }
 
     /// A reservation comes; true where anything changes for the host.
-    pub fn reserve(&mut self, now: Instant, reserve: &Reserve, until: Instant) -> bool {
+    pub fn reserve(&mut self, now: Instant, reserve: &Reservation, until: Instant) -> bool {
         let before = (self.account, self.granted(), self.in_force());
         if reserve.account != self.account {
             // What was held in the one before was decided without this node.
             (self.account, self.returned, self.spent, self.held) = (reserve.account, 0, 0, 0);
             self.given = 0;
         }
-        self.given = self.given.max(reserve.given);
+        self.given = self.given.max(reserve.granted);
         self.prices.clone_from(&reserve.prices);
         self.until = (now < until).then_some(until);
         // What lies idle goes back: nothing is let in against it from here on, and the next message says so.
         let left = self.granted().saturating_sub(self.spent);
-        let back = left.saturating_sub(reserve.keep.max(self.held));
+        let back = left.saturating_sub(reserve.retain.max(self.held));
         self.returned += back;
         (self.account, self.granted(), self.in_force()) != before
     }
--- a/crates/core/lease-client/src/share.rs
+++ b/crates/core/lease-client/src/share.rs
@@ -2,7 +2,7 @@
 
 use crate::Asked;
 use lynxtally::{Instant, Span};
-use lynxtally_messages::{Grant, Want};
+use lynxtally_messages::{BudgetReport, Lease};
 
 /// A grant in force.
 #[derive(Clone, Copy, Debug)]
@@ -98,21 +98,21 @@
     }
 
     /// What the next message says. From then on needs are noted anew.
-    pub fn want(&mut self, now: Instant, over: Span, asked: &Asked, leaving: bool) -> Want {
+    pub fn want(&mut self, now: Instant, over: Span, asked: &Asked, leaving: bool) -> BudgetReport {
         let need = self.need(now, over);
-        Want {
+        BudgetReport {
             budget: asked.name.clone(),
-            adopted: self.grant.map_or(0, |grant| grant.version),
+            lease_version: self.grant.map_or(0, |grant| grant.version),
             in_use: self.in_use,
-            need: if leaving { 0 } else { need },
-            tail_us: asked.tail.micros(),
+            demand_milliunits: if leaving { 0 } else { need },
+            max_in_flight_us: asked.tail.micros(),
         }
     }
 
     /// A grant comes; true where the amount in force changes. One that is over before it came counts for nothing.
-    pub fn grant(&mut self, now: Instant, grant: &Grant, until: Instant) -> bool {
+    pub fn grant(&mut self, now: Instant, grant: &Lease, until: Instant) -> bool {
         let before = self.amount();
-        let span = Span::from_micros(grant.span_us);
+        let span = Span::from_micros(grant.duration_us);
         let in_force = InForce { version: grant.version, amount: grant.amount, span, until };
         // A reply that took longer than the span leaves nothing in force, not even what was there before: the
         // register may have taken it that the newer one holds.
--- a/crates/core/lease-client/src/talk.rs
+++ b/crates/core/lease-client/src/talk.rs
@@ -1,11 +1,11 @@
 //! One message under way at a time, to one keeper after another.
 
 use lynxtally::{Instant, Span};
-use lynxtally_messages::Say;
+use lynxtally_messages::NodeRequest;
 
 #[derive(Debug)]
 struct UnderWay {
-    say: Say,
+    say: NodeRequest,
     /// The token of its first try.
     first: u64,
     /// When it was first sent: spans count from here.
@@ -59,7 +59,7 @@
     }
 
     /// A new message.
-    pub fn send(&mut self, now: Instant, say: Say, patience: Span) -> (usize, u64) {
+    pub fn send(&mut self, now: Instant, say: NodeRequest, patience: Span) -> (usize, u64) {
         self.token += 1;
         self.last = now;
         self.under_way =
@@ -68,7 +68,7 @@
     }
 
     /// The message under way, where it has to be sent again.
-    pub fn again(&mut self, now: Instant, patience: Span) -> Option<(usize, u64, Say)> {
+    pub fn again(&mut self, now: Instant, patience: Span) -> Option<(usize, u64, NodeRequest)> {
         let message = self.under_way.as_mut().filter(|message| message.until <= now)?;
         if message.out {
             self.keeper = (self.keeper + 1) % self.keepers.max(1);
@@ -80,7 +80,7 @@
 
     /// The message that a reply belongs to, and when it was first sent. A reply to any of its tries will do: it
     /// is one message.
-    pub fn open(&self, token: u64) -> Option<(Instant, Say)> {
+    pub fn open(&self, token: u64) -> Option<(Instant, NodeRequest)> {
         let message =
             self.under_way.as_ref().filter(|message| (message.first..=self.token).contains(&token))?;
         Some((message.sent, message.say.clone()))
--- a/crates/core/messages/src/schema.rs
+++ b/crates/core/messages/src/schema.rs
@@ -1,20 +1,22 @@
 //! Schemas of route documents, as data, and the documents written in them.
 
-use crate::check::{self, Wrong};
+use crate::validation::{check_count, check_name, FieldError, Violation};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::BTreeMap;
+use std::fmt;
 
-/// The fields of a document or of a record in it, by their names.
+/// The fields of a document, or of a record in it, by their names.
 pub type Fields = BTreeMap<String, Field>;
 
-/// So many fields a record has at most, and so deep they stand in one another.
-const FIELDS_MOST: usize = 256;
-const DEEP_MOST: usize = 8;
+/// A record has this many fields at most, an enumeration this many names.
+const MAX_FIELDS: usize = 256;
+/// Records are nested this deep at most.
+const MAX_DEPTH: usize = 8;
 
 /// A schema version.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Schema")]
 pub struct Schema {
     /// Its version.
     pub version: u32,
@@ -24,99 +26,128 @@
 
 /// A field.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Field")]
 pub struct Field {
-    /// What stands in it.
+    /// What kind of value it has.
     pub kind: FieldKind,
-    /// Whether it is a list of that.
-    #[serde(default)]
-    pub list: bool,
-    /// Whether it has to be there.
+    /// Whether it is a list of such values.
+    #[serde(default, rename = "list")]
+    pub is_list: bool,
+    /// Whether a document must have it.
     #[serde(default)]
     pub required: bool,
-    /// What stands for it where it is not.
+    /// The value that stands for it where a document does not have it.
     #[serde(default)]
     pub default: Option<Value>,
-    /// Since which version it is there.
-    pub since: u32,
-    /// Whether a reader that does not know it must refuse a document in which it has a value of its own.
+    /// The schema version that brought it.
+    #[serde(rename = "since")]
+    pub since_version: u32,
+    /// Whether a reader that does not know the field must not be given a document in which it has a value.
     #[serde(default)]
     pub must_understand: bool,
     /// Its name in the version before, where that was another.
-    #[serde(default)]
-    pub was: Option<String>,
+    #[serde(default, rename = "was")]
+    pub renamed_from: Option<String>,
 }
 
-/// What stands in a field.
+/// What kind of value a field has.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields, rename_all = "snake_case")]
+#[serde(deny_unknown_fields)]
 pub enum FieldKind {
-    /// A whole number.
-    Whole {
-        /// The least.
-        least: i64,
-        /// The most.
-        most: i64,
+    /// An integer.
+    #[serde(rename = "whole")]
+    Integer {
+        /// The smallest.
+        #[serde(rename = "least")]
+        min: i64,
+        /// The largest.
+        #[serde(rename = "most")]
+        max: i64,
     },
     /// A text.
+    #[serde(rename = "text")]
     Text {
-        /// Its length in octets at most.
-        longest: u32,
+        /// Its greatest length in bytes.
+        #[serde(rename = "longest")]
+        max_bytes: u32,
     },
-    /// Yes or no.
-    Flag {},
+    /// True or false.
+    #[serde(rename = "flag")]
+    Boolean {},
     /// One of some names.
-    OneOf {
+    #[serde(rename = "one_of")]
+    Enumeration {
         /// The names.
         names: Vec<String>,
     },
-    /// Fields of their own.
+    /// Fields of its own.
+    #[serde(rename = "record")]
     Record {
         /// These.
         fields: Fields,
     },
 }
 
+/// Stands in stored rejections and in what replicas compare: the text is the same in every version of the program.
+impl fmt::Display for FieldKind {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Self::Integer { min, max } => write!(f, "Whole {{ least: {min}, most: {max} }}"),
+            Self::Text { max_bytes } => write!(f, "Text {{ longest: {max_bytes} }}"),
+            Self::Boolean {} => f.write_str("Flag"),
+            Self::Enumeration { names } => write!(f, "OneOf {{ names: {names:?} }}"),
+            Self::Record { .. } => f.write_str("Record"),
+        }
+    }
+}
+
 /// A document, as a node gets it.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields)]
+#[serde(deny_unknown_fields, expecting = "struct Document")]
 pub struct Document {
-    /// Its number, the same for all nodes.
-    pub number: u64,
+    /// The log index at which it was published; the same for all nodes.
+    #[serde(rename = "number")]
+    pub index: u64,
     /// The schema version that it is rendered in.
     pub version: u32,
     /// The document.
     pub body: Value,
 }
 
-/// What a node has applied.
+/// The document that a node applied.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
-#[serde(deny_unknown_fields)]
-pub struct Applied {
-    /// The document's number; 0 for none.
-    pub number: u64,
-    /// The version in which it was read.
+#[serde(deny_unknown_fields, expecting = "struct Applied")]
+pub struct AppliedDocument {
+    /// The document's log index; 0 for none.
+    #[serde(rename = "number")]
+    pub index: u64,
+    /// The schema version in which it was read.
     pub version: u32,
 }
 
-pub(crate) fn fields(at: &str, all: &Fields, deep: usize) -> Result<(), Wrong> {
-    check::count(at, all.len(), FIELDS_MOST)?;
-    if deep > DEEP_MOST {
-        return Err((at.to_owned(), format!("stands more than {DEEP_MOST} deep")));
+pub(crate) fn validate_fields(path: &str, fields: &Fields, depth: usize) -> Result<(), FieldError> {
+    check_count(path, fields.len(), MAX_FIELDS)?;
+    if depth > MAX_DEPTH {
+        return Err(FieldError::new(path, Violation::TooDeep { max: MAX_DEPTH }));
     }
-    for (name, field) in all {
-        let at = format!("{at}.{name}");
-        check::name(&at, name)?;
-        match &field.kind {
-            FieldKind::Whole { least, most } if least > most => {
-                return Err((at, format!("has the range {least} to {most}; the least is expected first")));
-            }
-            FieldKind::OneOf { names } if names.is_empty() || names.len() > FIELDS_MOST => {
-                return Err((at, format!("has {} names; 1 to {FIELDS_MOST} are expected", names.len())));
-            }
-            FieldKind::Record { fields: own } => fields(&at, own, deep + 1)?,
-            _ => {}
-        }
+    for (name, field) in fields {
+        let path = format!("{path}.{name}");
+        check_name(&path, name)?;
+        validate_kind(&path, &field.kind, depth)?;
     }
     Ok(())
 }
+
+fn validate_kind(path: &str, kind: &FieldKind, depth: usize) -> Result<(), FieldError> {
+    match kind {
+        FieldKind::Integer { min, max } if min > max => {
+            Err(FieldError::new(path, Violation::ReversedRange { min: *min, max: *max }))
+        }
+        FieldKind::Enumeration { names } if names.is_empty() || names.len() > MAX_FIELDS => {
+            let violation = Violation::EnumerationSize { count: names.len(), max: MAX_FIELDS };
+            Err(FieldError::new(path, violation))
+        }
+        FieldKind::Record { fields } => validate_fields(path, fields, depth + 1),
+        _ => Ok(()),
+    }
+}
--- a/crates/lynxtally-coordinator/src/leader.rs
+++ b/crates/lynxtally-coordinator/src/leader.rs
@@ -7,7 +7,7 @@
 use lynxtally::{Instant, Span};
 use lynxtally_coordination::{Answer, Command, Stamped};
 use lynxtally_membership::{Fleet, Heard, Limits, Source, State};
-use lynxtally_messages::{Order, Outcome, Reply, Say};
+use lynxtally_messages::{AdminRequest, AdminResponse, NodeRequest, NodeResponse};
 use openraft::ServerState;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -105,12 +105,12 @@
     ///
     /// # Errors
     /// Another keeper leads, or none.
-    pub async fn say(&self, say: Say) -> Result<Reply, Unled> {
+    pub async fn say(&self, say: NodeRequest) -> Result<NodeResponse, Unled> {
         let name = say.name.clone();
-        let over = say.over;
+        let over = say.ends_session;
         match self.write(Command::Say(say)).await? {
             Answer::Reply(reply) => {
-                if matches!(reply, Reply::Granted(_)) {
+                if matches!(reply, NodeResponse::Accepted(_)) {
                     self.hear(name, over);
                 }
                 Ok(reply)
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// Another keeper leads, or none.
-    pub async fn order(&self, order: Order) -> Result<Outcome, Unled> {
+    pub async fn order(&self, order: AdminRequest) -> Result<AdminResponse, Unled> {
         match self.write(Command::Order(order)).await? {
             Answer::Outcome(outcome) => Ok(outcome),
             _ => Err(Unled::By(None)),
@@ -218,7 +218,8 @@
 
     /// What members are held to, as ratios to how often they speak: a third of the shortest span.
     fn limits(&self) -> Limits {
-        let span = self.shared.look(|register| register.budgets().map(|(_, at)| at.terms.span_us).min());
+        let span =
+            self.shared.look(|register| register.budgets().map(|(_, at)| at.terms.lease_duration_us).min());
         let usual = span.map_or(self.tick * 4.0, |span| Span::from_micros(span) * (1.0 / 3.0));
         Limits {
             phi: 8.0,
--- a/crates/lynxtally-coordinator/src/net/server.rs
+++ b/crates/lynxtally-coordinator/src/net/server.rs
@@ -10,7 +10,7 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
 use axum::{Json, Router};
-use lynxtally_messages::{decode, encode, Order, Outcome, Refusal, Reply, Say};
+use lynxtally_messages::{decode, encode, AdminRequest, AdminResponse, NodeRequest, NodeResponse, Rejection};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::json;
@@ -56,7 +56,7 @@
         .route("/v1/order", post(order))
         .route("/v1/state", get(state))
         .route("/v1/check", post(check))
-        .layer(DefaultBodyLimit::max(lynxtally_messages::MOST))
+        .layer(DefaultBodyLimit::max(lynxtally_messages::MAX_MESSAGE_BYTES))
         .merge(peers)
         .with_state(doors);
     axum::serve(listener, all).with_graceful_shutdown(end).await
@@ -66,31 +66,33 @@
     (StatusCode::BAD_REQUEST, why.to_string()).into_response()
 }
 
-fn not_led(unled: Unled) -> Refusal {
+fn not_led(unled: Unled) -> Rejection {
     match unled {
-        Unled::By(leader) => Refusal::NotLeader { leader },
-        Unled::Failed(why) => Refusal::Wrong { why },
+        Unled::By(leader) => Rejection::NotLeader { leader },
+        Unled::Failed(why) => Rejection::Invalid { reason: why },
     }
 }
 
 async fn say(State(doors): State<Doors>, body: Bytes) -> Response {
-    let reply = match decode::<Say>(&body) {
-        Err(why) => Reply::Refused(Refusal::Unreadable { why: why.to_string() }),
+    let reply = match decode::<NodeRequest>(&body) {
+        Err(why) => NodeResponse::Rejected(Rejection::Undecodable { reason: why.to_string() }),
         Ok(say) => match doors.leader() {
-            None => Reply::Refused(Refusal::NotLeader { leader: None }),
-            Some(leader) => leader.say(say).await.unwrap_or_else(|unled| Reply::Refused(not_led(unled))),
+            None => NodeResponse::Rejected(Rejection::NotLeader { leader: None }),
+            Some(leader) => {
+                leader.say(say).await.unwrap_or_else(|unled| NodeResponse::Rejected(not_led(unled)))
+            }
         },
     };
     encode(&reply).into_response()
 }
 
 async fn order(State(doors): State<Doors>, body: Bytes) -> Response {
-    let outcome = match decode::<Order>(&body) {
-        Err(why) => Outcome::Refused(Refusal::Unreadable { why: why.to_string() }),
+    let outcome = match decode::<AdminRequest>(&body) {
+        Err(why) => AdminResponse::Rejected(Rejection::Undecodable { reason: why.to_string() }),
         Ok(order) => match doors.leader() {
-            None => Outcome::Refused(Refusal::NotLeader { leader: None }),
+            None => AdminResponse::Rejected(Rejection::NotLeader { leader: None }),
             Some(leader) => {
-                leader.order(order).await.unwrap_or_else(|unled| Outcome::Refused(not_led(unled)))
+                leader.order(order).await.unwrap_or_else(|unled| AdminResponse::Rejected(not_led(unled)))
             }
         },
     };
@@ -103,7 +105,7 @@
         let budgets: serde_json::Map<_, _> = register
             .budgets()
             .map(|(name, at)| {
-                let state = json!({"whole": at.terms.whole, "counted": at.counted, "free": at.free,
+                let state = json!({"whole": at.terms.capacity, "counted": at.counted, "free": at.free,
                     "in_force": at.in_force, "holders": at.holders});
                 (name.to_owned(), state)
             })
--- a/crates/lynxtally-node/src/messages.rs
+++ b/crates/lynxtally-node/src/messages.rs
@@ -64,7 +64,7 @@
     /// Which message.
     pub token: u64,
     /// The reply.
-    pub reply: Option<lynxtally_messages::Reply>,
+    pub reply: Option<lynxtally_messages::NodeResponse>,
 }
 
 /// A task as it goes to the owner, and where its answer is awaited.
--- a/crates/lynxtally-node/src/shares/carrier.rs
+++ b/crates/lynxtally-node/src/shares/carrier.rs
@@ -2,7 +2,7 @@
 
 use lynxtally::Span;
 use lynxtally_lease_client::Outgoing;
-use lynxtally_messages::{decode, encode, Reply, MOST};
+use lynxtally_messages::{decode, encode, NodeResponse, MAX_MESSAGE_BYTES};
 use std::net::SocketAddr;
 use std::sync::mpsc::{channel, Sender};
 use std::thread;
@@ -20,7 +20,7 @@
     pub fn start(
         keepers: Vec<SocketAddr>,
         patience: Span,
-        told: impl Fn(u64, Option<Reply>) + Send + 'static,
+        told: impl Fn(u64, Option<NodeResponse>) + Send + 'static,
     ) -> std::io::Result<Self> {
         let (to, outgoing) = channel::<Outgoing>();
         let patience = Duration::from_micros(patience.micros());
@@ -50,10 +50,14 @@
     }
 }
 
-fn ask(agent: &ureq::Agent, at: SocketAddr, message: &[u8]) -> Result<Reply, String> {
+fn ask(agent: &ureq::Agent, at: SocketAddr, message: &[u8]) -> Result<NodeResponse, String> {
     let mut answer =
         agent.post(format!("http://{at}/v1/say")).send(message).map_err(|why| why.to_string())?;
-    let octets =
-        answer.body_mut().with_config().limit(MOST as u64).read_to_vec().map_err(|why| why.to_string())?;
+    let octets = answer
+        .body_mut()
+        .with_config()
+        .limit(MAX_MESSAGE_BYTES as u64)
+        .read_to_vec()
+        .map_err(|why| why.to_string())?;
     decode(&octets).map_err(|why| why.to_string())
 }
--- a/crates/lynxtally-node/src/shares/mod.rs
+++ b/crates/lynxtally-node/src/shares/mod.rs
@@ -11,7 +11,7 @@
 use lynxtally::{CallLease, Instant, LeasedQuotas as Told, Policy, Span};
 use lynxtally_engine::{Engine, WalletReservation};
 use lynxtally_lease_client::{Asked, AskedWallet, Counts, Event, Holder};
-use lynxtally_messages::Reply;
+use lynxtally_messages::NodeResponse;
 use rustix::time::{clock_gettime, ClockId};
 use tracing::{debug, error, info, warn};
 
@@ -76,7 +76,7 @@
                 }
                 Event::Purse(wallet) => purses.push(wallet),
                 Event::Document(document) => {
-                    debug!(number = document.number, "a document that nobody reads here")
+                    debug!(number = document.index, "a document that nobody reads here")
                 }
                 Event::Unreadable(why) => warn!(why, "no route document can be read here"),
                 Event::Joined { incarnation } => info!(incarnation, "joined the register"),
@@ -157,7 +157,7 @@
         &mut self,
         host: &mut Engine<Policy, W, F, D>,
         token: u64,
-        reply: Option<Reply>,
+        reply: Option<NodeResponse>,
     ) {
         // Tasks may have been let in earlier in this turn: what they hold must not be given back as idle.
         self.tell(host);
--- a/crates/testing/simulator/src/shares/keepers.rs
+++ b/crates/testing/simulator/src/shares/keepers.rs
@@ -4,7 +4,7 @@
 use super::clock::Clock;
 use lynxtally::Pcg;
 use lynxtally_coordination::{Answer, Command, Place, Register, Stamped};
-use lynxtally_messages::{Id, Order, OrderWhat, Reply, Say, Terms};
+use lynxtally_messages::{AdminAction, AdminRequest, BudgetTerms, IdempotencyKey, NodeRequest, NodeResponse};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Whom an answer goes to.
@@ -25,12 +25,13 @@
 const AGREE: u64 = 8000;
 
 impl Keepers {
-    pub fn new(chance: &mut Pcg, terms: Terms, drift: u64) -> Self {
+    pub fn new(chance: &mut Pcg, terms: BudgetTerms, drift: u64) -> Self {
         let clocks = (0..3).map(|_| Clock::draw(chance, drift)).collect();
         let (register, written) = (Register::default(), VecDeque::new());
         let mut keepers = Self { register, term: 1, number: 0, clocks, written, up: true };
-        let id = Id { seen: 0, word: "first".to_owned() };
-        let order = Order { id, what: OrderWhat::Budget { name: "calls".to_owned(), terms } };
+        let id = IdempotencyKey { observed_index: 0, token: "first".to_owned() };
+        let order =
+            AdminRequest { key: id, action: AdminAction::SetBudget { name: "calls".to_owned(), terms } };
         keepers.apply(&Stamped { term: 1, at: keepers.clock().shows(0), command: Command::Order(order) });
         keepers
     }
@@ -58,7 +59,13 @@
         Some(agreed)
     }
 
-    pub fn say(&mut self, chance: &mut Pcg, real: u64, say: Say, from: (usize, u64, u64)) -> Option<u64> {
+    pub fn say(
+        &mut self,
+        chance: &mut Pcg,
+        real: u64,
+        say: NodeRequest,
+        from: (usize, u64, u64),
+    ) -> Option<u64> {
         self.write(chance, real, Command::Say(say), Some(from))
     }
 
@@ -67,7 +74,7 @@
     }
 
     /// What is agreed on by now is applied; the replies.
-    pub fn agreed(&mut self, real: u64) -> Vec<((usize, u64, u64), Reply)> {
+    pub fn agreed(&mut self, real: u64) -> Vec<((usize, u64, u64), NodeResponse)> {
         let mut replies = Vec::new();
         while let Some((_, entry, from)) = self.written.pop_front_if(|(at, ..)| *at <= real) {
             if let (Answer::Reply(reply), Some(from)) = (self.apply(&entry), from) {
--- a/crates/testing/simulator/src/shares/node.rs
+++ b/crates/testing/simulator/src/shares/node.rs
@@ -45,7 +45,7 @@
             budgets: vec![Asked { name: "calls".to_owned(), tail }],
             wallets: Vec::new(),
             keepers: 3,
-            patience: Span::from_micros((script.terms.span_us / 10).min(300_000)),
+            patience: Span::from_micros((script.terms.lease_duration_us / 10).min(300_000)),
         };
         let holder = Holder::new(settings, seed, now);
         Self {
