--- a/crates/core/coordination/src/members/mod.rs
+++ b/crates/core/coordination/src/members/mod.rs
@@ -1,157 +1,211 @@
-//! Who is there: lives of processes under names.
+//! Members: the process that speaks under each name, by its incarnation.
+//!
+//! Safety rule, fencing. An incarnation is the log index at which it was asked for, so no two processes ever share
+//! one, and later ones are larger. The first request under a new incarnation takes the name; whoever had the name
+//! before is fenced off: each of its requests is rejected as [`Rejection::Replaced`] and it gets nothing more. What it
+//! holds goes on counting until it is surely over, as it may still be running.
 
-mod asking;
+mod joining;
 
-use crate::schemas::Reader;
-use crate::time::micros;
-use asking::Asking;
+use crate::schemas::SchemaReader;
+use crate::serde_instant;
+use joining::JoiningProcesses;
 use lynxtally::{Instant, Span};
 use lynxtally_messages::{AppliedDocument, NodeRequest, NodeResponse, Rejection};
 use serde::{Deserialize, Serialize};
+use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// A process that spoke, and how it stands.
+/// A member that is suspected and was silent for longer is not listed any more.
+const FORGET_SILENT_AFTER: Span = Span::from_millis(3_600_000);
+
+/// A process that spoke under its incarnation.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct Standing {
+pub struct Member {
     /// Its name.
     pub name: String,
     /// Its program's version.
-    pub program: String,
-    /// The versions of schemas that it reads.
-    pub schemas: Vec<u32>,
-    /// When it was last heard of, in the register's time.
-    #[serde(with = "micros")]
-    pub heard: Instant,
-    /// The route document that it has applied.
-    pub applied: Option<AppliedDocument>,
-    /// Whether the leader hears nothing of it.
-    pub suspect: bool,
-    /// The last message that was applied, and what was said to it.
-    last: (u64, Option<NodeResponse>),
+    #[serde(rename = "program")]
+    pub program_version: String,
+    /// The versions of route schemas that it reads.
+    #[serde(rename = "schemas")]
+    pub schema_versions: Vec<u32>,
+    /// When its last request was applied, by the state's clock.
+    #[serde(rename = "heard", with = "serde_instant")]
+    pub last_heard: Instant,
+    /// The route document that it applied.
+    #[serde(rename = "applied")]
+    pub applied_document: Option<AppliedDocument>,
+    /// Whether the leader hears nothing of it. A suspect's leases go on counting: suspicion decides only whose demand
+    /// counts.
+    #[serde(rename = "suspect")]
+    pub suspected: bool,
+    #[serde(rename = "last")]
+    last_applied: LastApplied,
+}
+
+/// The last request that was applied, with its response, for a copy of it that comes later. It is stored as a pair.
+#[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
+#[serde(from = "(u64, Option<NodeResponse>)", into = "(u64, Option<NodeResponse>)")]
+struct LastApplied {
+    sequence: u64,
+    response: Option<NodeResponse>,
+}
+
+impl From<(u64, Option<NodeResponse>)> for LastApplied {
+    fn from((sequence, response): (u64, Option<NodeResponse>)) -> Self {
+        Self { sequence, response }
+    }
+}
+
+impl From<LastApplied> for (u64, Option<NodeResponse>) {
+    fn from(last: LastApplied) -> Self {
+        (last.sequence, last.response)
+    }
 }
 
-/// The processes that are there. One is there until it says that it is over, another takes its name, or it has
-/// been silent for so long that nothing it held can be in use.
+/// The members. A process is one until it ends its session, another takes its name, or it was suspected and silent
+/// for so long that nothing it held can be in use.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub(crate) struct Members {
-    all: BTreeMap<u64, Standing>,
+    #[serde(rename = "all")]
+    by_incarnation: BTreeMap<u64, Member>,
     by_name: BTreeMap<String, u64>,
-    asking: Asking,
+    #[serde(rename = "asking")]
+    joining: JoiningProcesses,
     /// Every incarnation up to this was given out.
-    given: u64,
+    #[serde(rename = "given")]
+    last_incarnation: u64,
 }
 
-/// What a message is.
-pub(crate) enum Heard {
-    /// One that was applied before, with what was said then.
-    Again(NodeResponse),
+/// What a request turned out to be.
+pub(crate) enum Delivery {
+    /// A copy of the one that was applied last, with the response that it had.
+    Duplicate(NodeResponse),
     /// One that can't be applied.
-    Refused(Rejection),
-    /// A new one; perhaps the first of a life that takes the name from another.
+    Rejected(Rejection),
+    /// A new one.
     New {
-        /// The one that had it.
+        /// The incarnation that the sender takes the name from, with its first request.
         replaced: Option<u64>,
     },
 }
 
-/// Silent and suspect for so long, a process is not listed any more.
-const FORGET: Span = Span::from_millis(3_600_000);
-
 impl Members {
-    /// A process asks for an incarnation; none where too many ask at once.
-    pub fn ask(&mut self, now: Instant, number: u64, say: &NodeRequest) -> Option<u64> {
-        let incarnation = self.asking.ask(now, number, &say.name, say.sequence)?;
-        self.given = self.given.max(incarnation);
+    /// A process asks for an incarnation; none where too many are joining.
+    pub fn join(&mut self, now: Instant, index: u64, request: &NodeRequest) -> Option<u64> {
+        let incarnation = self.joining.ask(now, index, &request.name, request.sequence)?;
+        self.last_incarnation = self.last_incarnation.max(incarnation);
         Some(incarnation)
     }
 
     /// A process speaks under its incarnation.
-    pub fn hear(&mut self, now: Instant, say: &NodeRequest) -> Heard {
-        if let Some(member) = self.all.get_mut(&say.incarnation) {
-            let (number, reply) = &member.last;
-            return match (say.sequence.cmp(number), reply) {
-                (std::cmp::Ordering::Equal, Some(reply)) => Heard::Again(reply.clone()),
-                (std::cmp::Ordering::Greater, _) => {
-                    member.take(now, say);
-                    Heard::New { replaced: None }
-                }
-                _ => Heard::Refused(Rejection::OutOfOrder),
-            };
+    pub fn receive(&mut self, now: Instant, request: &NodeRequest) -> Delivery {
+        match self.by_incarnation.get_mut(&request.incarnation) {
+            Some(member) => member.receive(now, request),
+            None => self.receive_first(now, request),
         }
-        match self.by_name.get(&say.name) {
-            Some(own) if *own > say.incarnation => return Heard::Refused(Rejection::Replaced),
-            _ if !self.asking.take(say.incarnation, &say.name) => {
-                return Heard::Refused(Rejection::UnknownIncarnation)
-            }
-            _ => {}
+    }
+
+    /// The first request under an incarnation, or one under an incarnation that is no member.
+    fn receive_first(&mut self, now: Instant, request: &NodeRequest) -> Delivery {
+        if self.by_name.get(&request.name).is_some_and(|current| *current > request.incarnation) {
+            return Delivery::Rejected(Rejection::Replaced);
         }
-        let mut member = Standing {
-            name: say.name.clone(),
-            program: String::new(),
-            schemas: Vec::new(),
-            heard: now,
-            applied: None,
-            suspect: false,
-            last: (0, None),
-        };
-        member.take(now, say);
-        self.all.insert(say.incarnation, member);
-        let replaced = self.by_name.insert(say.name.clone(), say.incarnation);
+        if !self.joining.take(request.incarnation, &request.name) {
+            return Delivery::Rejected(Rejection::UnknownIncarnation);
+        }
+        self.by_incarnation.insert(request.incarnation, Member::new(now, request));
+        let replaced = self.by_name.insert(request.name.clone(), request.incarnation);
         if let Some(former) = replaced {
-            self.all.remove(&former);
+            self.by_incarnation.remove(&former);
         }
-        Heard::New { replaced }
+        Delivery::New { replaced }
     }
 
-    /// What was said to a new message.
-    pub fn replied(&mut self, say: &NodeRequest, reply: NodeResponse) {
-        if let Some(member) = self.all.get_mut(&say.incarnation) {
-            member.last = (say.sequence, Some(reply));
+    /// Keeps the response to a new request.
+    pub fn remember_response(&mut self, request: &NodeRequest, response: NodeResponse) {
+        if let Some(member) = self.by_incarnation.get_mut(&request.incarnation) {
+            member.last_applied = LastApplied { sequence: request.sequence, response: Some(response) };
         }
     }
 
-    /// The leader hears nothing of a process, or hears it again; false where nothing changes.
-    pub fn suspect(&mut self, incarnation: u64, suspect: bool) -> bool {
-        let Some(member) = self.all.get_mut(&incarnation) else { return false };
-        std::mem::replace(&mut member.suspect, suspect) != suspect
+    /// The leader hears nothing of a member, or hears it again; whether that changes anything.
+    pub fn set_suspected(&mut self, incarnation: u64, suspected: bool) -> bool {
+        let Some(member) = self.by_incarnation.get_mut(&incarnation) else { return false };
+        std::mem::replace(&mut member.suspected, suspected) != suspected
     }
 
-    /// A process is over; false where it was not there.
-    pub fn over(&mut self, incarnation: u64) -> bool {
-        let Some(member) = self.all.remove(&incarnation) else { return false };
+    /// A member's session ends; whether it was a member.
+    pub fn remove(&mut self, incarnation: u64) -> bool {
+        let Some(member) = self.by_incarnation.remove(&incarnation) else { return false };
         if self.by_name.get(&member.name) == Some(&incarnation) {
             self.by_name.remove(&member.name);
         }
         true
     }
 
-    /// Those who asked and never spoke, and those silent for very long, are forgotten.
-    pub fn tick(&mut self, now: Instant) {
-        self.asking.tick(now);
-        let silent = |member: &Standing| member.suspect && now - member.heard > FORGET;
-        let gone: Vec<u64> = self.all.iter().filter(|(_, m)| silent(m)).map(|(at, _)| *at).collect();
-        gone.into_iter().for_each(|incarnation| {
-            self.over(incarnation);
-        });
+    /// Forgets those that asked to join and never spoke, and those that were silent for very long.
+    pub fn forget_silent(&mut self, now: Instant) {
+        self.joining.expire(now);
+        let is_silent = |member: &Member| member.suspected && now - member.last_heard > FORGET_SILENT_AFTER;
+        let silent: Vec<u64> = self
+            .by_incarnation
+            .iter()
+            .filter(|(_, member)| is_silent(member))
+            .map(|(incarnation, _)| *incarnation)
+            .collect();
+        for incarnation in silent {
+            self.remove(incarnation);
+        }
     }
 
-    /// Those who read route documents.
-    pub fn readers(&self) -> Vec<Reader<'_>> {
-        let own = |member: &'_ Standing| !member.schemas.is_empty();
-        let all = self.all.values().filter(|member| own(member));
-        all.map(|member| Reader { name: &member.name, versions: &member.schemas }).collect()
+    /// Those that read route documents.
+    pub fn schema_readers(&self) -> Vec<SchemaReader<'_>> {
+        self.by_incarnation
+            .values()
+            .filter(|member| !member.schema_versions.is_empty())
+            .map(|member| SchemaReader { name: &member.name, versions: &member.schema_versions })
+            .collect()
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (u64, &Standing)> {
-        self.all.iter().map(|(incarnation, member)| (*incarnation, member))
+    /// All members in the order of their incarnations.
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &Member)> {
+        self.by_incarnation.iter().map(|(incarnation, member)| (*incarnation, member))
     }
 }
 
-impl Standing {
-    fn take(&mut self, now: Instant, say: &NodeRequest) {
-        (self.heard, self.suspect) = (now, false);
-        self.program.clone_from(&say.program_version);
-        self.schemas.clone_from(&say.schema_versions);
-        self.applied.clone_from(&say.applied_document);
+impl Member {
+    fn new(now: Instant, request: &NodeRequest) -> Self {
+        let mut member = Self {
+            name: request.name.clone(),
+            program_version: String::new(),
+            schema_versions: Vec::new(),
+            last_heard: now,
+            applied_document: None,
+            suspected: false,
+            last_applied: LastApplied::default(),
+        };
+        member.update(now, request);
+        member
+    }
+
+    fn receive(&mut self, now: Instant, request: &NodeRequest) -> Delivery {
+        match (request.sequence.cmp(&self.last_applied.sequence), &self.last_applied.response) {
+            (Ordering::Equal, Some(response)) => Delivery::Duplicate(response.clone()),
+            (Ordering::Greater, _) => {
+                self.update(now, request);
+                Delivery::New { replaced: None }
+            }
+            _ => Delivery::Rejected(Rejection::OutOfOrder),
+        }
+    }
+
+    fn update(&mut self, now: Instant, request: &NodeRequest) {
+        self.last_heard = now;
+        self.suspected = false;
+        self.program_version.clone_from(&request.program_version);
+        self.schema_versions.clone_from(&request.schema_versions);
+        self.applied_document.clone_from(&request.applied_document);
     }
 }
--- a/crates/core/coordination/src/schemas/mod.rs
+++ b/crates/core/coordination/src/schemas/mod.rs
@@ -1,26 +1,44 @@
-//! Route documents and the schemas that they are written in, checked against all that may still read.
-
+//! Route documents and the schemas that they are written in, checked against every member that may still read them.
+//!
+//! Safety rule: a reader is only ever given a document in a version that it reads, in which what it knows is equal to
+//! what was published. A schema or a document for which that does not hold for all readers *waits*; what was in force
+//! stays in force meanwhile, and each reason is told in one line.
+
+mod compatibility;
+mod error;
 mod reading;
-mod rules;
+mod rendering;
 
-pub use reading::{read, render};
-pub use rules::{compare, Verdict};
+pub use compatibility::{check_compatibility, Compatibility};
+pub use error::{DocumentError, DocumentFault, SchemaError};
+pub use reading::read;
+pub use rendering::render;
 
-use lynxtally_messages::{Document, Schema};
+use crate::error::AdminError;
+use error::RenderError;
+use lynxtally_messages::{Document, FieldKind, Fields, Schema};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One who reads, and the versions that it reads.
-pub(crate) struct Reader<'a> {
+/// As many versions are kept for those that may read them.
+const MAX_VERSIONS: usize = 64;
+/// The newest versions that are kept though nobody reads them.
+const KEPT_VERSIONS: usize = 2;
+
+/// A member that reads route documents.
+pub(crate) struct SchemaReader<'a> {
     pub name: &'a str,
+    /// The schema versions that it reads.
     pub versions: &'a [u32],
 }
 
-/// A document as it was written.
+/// A document as an operator published it.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-struct Written {
-    number: u64,
+struct PublishedDocument {
+    /// The log index at which it was published.
+    #[serde(rename = "number")]
+    index: u64,
     version: u32,
     body: Value,
 }
@@ -28,184 +46,192 @@
 /// Schemas, the document in force, and what waits.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub(crate) struct Schemas {
-    known: BTreeMap<u32, Schema>,
-    /// A schema that some can't read yet.
+    /// Schemas in force, by version.
+    #[serde(rename = "known")]
+    in_force: BTreeMap<u32, Schema>,
+    /// A schema that some reader can't be served with yet.
     proposed: Option<Schema>,
-    in_force: Option<Written>,
-    held: Option<Written>,
-    /// For whom something waits, and why: one line each.
-    waits: Vec<String>,
+    #[serde(rename = "in_force")]
+    document: Option<PublishedDocument>,
+    /// A document that some reader can't be given yet.
+    #[serde(rename = "held")]
+    held_document: Option<PublishedDocument>,
+    /// Why something waits, and for whom: one line each.
+    #[serde(rename = "waits")]
+    waiting: Vec<String>,
 }
 
-/// How many versions are kept for those who may read them.
-const MOST: usize = 64;
-
 impl Schemas {
-    fn newest(&self) -> Option<&Schema> {
-        self.known.last_key_value().map(|(_, schema)| schema)
-    }
-
-    /// Which versions may still be read: those of all who are there, and the newest, so that a roll-back works, until
-    /// all who are there read the version that is proposed.
-    fn read_still(&self, proposed: u32, readers: &[Reader]) -> BTreeMap<u32, Vec<String>> {
-        let mut all: BTreeMap<u32, Vec<String>> = BTreeMap::new();
-        let rolled_out =
-            !readers.is_empty() && readers.iter().all(|reader| reader.versions.contains(&proposed));
-        if let Some(schema) = self.newest().filter(|_| !rolled_out) {
-            all.entry(schema.version).or_default().push("a program rolled back".to_owned());
-        }
-        for reader in readers {
-            // What it reads best of what is known is what it is given.
-            if reader.versions.contains(&proposed) {
-                continue;
-            }
-            if let Some(version) = reader.versions.iter().filter(|v| self.known.contains_key(v)).max() {
-                all.entry(*version).or_default().push(reader.name.to_owned());
-            }
-        }
-        all
-    }
-
-    /// What a schema means for all that may still read: what is lost, and why it can't be, one line each.
-    fn verdict(&self, schema: &Schema, readers: &[Reader]) -> Verdict {
-        let mut all = Verdict::default();
-        for (version, names) in self.read_still(schema.version, readers) {
-            let Some(older) = self.known.get(&version) else { continue };
-            let own = compare(&schema.fields, &older.fields);
-            let who = |line: String| format!("{line}; version {version}, read by {}", names.join(", "));
-            all.rendered.extend(own.rendered.into_iter().map(who));
-            all.reasons.extend(own.reasons.into_iter().map(who));
-        }
-        all
-    }
-
-    /// A new schema version. It is in force at once where all can have its documents, and else waits.
-    pub fn propose(&mut self, schema: &Schema, readers: &[Reader]) -> Result<(), String> {
+    /// Proposes a new schema version. It is in force at once where all readers can be given its documents; else it
+    /// waits.
+    pub fn propose(&mut self, schema: &Schema, readers: &[SchemaReader]) -> Result<(), SchemaError> {
         let newest = self.newest().map_or(0, |newest| newest.version);
         if schema.version <= newest {
-            return Err(format!(
-                "`what.schema.version` is {}; more than {newest} is expected",
-                schema.version
-            ));
+            return Err(SchemaError::NotNewer { version: schema.version, newest });
         }
-        if self.known.len() >= MOST {
-            return Err(format!("`what.schema`: {MOST} versions may still be read"));
+        if self.in_force.len() >= MAX_VERSIONS {
+            return Err(SchemaError::TooManyVersions);
         }
-        defaults("what.schema.fields.", &schema.fields)?;
+        check_defaults("what.schema.fields.", &schema.fields)?;
         self.proposed = Some(schema.clone());
-        self.look(readers);
+        self.review(readers);
         Ok(())
     }
 
-    /// A new document, in a version that is in force. It is in force at once where all can have it, and else held.
+    /// Publishes a new document in a version that is in force. It is in force at once where all readers can be given
+    /// it; else it is held.
     pub fn publish(
         &mut self,
-        number: u64,
+        index: u64,
         version: u32,
         body: &Value,
-        readers: &[Reader],
-    ) -> Result<(), String> {
-        let unknown = || format!("`what.document.version` is {version}, which is not in force");
-        let schema = self.known.get(&version).ok_or_else(unknown)?;
-        read(&schema.fields, body).map_err(|why| format!("`what.document.body`: {why}"))?;
-        self.held = Some(Written { number, version, body: body.clone() });
-        self.look(readers);
+        readers: &[SchemaReader],
+    ) -> Result<(), AdminError> {
+        let schema = self.in_force.get(&version).ok_or(AdminError::SchemaNotInForce { version })?;
+        read(&schema.fields, body).map_err(AdminError::Document)?;
+        self.held_document = Some(PublishedDocument { index, version, body: body.clone() });
+        self.review(readers);
         Ok(())
     }
 
-    /// Those who read may have changed: what waited may come into force.
-    pub fn look(&mut self, readers: &[Reader]) {
-        self.waits.clear();
-        if let Some(schema) = self.proposed.take() {
-            let verdict = self.verdict(&schema, readers);
-            if verdict.holds() {
-                self.known.insert(schema.version, schema);
-            } else {
-                let line = |why: String| format!("schema {} waits: {why}", schema.version);
-                self.waits.extend(verdict.reasons.into_iter().map(line));
-                self.proposed = Some(schema);
+    /// The readers may have changed: what waited may come into force.
+    pub fn review(&mut self, readers: &[SchemaReader]) {
+        self.waiting.clear();
+        self.review_proposed_schema(readers);
+        self.review_held_document(readers);
+        self.retire_versions(readers);
+    }
+
+    fn review_proposed_schema(&mut self, readers: &[SchemaReader]) {
+        let Some(schema) = self.proposed.take() else { return };
+        let conflicts = self.conflicts(&schema, readers);
+        if conflicts.is_empty() {
+            self.in_force.insert(schema.version, schema);
+            return;
+        }
+        for conflict in conflicts {
+            self.waiting.push(format!("schema {} waits: {conflict}", schema.version));
+        }
+        self.proposed = Some(schema);
+    }
+
+    fn review_held_document(&mut self, readers: &[SchemaReader]) {
+        let Some(document) = self.held_document.take() else { return };
+        let mut reasons = Vec::new();
+        for reader in readers.iter().filter(|reader| !reader.versions.is_empty()) {
+            if let Err(why) = self.render_for(&document, reader.versions) {
+                reasons.push(format!("document {} is held for {}: {why}", document.index, reader.name));
             }
         }
-        if let Some(held) = self.held.take() {
-            let can_not: Vec<String> = readers
-                .iter()
-                .filter(|reader| !reader.versions.is_empty())
-                .filter_map(|reader| {
-                    self.rendered(&held, reader.versions).err().map(|why| (reader.name, why))
-                })
-                .map(|(name, why)| format!("document {} is held for {name}: {why}", held.number))
-                .collect();
-            if can_not.is_empty() {
-                self.in_force = Some(held);
-            } else {
-                self.waits.extend(can_not);
-                self.held = Some(held);
+        if reasons.is_empty() {
+            self.document = Some(document);
+        } else {
+            self.waiting.extend(reasons);
+            self.held_document = Some(document);
+        }
+    }
+
+    /// Why a schema's documents can't be given to all that may still read: one line each.
+    fn conflicts(&self, schema: &Schema, readers: &[SchemaReader]) -> Vec<String> {
+        let mut all = Vec::new();
+        for (version, names) in self.versions_still_read(schema.version, readers) {
+            let Some(older) = self.in_force.get(&version) else { continue };
+            let verdict = check_compatibility(&schema.fields, &older.fields);
+            let names = names.join(", ");
+            for conflict in verdict.conflicts {
+                all.push(format!("{conflict}; version {version}, read by {names}"));
             }
         }
-        self.retire(readers);
+        all
     }
 
-    /// Versions that nobody may read any more are forgotten, but for the last two.
-    fn retire(&mut self, readers: &[Reader]) {
-        let mut keep: BTreeSet<u32> = self.known.keys().rev().take(2).copied().collect();
+    /// Which versions may still be read, and by whom: those of all readers, and the newest, in case the program is
+    /// rolled back, until all readers read the proposed version.
+    fn versions_still_read(&self, proposed: u32, readers: &[SchemaReader]) -> BTreeMap<u32, Vec<String>> {
+        let mut still_read: BTreeMap<u32, Vec<String>> = BTreeMap::new();
+        let is_rolled_out =
+            !readers.is_empty() && readers.iter().all(|reader| reader.versions.contains(&proposed));
+        if let Some(schema) = self.newest().filter(|_| !is_rolled_out) {
+            still_read.entry(schema.version).or_default().push("a program rolled back".to_owned());
+        }
+        for reader in readers.iter().filter(|reader| !reader.versions.contains(&proposed)) {
+            // It is given the newest version that both know.
+            let known = reader.versions.iter().filter(|version| self.in_force.contains_key(version));
+            if let Some(version) = known.max() {
+                still_read.entry(*version).or_default().push(reader.name.to_owned());
+            }
+        }
+        still_read
+    }
+
+    /// Forgets the versions that nobody may read any more, but for the newest.
+    fn retire_versions(&mut self, readers: &[SchemaReader]) {
+        let mut keep: BTreeSet<u32> = self.in_force.keys().rev().take(KEPT_VERSIONS).copied().collect();
         keep.extend(readers.iter().flat_map(|reader| reader.versions.iter().copied()));
-        keep.extend([&self.in_force, &self.held].into_iter().flatten().map(|written| written.version));
-        self.known.retain(|version, _| keep.contains(version));
+        let documents = [&self.document, &self.held_document];
+        keep.extend(documents.into_iter().flatten().map(|document| document.version));
+        self.in_force.retain(|version, _| keep.contains(version));
     }
 
-    /// The best form of a document for a reader of these versions.
-    fn rendered(&self, written: &Written, versions: &[u32]) -> Result<Document, String> {
-        let unknown = || format!("version {} is not known any more", written.version);
-        let newer = self.known.get(&written.version).ok_or_else(unknown)?;
-        let mut best: Vec<u32> = versions.iter().copied().filter(|v| *v <= written.version).collect();
-        best.sort_unstable();
-        let mut why = format!("it reads none of the versions up to {}", written.version);
-        for version in best.into_iter().rev() {
-            let Some(older) = self.known.get(&version) else { continue };
-            let body = if version == written.version {
-                Ok(written.body.clone())
+    /// A document in the newest of these versions in which it can be rendered.
+    fn render_for(&self, document: &PublishedDocument, versions: &[u32]) -> Result<Document, RenderError> {
+        let newer =
+            self.in_force.get(&document.version).ok_or(RenderError::VersionForgotten(document.version))?;
+        let mut candidates: Vec<u32> =
+            versions.iter().copied().filter(|version| *version <= document.version).collect();
+        candidates.sort_unstable();
+        let mut reason = RenderError::NoVersion { up_to: document.version };
+        for version in candidates.into_iter().rev() {
+            let Some(older) = self.in_force.get(&version) else { continue };
+            let body = if version == document.version {
+                Ok(document.body.clone())
             } else {
-                render(&newer.fields, &older.fields, &written.body)
+                render(&newer.fields, &older.fields, &document.body)
             };
             match body {
-                Ok(body) => return Ok(Document { index: written.number, version, body }),
-                Err(fault) => why = format!("version {version}: {fault}"),
+                Ok(body) => return Ok(Document { index: document.index, version, body }),
+                Err(error) => reason = RenderError::Document { version, error },
             }
         }
-        Err(why)
+        Err(reason)
+    }
+
+    /// The document in force for a reader of these versions; none where there is none, or none that it can read.
+    pub fn document_for(&self, versions: &[u32]) -> Option<Document> {
+        self.render_for(self.document.as_ref()?, versions).ok()
     }
 
-    /// What a reader is to have now; none where there is no document, or none that it can read.
-    pub fn document(&self, versions: &[u32]) -> Option<Document> {
-        self.rendered(self.in_force.as_ref()?, versions).ok()
+    /// The log index of the document in force.
+    pub fn document_index(&self) -> Option<u64> {
+        self.document.as_ref().map(|document| document.index)
     }
 
-    /// For whom something waits, one line each.
-    pub fn waits(&self) -> &[String] {
-        &self.waits
+    /// Why something waits, and for whom: one line each.
+    pub fn waiting(&self) -> &[String] {
+        &self.waiting
     }
 
-    /// The versions in force.
+    /// The schema versions in force.
     pub fn versions(&self) -> impl Iterator<Item = u32> + '_ {
-        self.known.keys().copied()
+        self.in_force.keys().copied()
     }
 
-    /// The number of the document in force.
-    pub fn number(&self) -> Option<u64> {
-        self.in_force.as_ref().map(|written| written.number)
+    fn newest(&self) -> Option<&Schema> {
+        self.in_force.last_key_value().map(|(_, schema)| schema)
     }
 }
 
 /// Defaults have to be what their own fields allow.
-fn defaults(at: &str, fields: &lynxtally_messages::Fields) -> Result<(), String> {
+fn check_defaults(prefix: &str, fields: &Fields) -> Result<(), SchemaError> {
     for (name, field) in fields {
         if let Some(default) = &field.default {
-            let alone = std::iter::once((name.clone(), field.clone())).collect();
-            let told = serde_json::json!({ name.as_str(): default });
-            read(&alone, &told).map_err(|why| format!("`{at}{name}.default`: {why}"))?;
+            let alone = Fields::from([(name.clone(), field.clone())]);
+            let document = serde_json::json!({ name.as_str(): default });
+            read(&alone, &document)
+                .map_err(|error| SchemaError::InvalidDefault { path: format!("{prefix}{name}"), error })?;
         }
-        if let lynxtally_messages::FieldKind::Record { fields } = &field.kind {
-            defaults(&format!("{at}{name}."), fields)?;
+        if let FieldKind::Record { fields } = &field.kind {
+            check_defaults(&format!("{prefix}{name}."), fields)?;
         }
     }
     Ok(())
--- a/crates/core/coordination/src/snapshot.rs
+++ b/crates/core/coordination/src/snapshot.rs
@@ -1,17 +1,22 @@
-//! The whole state as octets, with its digest.
+//! Snapshots of the whole state, with their digest.
 
-use crate::Register;
+use crate::CoordinationState;
 use serde::{Deserialize, Serialize};
 use sha2::Digest as _;
 use std::fmt;
 
-/// What two equal states have in common, and two others surely not.
+/// The format version of snapshots.
+const SNAPSHOT_VERSION: u32 = 1;
+/// A digest is shown by its first bytes.
+const SHOWN_BYTES: usize = 8;
+
+/// The SHA-256 of a serialized state: equal for equal states.
 #[derive(Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Digest([u8; 32]);
 
 impl fmt::Display for Digest {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.0[..8].iter().try_for_each(|octet| write!(f, "{octet:02x}"))
+        self.0[..SHOWN_BYTES].iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
@@ -21,81 +26,88 @@
     }
 }
 
-/// The version of snapshots.
-const VERSION: u32 = 1;
-
 #[derive(Serialize, Deserialize)]
-struct Kept<T> {
-    v: u32,
+struct Snapshot<T> {
+    #[serde(rename = "v")]
+    version: u32,
     digest: Digest,
-    register: T,
+    #[serde(rename = "register")]
+    state: T,
+}
+
+#[derive(Deserialize)]
+struct VersionOnly {
+    #[serde(rename = "v")]
+    version: u32,
 }
 
-/// Why a snapshot can't be used; one line.
+/// Why a snapshot can't be used. Its text is one line.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Damaged {
-    /// It is not what it should be.
-    Unreadable(String),
-    /// It is of a version that is not known here.
-    Version(u32),
+pub enum SnapshotError {
+    /// It can't be decoded.
+    Malformed(String),
+    /// Its format version is not known here.
+    UnknownVersion(u32),
     /// Its digest is not that of its state.
-    Digest {
-        /// As it says.
-        told: Digest,
-        /// As it is.
-        found: Digest,
+    DigestMismatch {
+        /// The digest that it states.
+        stated: Digest,
+        /// The digest of its state.
+        computed: Digest,
     },
 }
 
-impl fmt::Display for Damaged {
+impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Unreadable(why) => write!(f, "the snapshot can't be read: {why}"),
-            Self::Version(told) => write!(f, "the snapshot has version {told}; {VERSION} is expected"),
-            Self::Digest { told, found } => {
-                write!(f, "the snapshot's state has the digest {found}, and it says {told}")
+            Self::Malformed(fault) => write!(f, "the snapshot can't be read: {fault}"),
+            Self::UnknownVersion(version) => {
+                write!(f, "the snapshot has version {version}; {SNAPSHOT_VERSION} is expected")
+            }
+            Self::DigestMismatch { stated, computed } => {
+                write!(f, "the snapshot's state has the digest {computed}, and it says {stated}")
             }
         }
     }
 }
 
-impl std::error::Error for Damaged {}
+impl std::error::Error for SnapshotError {}
 
-impl Register {
-    fn octets(&self) -> Vec<u8> {
-        // All keys of maps are texts or numbers, so nothing can fail.
-        serde_json::to_vec(self).unwrap_or_default()
+impl From<serde_json::Error> for SnapshotError {
+    fn from(fault: serde_json::Error) -> Self {
+        Self::Malformed(fault.to_string())
     }
+}
 
+impl CoordinationState {
     /// The digest of the state.
     pub fn digest(&self) -> Digest {
-        Digest(sha2::Sha256::digest(self.octets()).into())
+        // Encoding fails only for maps whose keys are neither strings nor integers, and the state has none.
+        let bytes = serde_json::to_vec(self).unwrap_or_default();
+        Digest(sha2::Sha256::digest(bytes).into())
     }
 
-    /// The state as octets, with its digest.
+    /// The state as bytes, with its digest.
     pub fn snapshot(&self) -> Vec<u8> {
-        serde_json::to_vec(&Kept { v: VERSION, digest: self.digest(), register: self }).unwrap_or_default()
+        let snapshot = Snapshot { version: SNAPSHOT_VERSION, digest: self.digest(), state: self };
+        // As above.
+        serde_json::to_vec(&snapshot).unwrap_or_default()
     }
 
     /// The state of a snapshot.
     ///
     /// # Errors
-    /// It is not whole, of another version, or not what its digest says.
-    pub fn restore(octets: &[u8]) -> Result<Self, Damaged> {
-        #[derive(Deserialize)]
-        struct Version {
-            v: u32,
-        }
-        let unreadable = |fault: serde_json::Error| Damaged::Unreadable(fault.to_string());
-        let Version { v } = serde_json::from_slice(octets).map_err(unreadable)?;
-        if v != VERSION {
-            return Err(Damaged::Version(v));
+    /// It can't be decoded, has another version, or its state is not what its digest says.
+    pub fn restore(bytes: &[u8]) -> Result<Self, SnapshotError> {
+        let VersionOnly { version } = serde_json::from_slice(bytes)?;
+        if version != SNAPSHOT_VERSION {
+            return Err(SnapshotError::UnknownVersion(version));
         }
-        let kept: Kept<Self> = serde_json::from_slice(octets).map_err(unreadable)?;
-        let found = kept.register.digest();
-        if found != kept.digest {
-            return Err(Damaged::Digest { told: kept.digest, found });
+        let snapshot: Snapshot<Self> = serde_json::from_slice(bytes)?;
+        let computed = snapshot.state.digest();
+        if computed != snapshot.digest {
+            return Err(SnapshotError::DigestMismatch { stated: snapshot.digest, computed });
         }
-        Ok(kept.register)
+        Ok(snapshot.state)
     }
 }
--- a/crates/core/coordination/src/wallets/account.rs
+++ b/crates/core/coordination/src/wallets/account.rs
@@ -1,75 +1,73 @@
-//! What one process has of one wallet.
+//! One process's account of one wallet.
 
-use crate::time::micros;
+use crate::serde_instant;
 use lynxtally::Instant;
-use lynxtally_messages::WalletReport;
 use serde::{Deserialize, Serialize};
 
-/// One process's reservation. All amounts only grow.
+/// What one process was granted of a wallet, and what it accounted for. The counts only grow, until doubt about it is
+/// settled.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub(crate) struct Account {
     pub incarnation: u64,
-    /// Given to it so far.
-    pub given: u64,
-    /// Charged by it so far.
+    /// Units granted to it so far.
+    #[serde(rename = "given")]
+    pub granted: u64,
+    /// Units charged by it so far.
     pub spent: u64,
-    /// Given back by it so far.
+    /// Units returned by it so far.
     pub returned: u64,
-    /// When nothing can be under way any more that was let in against it.
-    #[serde(with = "micros")]
-    pub end: Instant,
-    /// Since when it is in doubt, in the register's time.
-    #[serde(with = "optional")]
-    pub doubt: Option<Instant>,
-    /// Another has its name.
-    pub muted: bool,
-    /// Its doubt was settled: nothing of it is left.
+    /// When no request can run any more that was admitted against it.
+    #[serde(rename = "end", with = "serde_instant")]
+    pub over_at: Instant,
+    /// Since when it is in doubt, by the state's clock.
+    #[serde(rename = "doubt", with = "serde_instant::optional")]
+    pub in_doubt_since: Option<Instant>,
+    /// Another process has taken the name of this one.
+    #[serde(rename = "muted")]
+    pub fenced: bool,
+    /// The doubt about it was settled: nothing of it is left.
     pub settled: bool,
 }
 
 impl Account {
     pub fn new(incarnation: u64) -> Self {
-        let end = Instant::default();
-        Self { incarnation, given: 0, spent: 0, returned: 0, end, doubt: None, muted: false, settled: false }
+        Self {
+            incarnation,
+            granted: 0,
+            spent: 0,
+            returned: 0,
+            over_at: Instant::default(),
+            in_doubt_since: None,
+            fenced: false,
+            settled: false,
+        }
     }
 
-    /// What it has and has not accounted for.
+    /// What the process has and did not account for.
     pub fn left(&self) -> u64 {
-        self.given - self.spent - self.returned
+        self.granted - self.spent - self.returned
     }
 
-    /// Nobody accounts for it any more; tells what was left.
+    /// Settles the doubt: the process has nothing of it any more. What was left.
     pub fn settle(&mut self) -> u64 {
         let left = self.left();
-        (self.given, self.settled, self.doubt) = (self.given - left, true, None);
+        self.granted -= left;
+        self.settled = true;
+        self.in_doubt_since = None;
         left
     }
 
-    pub fn give(&mut self, units: u64, end: Instant) {
-        self.given += units;
-        self.end = self.end.max(end);
+    pub fn grant(&mut self, units: u64, over_at: Instant) {
+        self.granted += units;
+        self.over_at = self.over_at.max(over_at);
     }
 
-    /// How much of what it has it may keep: what it wants. The rest lies idle and is called back.
-    pub fn keep(&self, purse: &WalletReport) -> u64 {
-        if self.muted {
-            0
-        } else {
-            purse.demand.min(self.left())
+    /// How many of the units that it has left the process may retain: as many as it demands. The others lie idle and
+    /// are called back.
+    pub fn may_retain(&self, demand: u64) -> u64 {
+        if self.fenced {
+            return 0;
         }
-    }
-}
-
-/// A point in time that may not have come.
-mod optional {
-    use lynxtally::Instant;
-    use serde::{Deserialize, Deserializer, Serialize, Serializer};
-
-    pub fn serialize<S: Serializer>(at: &Option<Instant>, to: S) -> Result<S::Ok, S::Error> {
-        at.map(|at| (at - Instant::default()).micros()).serialize(to)
-    }
-
-    pub fn deserialize<'a, D: Deserializer<'a>>(from: D) -> Result<Option<Instant>, D::Error> {
-        Option::<u64>::deserialize(from).map(|at| at.map(Instant::from_micros))
+        demand.min(self.left())
     }
 }
--- a/crates/lynxtally-coordinator/src/leader.rs
+++ b/crates/lynxtally-coordinator/src/leader.rs
@@ -5,7 +5,7 @@
 use crate::store::Shared;
 use crate::Raft;
 use lynxtally::{Instant, Span};
-use lynxtally_coordination::{Answer, Command, Stamped};
+use lynxtally_coordination::{Checkpoint, Command, Output, TimestampedCommand};
 use lynxtally_membership::{Fleet, Heard, Limits, Source, State};
 use lynxtally_messages::{AdminRequest, AdminResponse, NodeRequest, NodeResponse};
 use openraft::ServerState;
@@ -82,13 +82,13 @@
     }
 
     /// Writes a command; the answer comes once it is applied here, and so durable on most keepers.
-    async fn write(&self, command: Command) -> Result<Answer, Unled> {
+    async fn write(&self, command: Command) -> Result<Output, Unled> {
         for _ in 0..TRIES {
             // The term before the clock: an entry of this term was stamped while this keeper led in it.
             let Some(term) = self.term() else { return Err(Unled::By(self.known())) };
-            let stamped = Stamped { term, at: clock::now(), command: command.clone() };
+            let stamped = TimestampedCommand { term, leader_clock: clock::now(), command: command.clone() };
             match self.raft.client_write(stamped).await {
-                Ok(written) if written.data == Answer::Again => continue,
+                Ok(written) if written.data == Output::TermMismatch => continue,
                 Ok(written) => return Ok(written.data),
                 Err(why) => {
                     return Err(match why.forward_to_leader() {
@@ -108,8 +108,8 @@
     pub async fn say(&self, say: NodeRequest) -> Result<NodeResponse, Unled> {
         let name = say.name.clone();
         let over = say.ends_session;
-        match self.write(Command::Say(say)).await? {
-            Answer::Reply(reply) => {
+        match self.write(Command::Node(say)).await? {
+            Output::Node(reply) => {
                 if matches!(reply, NodeResponse::Accepted(_)) {
                     self.hear(name, over);
                 }
@@ -124,8 +124,8 @@
     /// # Errors
     /// Another keeper leads, or none.
     pub async fn order(&self, order: AdminRequest) -> Result<AdminResponse, Unled> {
-        match self.write(Command::Order(order)).await? {
-            Answer::Outcome(outcome) => Ok(outcome),
+        match self.write(Command::Admin(order)).await? {
+            Output::Admin(outcome) => Ok(outcome),
             _ => Err(Unled::By(None)),
         }
     }
@@ -159,7 +159,7 @@
                 // A new leader has heard nobody yet, and suspects nobody for that.
                 self.with_fleet(|fleet| *fleet = leads.then(|| Fleet::new(self.limits(), now)));
             }
-            if !leads || !self.shared.look(|register| register.waits()) {
+            if !leads || !self.shared.look(|register| register.needs_ticks()) {
                 continue;
             }
             ticks += 1;
@@ -175,13 +175,15 @@
             metrics.borrow().replication.as_ref().map_or_else(BTreeMap::new, |all| {
                 all.iter().map(|(id, at)| (*id, at.map_or(0, |at| at.index))).collect()
             });
-        self.write(Command::Tick { had }).await?;
+        self.write(Command::Tick { acknowledged_indexes: had }).await?;
         for (incarnation, suspect) in self.suspicions(clock::now()) {
-            self.write(Command::Suspect { incarnation, suspect }).await?;
+            self.write(Command::Suspect { incarnation, suspected: suspect }).await?;
         }
         if ticks.is_multiple_of(COMPARE) {
-            if let Answer::Marked(number, digest) = self.write(Command::Mark).await? {
-                self.write(Command::Compare { number, digest }).await?;
+            if let Output::Checkpoint(Checkpoint { index, digest }) =
+                self.write(Command::TakeCheckpoint).await?
+            {
+                self.write(Command::CompareCheckpoint { index, digest }).await?;
             }
         }
         Ok(())
@@ -191,7 +193,7 @@
     fn suspicions(&self, now: Instant) -> Vec<(u64, bool)> {
         let members: Vec<(u64, String, bool)> = self
             .shared
-            .look(|register| register.members().map(|(n, at)| (n, at.name.clone(), at.suspect)).collect());
+            .look(|register| register.members().map(|(n, at)| (n, at.name.clone(), at.suspected)).collect());
         self.with_fleet(|fleet| {
             let Some(fleet) = fleet else { return Vec::new() };
             fleet.tick(now);
--- a/crates/lynxtally-coordinator/src/lib.rs
+++ b/crates/lynxtally-coordinator/src/lib.rs
@@ -11,14 +11,14 @@
 pub mod settings;
 pub mod store;
 
-use lynxtally_coordination::{Answer, Stamped};
+use lynxtally_coordination::{Output, TimestampedCommand};
 use std::io::Cursor;
 
 openraft::declare_raft_types!(
     /// What the library replicates.
     pub Types:
-        D = Stamped,
-        R = Answer,
+        D = TimestampedCommand,
+        R = Output,
 );
 
 /// The library's node, with our types.
--- a/crates/lynxtally-coordinator/src/net/server.rs
+++ b/crates/lynxtally-coordinator/src/net/server.rs
@@ -105,25 +105,26 @@
         let budgets: serde_json::Map<_, _> = register
             .budgets()
             .map(|(name, at)| {
-                let state = json!({"whole": at.terms.capacity, "counted": at.counted, "free": at.free,
-                    "in_force": at.in_force, "holders": at.holders});
+                let state = json!({"whole": at.terms.capacity, "counted": at.outstanding, "free": at.free,
+                    "in_force": at.capacity_in_force, "holders": at.holders});
                 (name.to_owned(), state)
             })
             .collect();
         let members: Vec<_> = register
             .members()
             .map(|(incarnation, at)| {
-                json!({"incarnation": incarnation, "name": at.name, "program": at.program, "suspect": at.suspect})
+                json!({"incarnation": incarnation, "name": at.name, "program": at.program_version, "suspect": at.suspected})
             })
             .collect();
         let wallets: serde_json::Map<_, _> = register
-            .all_books()
+            .wallets()
             .map(|(name, books)| (name.to_owned(), serde_json::to_value(books).unwrap_or_default()))
             .collect();
-        let (versions, document, waits) = register.routes();
-        let routes = json!({"versions": versions, "document": document, "waits": waits});
+        let routes = register.route_status();
+        let routes = json!({"versions": routes.schema_versions, "document": routes.document_index,
+            "waits": routes.waiting});
         let digest = register.digest().to_string();
-        json!({"number": register.number(), "digest": digest, "budgets": budgets,
+        json!({"number": register.applied_index(), "digest": digest, "budgets": budgets,
             "wallets": wallets, "routes": routes, "members": members})
     });
     Json(json!({"leader": leader, "register": register})).into_response()
@@ -133,7 +134,7 @@
     match serde_json::from_slice::<Check>(&body) {
         Err(why) => bad(why),
         Ok(check) => {
-            let told = doors.shared.look(|register| register.had(check.id));
+            let told = doors.shared.look(|register| register.acknowledged_index(check.id));
             let seen = doors.leader().map_or(0, |leader| leader.matched(check.id));
             Json(Checked { had: told.max(seen) }).into_response()
         }
--- a/crates/lynxtally-coordinator/src/store/machine.rs
+++ b/crates/lynxtally-coordinator/src/store/machine.rs
@@ -3,7 +3,7 @@
 use super::disk::{Job, Opened};
 use super::StoreFault;
 use crate::Types;
-use lynxtally_coordination::{Answer, Place, Register};
+use lynxtally_coordination::{CoordinationState, LogPosition, Output};
 use openraft::storage::{RaftStateMachine, Snapshot};
 use openraft::{
     BasicNode, Entry, EntryPayload, LogId, OptionalSend, RaftSnapshotBuilder, SnapshotMeta, StorageError,
@@ -19,7 +19,7 @@
 /// The state with what the library wants to know of it.
 #[derive(Clone, Default)]
 struct State {
-    register: Register,
+    register: CoordinationState,
     applied: Option<LogId<u64>>,
     membership: StoredMembership<u64, BasicNode>,
 }
@@ -40,7 +40,7 @@
 
 impl Shared {
     /// Looks at the register as it is now.
-    pub fn look<T>(&self, look: impl FnOnce(&Register) -> T) -> T {
+    pub fn look<T>(&self, look: impl FnOnce(&CoordinationState) -> T) -> T {
         look(&lock(&self.state).register)
     }
 
@@ -80,7 +80,7 @@
             let read: Sealed =
                 serde_json::from_slice(octets).map_err(|why| StoreFault::State(why.to_string()))?;
             state.register =
-                Register::restore(&read.octets).map_err(|why| StoreFault::State(why.to_string()))?;
+                CoordinationState::restore(&read.octets).map_err(|why| StoreFault::State(why.to_string()))?;
             state.applied = read.meta.last_log_id;
             state.membership = read.meta.last_membership.clone();
             sealed = Some((read.meta, read.octets));
@@ -145,7 +145,7 @@
         Ok((state.applied, state.membership.clone()))
     }
 
-    async fn apply<I>(&mut self, entries: I) -> Result<Vec<Answer>, StorageError<u64>>
+    async fn apply<I>(&mut self, entries: I) -> Result<Vec<Output>, StorageError<u64>>
     where
         I: IntoIterator<Item = Entry<Types>> + OptionalSend,
         I::IntoIter: OptionalSend,
@@ -154,16 +154,16 @@
         let mut state = lock(&self.state);
         for entry in entries {
             state.applied = Some(entry.log_id);
-            let place = Place { number: entry.log_id.index, term: entry.log_id.leader_id.term };
+            let place = LogPosition { index: entry.log_id.index, term: entry.log_id.leader_id.term };
             answers.push(match entry.payload {
-                EntryPayload::Blank => Answer::Nothing,
+                EntryPayload::Blank => Output::None,
                 EntryPayload::Normal(stamped) => state.register.apply(place, &stamped),
                 EntryPayload::Membership(membership) => {
                     state.membership = StoredMembership::new(Some(entry.log_id), membership);
-                    Answer::Nothing
+                    Output::None
                 }
             });
-            if let Some(Answer::Differs { number, own }) = answers.last() {
+            if let Some(Output::Diverged { index: number, own_digest: own }) = answers.last() {
                 error!(number, %own, "the state here is not the leader's: this keeper does not go on");
                 self.differs.send_replace(true);
             }
@@ -185,7 +185,7 @@
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), StorageError<u64>> {
         let octets = snapshot.into_inner();
-        let register = Register::restore(&octets).map_err(|why| {
+        let register = CoordinationState::restore(&octets).map_err(|why| {
             StorageIOError::read_snapshot(Some(meta.signature()), &io::Error::other(why.to_string()))
         })?;
         Self::keep(&self.jobs, meta, octets.clone()).await?;
--- a/crates/testing/simulator/src/shares/world.rs
+++ b/crates/testing/simulator/src/shares/world.rs
@@ -184,7 +184,7 @@
                 return Err(Broken { seed: self.script.seed, at, in_hand: self.in_hand, whole });
             }
         }
-        self.figures.entries = self.keepers.register.number();
+        self.figures.entries = self.keepers.register.applied_index();
         Ok(std::mem::take(&mut self.figures))
     }
 
