--- a/crates/frontends/stream/src/settings.rs
+++ b/crates/frontends/stream/src/settings.rs
@@ -6,14 +6,14 @@
 use lynxtally_flow::coding::{Coding, Growth};
 use lynxtally_flow::uploads::UploadLimits;
 use lynxtally_flow::{PoolLimits, ProgressLimits, UpstreamLimits};
-use lynxtally_settings::Fault;
+use lynxtally_settings::SettingError;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-fn fault<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault::new(key, what))
+fn fault<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, SettingError> {
+    Err(SettingError::new(key, what))
 }
 
 /// The settings as they stand.
@@ -301,7 +301,7 @@
 
 impl File {
     /// Checks all.
-    pub fn check(self) -> Result<Checked, Fault> {
+    pub fn check(self) -> Result<Checked, SettingError> {
         for (key, empty) in [
             ("listen", self.listen.is_empty()),
             ("upstreams", self.upstreams.is_empty()),
@@ -500,7 +500,7 @@
         }
     }
 
-    fn check(&self, at: &str, file: &File, takes: &[Coding]) -> Result<Stage, Fault> {
+    fn check(&self, at: &str, file: &File, takes: &[Coding]) -> Result<Stage, SettingError> {
         if self.name.is_empty() {
             return fault(format!("{at}.name"), "is empty");
         }
--- a/crates/lynxtally-adapter/src/backend.rs
+++ b/crates/lynxtally-adapter/src/backend.rs
@@ -1,86 +1,102 @@
-//! One backend: its door, its policy, and the translation between wire and interface.
+//! One backend: its request id table, its policy, and the translation between protocol and interface.
 
-use crate::wire::{Inbound, Incoming, Outgoing};
-use lynxtally::*;
-use lynxtally_settings::Declared;
+use crate::error::MessageError;
+use crate::incoming::{ArrivedRequest, Incoming, Name, HAS_EXPECTED_WORK, IS_RETRY};
+use crate::outgoing::Outgoing;
+use lynxtally::{
+    Action, Arrival, CallOutcome, Duplicate, Event, Gauges, Instant, Policy, RequestId, RequestIdTable,
+    RunOutcome,
+};
+use lynxtally_settings::BackendSettings;
 use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
+/// A backend of the simulated fleet.
 pub struct Backend {
-    door: RequestIdTable,
+    ids: RequestIdTable,
     policy: Policy,
-    stages: Vec<String>,
-    customers: Vec<String>,
+    class_names: Vec<String>,
+    tenant_names: Vec<String>,
     actions: Vec<Action>,
-    broken: Option<String>,
+    /// The message of the panic that ended the policy; it hears of nothing more.
+    panic: Option<String>,
     /// Whether it had an event in this batch and has not decided yet.
-    pub touched: bool,
+    pub has_events: bool,
 }
 
 impl Backend {
-    pub fn start(settings: serde_json::Value, seed: u64, now: Instant) -> Result<Self, String> {
-        let read = lynxtally_settings::read(settings).map_err(|fault| format!("settings: {fault}"))?;
-        let Declared { settings, stages, customers, .. } = read;
+    /// A backend that starts with these settings.
+    pub fn start(settings: serde_json::Value, seed: u64, now: Instant) -> Result<Self, MessageError> {
+        let read = lynxtally_settings::read(settings).map_err(MessageError::Settings)?;
+        let BackendSettings { settings, class_names, tenant_names, .. } = read;
         Ok(Self {
-            door: RequestIdTable::default(),
+            ids: RequestIdTable::default(),
             policy: Policy::new(settings, seed, now),
-            stages,
-            customers,
+            class_names,
+            tenant_names,
             actions: Vec::new(),
-            broken: None,
-            touched: false,
+            panic: None,
+            has_events: false,
         })
     }
 
-    /// Passes one event to the policy. A task that has no index any more is over: nothing follows.
-    pub fn take(&mut self, now: Instant, incoming: Incoming) -> Result<(), String> {
-        let event = match incoming {
-            Incoming::Inbound(inbound) => Some(Event::Arrived(self.arrival(&inbound)?)),
-            Incoming::Abandoned { xid, .. } => self.door.find(&xid).map(Event::CallerGone),
-            Incoming::NeedsDep { xid, .. } => self.door.find(&xid).map(Event::CallRequested),
-            Incoming::Result { xid, status, .. } => {
+    /// Passes one event to the policy.
+    pub fn handle(&mut self, now: Instant, incoming: Incoming) -> Result<(), MessageError> {
+        let event = self.event(incoming)?;
+        if let (Some(event), None) = (event, &self.panic) {
+            let policy = &mut self.policy;
+            self.panic = panic_message(|| policy.handle(now, event));
+        }
+        Ok(())
+    }
+
+    /// The policy's event for a message; none for a request whose id was released, as nothing more comes of it.
+    fn event(&mut self, incoming: Incoming) -> Result<Option<Event>, MessageError> {
+        Ok(match incoming {
+            Incoming::Arrived(arrived) => Some(Event::Arrived(self.arrival(&arrived)?)),
+            Incoming::CallerGone { request, .. } => self.ids.find(&request).map(Event::CallerGone),
+            Incoming::CallRequested { request, .. } => self.ids.find(&request).map(Event::CallRequested),
+            Incoming::RunEnded { request, status, .. } => {
                 let outcome = run_outcome(status)?;
-                self.door.find(&xid).map(|task| Event::RunEnded(task, outcome))
+                self.ids.find(&request).map(|request| Event::RunEnded(request, outcome))
             }
-            Incoming::Called { xid, status, .. } => {
+            Incoming::CallEnded { request, status, .. } => {
                 let outcome = call_outcome(status)?;
-                self.door.find(&xid).map(|task| Event::CallEnded(task, outcome))
+                self.ids.find(&request).map(|request| Event::CallEnded(request, outcome))
             }
-            Incoming::Fired { stats, .. } => Some(Event::TimerFired(Gauges {
-                cpu_utilization: stats.cpu_busy,
-                open_connections: stats.sockets,
+            Incoming::TimerFired { gauges, .. } => Some(Event::TimerFired(Gauges {
+                cpu_utilization: gauges.cpu_utilization,
+                open_connections: gauges.open_connections,
             })),
-            Incoming::Quiesce { kill, .. } => Some(Event::Drain(kill.instant())),
-            Incoming::Frame { .. } | Incoming::Eob | Incoming::Init { .. } | Incoming::Retire { .. } => None,
-        };
-        if let (Some(event), None) = (event, &self.broken) {
-            let policy = &mut self.policy;
-            self.broken = guarded(|| policy.handle(now, event));
-        }
-        Ok(())
+            Incoming::Drain { shutdown_deadline, .. } => Some(Event::Drain(shutdown_deadline.instant())),
+            Incoming::BatchStart { .. }
+            | Incoming::BatchEnd
+            | Incoming::Start { .. }
+            | Incoming::Stop { .. } => None,
+        })
     }
 
-    /// Lets the policy decide and writes its actions.
+    /// Has the policy decide, and writes its actions.
     pub fn decide(
         &mut self,
-        i: u64,
+        instance: u64,
         now: Instant,
         write: &mut impl FnMut(&Outgoing) -> io::Result<()>,
     ) -> io::Result<()> {
         let Self { policy, actions, .. } = self;
-        if self.broken.is_none() {
-            self.broken = guarded(|| policy.decide(now, actions));
+        if self.panic.is_none() {
+            self.panic = panic_message(|| policy.decide(now, actions));
         }
-        if let Some(msg) = &self.broken {
-            return write(&Outgoing::InternalError { i, msg });
+        if let Some(panic) = &self.panic {
+            return write(&Outgoing::InternalError { instance, panic });
         }
         for action in self.actions.drain(..) {
-            if let Action::ReleaseId(task) = action {
-                self.door.release(task);
-            } else if let Some(outgoing) = Outgoing::for_backend(i, &action) {
+            if let Action::ReleaseId(request) = action {
+                self.ids.release(request);
+            } else if let Some(outgoing) = Outgoing::for_backend(instance, &action) {
                 write(&outgoing)?;
-            } else if let Some(xid) = subject(&action).and_then(|task| self.door.name(task)) {
-                if let Some(outgoing) = Outgoing::for_task(i, &action, xid) {
+            } else if let Some(name) = request_of(&action).and_then(|request| self.ids.name(request)) {
+                if let Some(outgoing) = Outgoing::for_request(instance, &action, name) {
                     write(&outgoing)?;
                 }
             }
@@ -88,81 +104,85 @@
         Ok(())
     }
 
-    fn arrival(&mut self, inbound: &Inbound) -> Result<Arrival, String> {
-        let known = |names: &[String], name: &str| names.iter().position(|known| known == name);
-        let stage = known(&self.stages, &inbound.profile).ok_or_else(|| {
-            format!("field `profile`: no class named {:?} in the settings", inbound.profile)
-        })?;
-        let customer =
-            match inbound.client_group.as_ref().and_then(|name| name.given()) {
-                Some(name) => Some(known(&self.customers, name).ok_or_else(|| {
-                    format!("field `client-group`: no tenant named {name:?} in the settings")
-                })?),
-                None => None,
-            };
-        if self.door.find(&inbound.xid).is_some() {
-            return Err(format!("field `xid`: {:?} came twice", inbound.xid));
+    fn arrival(&mut self, arrived: &ArrivedRequest) -> Result<Arrival, MessageError> {
+        let class = index_of(&self.class_names, &arrived.class)
+            .ok_or_else(|| MessageError::UnknownClass(arrived.class.clone()))?;
+        let tenant = match arrived.tenant.as_ref().and_then(Name::given) {
+            Some(name) => Some(
+                index_of(&self.tenant_names, name)
+                    .ok_or_else(|| MessageError::UnknownTenant(name.to_owned()))?,
+            ),
+            None => None,
+        };
+        if self.ids.find(&arrived.name).is_some() {
+            return Err(MessageError::DuplicateName(arrived.name.clone()));
         }
-        let repeat = match inbound.earlier.as_ref().and_then(|name| name.given()) {
+        let duplicate = match arrived.duplicate_of.as_ref().and_then(Name::given) {
             None => Duplicate::No,
-            Some(earlier) => self.door.find(earlier).map_or(Duplicate::OfReleased, Duplicate::Of),
+            Some(earlier) => self.ids.find(earlier).map_or(Duplicate::OfReleased, Duplicate::Of),
         };
-        const HINTED: u64 = 1;
-        const FURTHER: u64 = 2;
+        let has_expected_work = arrived.flags & HAS_EXPECTED_WORK != 0;
+        let expected_work = arrived.expected_work.filter(|_| has_expected_work);
+        let deadline = arrived.deadline.map(|deadline| deadline.instant());
         Ok(Arrival {
-            request: self.door.assign(&inbound.xid),
-            class: stage,
-            tenant: customer,
-            caller: inbound.by,
-            expected_work: inbound.effort_ms.filter(|_| inbound.opts & HINTED != 0).map(|ms| ms.span()),
-            receive_delay: inbound.lay_ms.span(),
-            deadline: inbound.not_after_ms.map(|ms| ms.instant()).filter(|&at| at > Instant::from_micros(0)),
-            is_retry: inbound.opts & FURTHER != 0,
-            duplicate: repeat,
-            coalescable: inbound.item.as_ref().is_some_and(|item| item.given().is_some()),
-            memory_kb: inbound.footprint,
+            request: self.ids.assign(&arrived.name),
+            class,
+            tenant,
+            caller: arrived.caller,
+            expected_work: expected_work.map(|work| work.span()),
+            receive_delay: arrived.receive_delay.span(),
+            deadline: deadline.filter(|&deadline| deadline > Instant::from_micros(0)),
+            is_retry: arrived.flags & IS_RETRY != 0,
+            duplicate,
+            coalescable: arrived.coalescable_item.as_ref().is_some_and(|item| item.given().is_some()),
+            memory_kb: arrived.memory_kb,
             prepaid: true,
         })
     }
 }
 
-/// Runs a piece of the module; a panic comes back as its message.
-fn guarded(run: impl FnOnce()) -> Option<String> {
+fn index_of(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|known| known == name)
+}
+
+/// Runs a part of the policy; a panic comes back as its message. Without this one faulty backend would end the program
+/// that runs the whole fleet.
+fn panic_message(run: impl FnOnce()) -> Option<String> {
     let panic = catch_unwind(AssertUnwindSafe(run)).err()?;
     let text = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
     Some(text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "a panic".to_owned()))
 }
 
-/// The task that an action concerns.
-fn subject(action: &Action) -> Option<RequestId> {
-    use Action::*;
+/// The request that an action concerns.
+fn request_of(action: &Action) -> Option<RequestId> {
     match action {
-        Start(task)
-        | Stop(task)
-        | Fail(task)
-        | Degrade(task)
-        | Coalesce(task)
-        | RetainKey(task, _)
-        | ReleaseKey(task) => Some(*task),
-        Reject { request: task, .. } | Call { request: task, .. } => Some(*task),
+        Action::Start(request)
+        | Action::Stop(request)
+        | Action::Fail(request)
+        | Action::Degrade(request)
+        | Action::Coalesce(request)
+        | Action::RetainKey(request, _)
+        | Action::ReleaseKey(request)
+        | Action::Reject { request, .. }
+        | Action::Call { request, .. } => Some(*request),
         _ => None,
     }
 }
 
-fn run_outcome(status: u64) -> Result<RunOutcome, String> {
+fn run_outcome(status: u64) -> Result<RunOutcome, MessageError> {
     match status {
         200 | 502 => Ok(RunOutcome::Responded),
         444 => Ok(RunOutcome::Cancelled),
         409 => Ok(RunOutcome::NotStarted),
-        other => Err(format!("field `status`: {other} is no outcome of a run")),
+        other => Err(MessageError::UnknownRunStatus(other)),
     }
 }
 
-fn call_outcome(status: u64) -> Result<CallOutcome, String> {
+fn call_outcome(status: u64) -> Result<CallOutcome, MessageError> {
     match status {
         200 => Ok(CallOutcome::Succeeded),
         429 | 521 | 409 => Ok(CallOutcome::NotExecuted),
         502 | 408 | 520 | 444 => Ok(CallOutcome::MaybeExecuted),
-        other => Err(format!("field `status`: {other} is no outcome of a call")),
+        other => Err(MessageError::UnknownCallStatus(other)),
     }
 }
--- a/crates/lynxtally-adapter/tests/exchange.rs
+++ b/crates/lynxtally-adapter/tests/exchange.rs
@@ -47,3 +47,38 @@
         assert!(!said.contains("panicked"));
     }
 }
+
+/// Each message that the simulator sends is read by the protocol's own names, and the messages that come back have them.
+#[test]
+fn every_message_of_the_protocol_is_read() {
+    let out = run(&[
+        FRAME,
+        INIT,
+        r#"{"type":"inbound","i":3,"xid":"x1","profile":"a","footprint":10.0,"client-group":0,"by":2,"effort-ms":5.5,"lay-ms":1,"earlier":"x0","not-after-ms":900,"opts":3,"item":"it"}"#,
+        r#"{"type":"needs-dep","i":3,"xid":"x1"}"#,
+        r#"{"type":"called","i":3,"xid":"x1","status":200}"#,
+        r#"{"type":"result","i":3,"xid":"x1","status":200}"#,
+        r#"{"type":"abandoned","i":3,"xid":"x1"}"#,
+        r#"{"type":"fired","i":3,"server-stats":{"cpu_busy":0.5,"sockets":4}}"#,
+        r#"{"type":"eob"}"#,
+        r#"{"type":"frame","now-ms":11}"#,
+        r#"{"type":"quiesce","i":3,"not-after-ms":12}"#,
+        r#"{"type":"eob"}"#,
+        r#"{"type":"frame","now-ms":200}"#,
+        r#"{"type":"inbound","i":3,"xid":"x2","profile":"a","footprint":10.0}"#,
+        r#"{"type":"eob"}"#,
+        r#"{"type":"frame","now-ms":201}"#,
+        r#"{"type":"retire","i":3}"#,
+        r#"{"type":"eob"}"#,
+    ]);
+    let text = String::from_utf8(out.stdout).expect("UTF-8");
+    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    for message in [
+        r#"{"type":"readiness","i":3,"on":true,"cheap":true}"#,
+        r#"{"type":"timer","i":3,"mark":0,"from-now-ms":25.0}"#,
+        r#"{"type":"readiness","i":3,"on":false,"cheap":true}"#,
+    ] {
+        assert!(text.lines().any(|line| line == message), "{message} in {text}");
+    }
+    assert_eq!(text.matches("{\"type\":\"yield\"}").count(), 4);
+}
--- a/crates/lynxtally-node/src/config.rs
+++ b/crates/lynxtally-node/src/config.rs
@@ -1,7 +1,7 @@
 //! What a node is told when it starts: read, checked and given defaults here and nowhere else.
 
 use crate::shares;
-use lynxtally_settings::{decode, Declared, Fault};
+use lynxtally_settings::{decode, BackendSettings, SettingError};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     /// How much memory it may use, in bytes.
     pub memory: usize,
     /// The settings of the decisions, and the names in them.
-    pub declared: Declared,
+    pub declared: BackendSettings,
     /// Its shares of what the fleet has together; none where no keepers are named.
     pub shares: Option<shares::Settings>,
 }
@@ -146,41 +146,42 @@
 
 /// Reads a configuration. What `own` says of name and listening address (the environment's word) goes before
 /// what the file says.
-pub fn read(text: &str, own: impl Fn(&str) -> Option<String>) -> Result<Config, Fault> {
+pub fn read(text: &str, own: impl Fn(&str) -> Option<String>) -> Result<Config, SettingError> {
     let json: serde_json::Value =
-        serde_json::from_str(text).map_err(|fault| Fault::new("", format!("no JSON: {fault}")))?;
+        serde_json::from_str(text).map_err(|fault| SettingError::new("", format!("no JSON: {fault}")))?;
     let file: File = decode(json)?;
-    let missing = |key: &str| Fault::new(key, "is missing; a text is expected");
+    let missing = |key: &str| SettingError::new(key, "is missing; a text is expected");
     let name = own("RELAY_NAME").or(file.name).ok_or_else(|| missing("name"))?;
     if name.is_empty() || name.contains(char::is_whitespace) {
-        return Err(Fault::new("name", format!("is {name:?}; one word is expected")));
+        return Err(SettingError::new("name", format!("is {name:?}; one word is expected")));
     }
     let listen = own("RELAY_LISTEN").or(file.listen).ok_or_else(|| missing("listen"))?;
-    let address = |key: &str, text: &str| -> Result<SocketAddr, Fault> {
+    let address = |key: &str, text: &str| -> Result<SocketAddr, SettingError> {
         let what = format!("is {text:?}; an address such as 127.0.0.1:8443 is expected");
-        text.parse().map_err(|_| Fault::new(key, what))
+        text.parse().map_err(|_| SettingError::new(key, what))
     };
     let seed = file.seed.trim_start_matches("0x");
-    let seed = if seed.is_empty() { Ok(0) } else { u64::from_str_radix(seed, 16) }
-        .map_err(|_| Fault::new("seed", format!("is {:?}; up to 16 hex digits are expected", file.seed)))?;
+    let seed = if seed.is_empty() { Ok(0) } else { u64::from_str_radix(seed, 16) }.map_err(|_| {
+        SettingError::new("seed", format!("is {:?}; up to 16 hex digits are expected", file.seed))
+    })?;
     if file.stop_ms == 0 {
-        return Err(Fault::new("stop_ms", "is 0; a time above 0 is expected"));
+        return Err(SettingError::new("stop_ms", "is 0; a time above 0 is expected"));
     }
     if file.limits.sockets < SOCKETS_LEAST {
         let what = format!("is {}; at least {SOCKETS_LEAST} are expected", file.limits.sockets);
-        return Err(Fault::new("limits.sockets", what));
+        return Err(SettingError::new("limits.sockets", what));
     }
     let mut declared =
         lynxtally_settings::read(file.settings).map_err(|fault| match fault.path.as_str() {
-            "" | "." => Fault::new("settings", fault.what),
-            path => Fault::new(format!("settings.{path}"), fault.what),
+            "" | "." => SettingError::new("settings", fault.problem),
+            path => SettingError::new(format!("settings.{path}"), fault.problem),
         })?;
     let ledger = file.ledger.map(|ledger| address("ledger", &ledger)).transpose()?;
     if ledger.is_none() {
         if let Some(at) = declared.settings.classes.iter().position(|stage| stage.calls_downstream) {
             let what =
-                format!("is missing; an address is expected, as stage `{}` calls", declared.stages[at]);
-            return Err(Fault::new("ledger", what));
+                format!("is missing; an address is expected, as stage `{}` calls", declared.class_names[at]);
+            return Err(SettingError::new("ledger", what));
         }
     }
     // The kernel knows no command for a call left out, so leaving one out earns nothing here.
--- a/crates/lynxtally-node/src/event_loop/mod.rs
+++ b/crates/lynxtally-node/src/event_loop/mod.rs
@@ -234,7 +234,7 @@
         host.set_timer(Instant::default(), Due::Sweep);
         // The codec takes nothing that came longer ago.
         host.set_max_receive_delay(Span::from_millis(Names::of(&config.declared).longest_ms));
-        let stages = config.declared.stages.clone();
+        let stages = config.declared.class_names.clone();
         Self {
             config,
             clock: Clock::default(),
@@ -528,7 +528,7 @@
             Reaped::Moot => self.counters.runs_moot.add(),
         }
         debug!(id, ?how, "run ended");
-        let pauses = self.config.declared.pauses;
+        let pauses = self.config.declared.stop_keeps_progress;
         let Some(task) = self.host.find(id) else { return self.unknown(id) };
         let awaited = self.host.reply_to(task).is_some();
         if let Some(work) = self.host.work(task) {
--- a/crates/lynxtally-node/src/http/mod.rs
+++ b/crates/lynxtally-node/src/http/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as sidecars and the ledger speak it: bytes in, small typed values out. No socket is known here,
 //! and the protocol's names end here.
 
-use lynxtally_settings::Declared;
+use lynxtally_settings::BackendSettings;
 use std::fmt;
 
 /// Room for a message's head.
@@ -29,11 +29,11 @@
 
 impl Names {
     /// As the settings declare them.
-    pub fn of(declared: &Declared) -> Self {
+    pub fn of(declared: &BackendSettings) -> Self {
         let longest = declared.settings.classes.iter().map(|stage| stage.deadline).max().unwrap_or_default();
         Self {
-            stages: declared.stages.clone(),
-            customers: declared.customers.clone(),
+            stages: declared.class_names.clone(),
+            customers: declared.tenant_names.clone(),
             longest_ms: longest.micros() / 1000,
         }
     }
--- a/crates/lynxtally-node/src/shares/settings.rs
+++ b/crates/lynxtally-node/src/shares/settings.rs
@@ -1,7 +1,7 @@
 //! What the configuration says of shares, under `shares`.
 
 use lynxtally::{Downstream, Span};
-use lynxtally_settings::{Declared, Fault};
+use lynxtally_settings::{BackendSettings, SettingError};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -49,33 +49,36 @@
 ///
 /// # Errors
 /// The key and what is wrong with it.
-pub fn read(file: File, declared: &Declared) -> Result<Settings, Fault> {
+pub fn read(file: File, declared: &BackendSettings) -> Result<Settings, SettingError> {
     let keeper = |(n, text): (usize, &String)| {
         let what = || format!("is {text:?}; an address such as 127.0.0.1:7601 is expected");
-        text.parse().map_err(|_| Fault::new(format!("shares.keepers[{n}]"), what()))
+        text.parse().map_err(|_| SettingError::new(format!("shares.keepers[{n}]"), what()))
     };
     let keepers = file.keepers.iter().enumerate().map(keeper).collect::<Result<Vec<SocketAddr>, _>>()?;
     if keepers.is_empty() {
-        return Err(Fault::new("shares.keepers", "is empty; the keepers' addresses are expected"));
+        return Err(SettingError::new("shares.keepers", "is empty; the keepers' addresses are expected"));
     }
     if !(10..=60_000).contains(&file.patience_ms) {
         let what = format!("is {}; 10 to 60000 is expected", file.patience_ms);
-        return Err(Fault::new("shares.patience_ms", what));
+        return Err(SettingError::new("shares.patience_ms", what));
     }
     let settings = &declared.settings;
     let longest = settings.classes.iter().map(|stage| stage.deadline).max().unwrap_or_default();
     let linger = match settings.downstream {
         Downstream::Shared { cancellation_lag: linger, .. } => linger,
         _ if file.calls.is_some() => {
-            return Err(Fault::new("shares.calls", "is there, but `settings` names no shared dependency"));
+            return Err(SettingError::new(
+                "shares.calls",
+                "is there, but `settings` names no shared dependency",
+            ));
         }
         _ => Span::ZERO,
     };
     let own = |key: &str, named: &BTreeMap<String, String>| {
         let one = |(customer, name): (&String, &String)| {
-            let at = declared.customers.iter().position(|known| known == customer);
+            let at = declared.tenant_names.iter().position(|known| known == customer);
             let unknown =
-                || Fault::new(format!("shares.{key}.{customer}"), "names no customer of `settings`");
+                || SettingError::new(format!("shares.{key}.{customer}"), "names no customer of `settings`");
             at.map(|at| (name.clone(), at)).ok_or_else(unknown)
         };
         named.iter().map(one).collect::<Result<Vec<_>, _>>()
@@ -85,7 +88,7 @@
     let mut names: Vec<&String> = file.calls.iter().chain(quotas.iter().map(|(name, _)| name)).collect();
     names.sort_unstable();
     if let Some(pair) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-        return Err(Fault::new("shares", format!("names the budget `{}` twice", pair[0])));
+        return Err(SettingError::new("shares", format!("names the budget `{}` twice", pair[0])));
     }
     Ok(Settings {
         keepers,
@@ -94,7 +97,7 @@
         longest: longest + linger,
         quotas,
         wallets,
-        stages: declared.stages.clone(),
-        customers: declared.customers.len(),
+        stages: declared.class_names.clone(),
+        customers: declared.tenant_names.len(),
     })
 }
--- /dev/null
+++ b/crates/lynxtally-settings/src/decode.rs
@@ -0,0 +1,27 @@
+//! JSON into values, with errors that name the key.
+
+use crate::error::SettingError;
+use serde::Deserialize;
+
+/// Decodes JSON into a value.
+///
+/// # Errors
+/// Names the key by its path.
+pub fn decode<'de, T: Deserialize<'de>>(
+    json: impl serde::Deserializer<'de, Error = serde_json::Error>,
+) -> Result<T, SettingError> {
+    serde_path_to_error::deserialize(json).map_err(|error| {
+        let path = error.path().to_string();
+        SettingError::new(path, format!("cannot be read: {}", describe_json_error(error.inner())))
+    })
+}
+
+/// The text of a JSON error without its line and column: an input of one line has its own count of lines, and decoded
+/// values have none.
+pub fn describe_json_error(error: &serde_json::Error) -> String {
+    let text = error.to_string();
+    match text.rsplit_once(" at line ") {
+        Some((what, _)) => what.to_owned(),
+        None => text,
+    }
+}
