--- a/crates/lynxtally-coordinator/src/leader.rs
+++ b/crates/lynxtally-coordinator/src/leader.rs
@@ -6,7 +6,7 @@
 use crate::Raft;
 use lynxtally::{Instant, Span};
 use lynxtally_coordination::{Answer, Command, Stamped};
-use lynxtally_membership::{Fleet, Heard, Limits, Source, State};
+use lynxtally_membership::{MemberState, Membership, MembershipLimits, Observation, Source};
 use lynxtally_messages::{Order, Outcome, Reply, Say};
 use openraft::ServerState;
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
     raft: Raft,
     shared: Shared,
     /// Whom this keeper hears. Only the leader hears anybody.
-    fleet: Arc<Mutex<Option<Fleet>>>,
+    fleet: Arc<Mutex<Option<Membership>>>,
     tick: Span,
 }
 
@@ -130,16 +130,17 @@
         }
     }
 
-    fn with_fleet<T>(&self, with: impl FnOnce(&mut Option<Fleet>) -> T) -> T {
+    fn with_fleet<T>(&self, with: impl FnOnce(&mut Option<Membership>) -> T) -> T {
         with(&mut self.fleet.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     fn hear(&self, name: String, leaving: bool) {
         let address = SocketAddr::from(([0, 0, 0, 0], 0));
-        let heard = Heard { name, address, source: Source::Report, capacity: 1.0, zone: 0, leaving };
+        let observation =
+            Observation { name, address, source: Source::Report, capacity: 1.0, zone: 0, draining: leaving };
         self.with_fleet(|fleet| {
             if let Some(fleet) = fleet {
-                fleet.hear(clock::now(), heard);
+                fleet.observe(clock::now(), observation);
             }
         });
     }
@@ -157,7 +158,7 @@
                 info!(leads, "who leads has changed");
                 let now = clock::now();
                 // A new leader has heard nobody yet, and suspects nobody for that.
-                self.with_fleet(|fleet| *fleet = leads.then(|| Fleet::new(self.limits(), now)));
+                self.with_fleet(|fleet| *fleet = leads.then(|| Membership::new(self.limits(), now)));
             }
             if !leads || !self.shared.look(|register| register.waits()) {
                 continue;
@@ -196,16 +197,16 @@
             let Some(fleet) = fleet else { return Vec::new() };
             fleet.tick(now);
             let differs = |(incarnation, name, told): (u64, String, bool)| {
-                let suspect = match fleet.why(&name).map(|why| (why.state, why.kept)) {
-                    Some((State::Suspect, None) | (State::Gone, _)) => true,
+                let suspect = match fleet.explain(&name).map(|why| (why.state, why.kept)) {
+                    Some((MemberState::Suspect, None) | (MemberState::Removed, _)) => true,
                     Some(_) => false,
                     // Never heard by this leader: it is listed from now on, and its silence counts.
                     None => {
                         let address = SocketAddr::from(([0, 0, 0, 0], 0));
                         let source = Source::Report;
-                        fleet.hear(
+                        fleet.observe(
                             now,
-                            Heard { name, address, source, capacity: 1.0, zone: 0, leaving: false },
+                            Observation { name, address, source, capacity: 1.0, zone: 0, draining: false },
                         );
                         told
                     }
@@ -217,19 +218,19 @@
     }
 
     /// What members are held to, as ratios to how often they speak: a third of the shortest span.
-    fn limits(&self) -> Limits {
+    fn limits(&self) -> MembershipLimits {
         let span = self.shared.look(|register| register.budgets().map(|(_, at)| at.terms.span_us).min());
         let usual = span.map_or(self.tick * 4.0, |span| Span::from_micros(span) * (1.0 / 3.0));
-        Limits {
-            phi: 8.0,
-            least_spread: usual * 0.5,
-            warm: usual,
-            out_share: 1.0,
-            together: 0.5,
-            window: usual * 2.0,
-            settle: usual * 2.0,
-            forget: usual * 1000.0,
-            tick: self.tick,
+        MembershipLimits {
+            phi_threshold: 8.0,
+            min_deviation: usual * 0.5,
+            warmup_time: usual,
+            max_ejected_fraction: 1.0,
+            observer_fault_fraction: 0.5,
+            observer_fault_window: usual * 2.0,
+            recovery_time: usual * 2.0,
+            removal_time: usual * 1000.0,
+            tick_interval: self.tick,
         }
     }
 }
