--- a/crates/core/flow/src/repeats.rs
+++ b/crates/core/flow/src/repeats.rs
@@ -2,7 +2,7 @@
 //! restartable and all that was sent is still at hand; and only while the budget, paid by successes, allows it.
 
 use lynxtally::Effect;
-use lynxtally_retry::Budget;
+use lynxtally_retry::RetryBudget;
 
 /// How far a stream had come when its upstream failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,23 +19,23 @@
 
 /// The budget of all streams.
 #[derive(Clone, Copy, Debug)]
-pub struct Repeats(Budget);
+pub struct Repeats(RetryBudget);
 
 impl Repeats {
     /// So many successes pay for a repeat; no more than `most` repeats are saved up, and so many there are at first.
     pub fn new(price: u32, most: u32) -> Self {
-        Self(Budget::new(price, most))
+        Self(RetryBudget::new(price, most))
     }
 
     /// A stream ended well.
     pub fn succeeded(&mut self) {
-        self.0.succeeded();
+        self.0.record_success();
     }
 
     /// Whether a stream may be repeated; it is paid for then.
     pub fn may(&mut self, effect: Effect, sent: Sent) -> bool {
         let untouched = !sent.head && sent.octets == 0;
         let again = effect == Effect::Idempotent && sent.held;
-        !sent.answered && (untouched || again) && self.0.pay()
+        !sent.answered && (untouched || again) && self.0.try_spend()
     }
 }
--- a/crates/core/flow/src/upstreams.rs
+++ b/crates/core/flow/src/upstreams.rs
@@ -4,7 +4,7 @@
 //! and comes back with few streams at first.
 
 use lynxtally::{Instant, Pcg, Span};
-use lynxtally_retry::{OutlierLimits, Outliers};
+use lynxtally_retry::{OutlierDetector, OutlierLimits};
 
 #[derive(Clone, Debug)]
 struct Upstream {
@@ -17,7 +17,7 @@
 /// The upstreams.
 #[derive(Clone, Debug)]
 pub struct Upstreams {
-    outliers: Outliers,
+    outliers: OutlierDetector,
     all: Vec<Upstream>,
     chance: Pcg,
 }
@@ -28,11 +28,11 @@
     /// So many, all well.
     pub fn new(count: usize, limits: OutlierLimits, seed: u64) -> Self {
         let one = Upstream { outstanding: 0, streams: 0, rate: 0.0 };
-        Self { outliers: Outliers::new(count, limits), all: vec![one; count], chance: Pcg::new(seed) }
+        Self { outliers: OutlierDetector::new(count, limits), all: vec![one; count], chance: Pcg::new(seed) }
     }
 
     fn fit(&self, now: Instant, n: usize) -> bool {
-        !self.outliers.out(now, n) && (!self.outliers.on_trial(n) || self.all[n].streams == 0)
+        !self.outliers.is_ejected(now, n) && (!self.outliers.is_on_probation(n) || self.all[n].streams == 0)
     }
 
     /// How long an upstream would take for what it has, in seconds; one that is not known is taken for the mean.
@@ -83,7 +83,7 @@
         one.streams = one.streams.saturating_sub(1);
         let rate = octets as f64 / took.secs().max(1e-6);
         one.rate = if one.rate > 0.0 { one.rate + (rate - one.rate) * GAIN } else { rate };
-        self.outliers.succeeded(n);
+        self.outliers.record_success(n);
     }
 
     /// A stream ended by nobody's fault that is known: its client went, or its time ran out.
@@ -94,6 +94,6 @@
     /// A stream failed by the upstream's fault; tells whether it is left out from now on.
     pub fn failed(&mut self, now: Instant, n: usize) -> bool {
         self.ended(n);
-        self.outliers.failed(now, n)
+        self.outliers.record_failure(now, n)
     }
 }
--- a/crates/frontends/stream/src/settings.rs
+++ b/crates/frontends/stream/src/settings.rs
@@ -406,11 +406,11 @@
                 patience: self.progress.patience,
             },
             leave_out: UpstreamLimits {
-                failures: self.leave_out.failures.max(1),
-                out: ms(self.leave_out.out_ms),
-                out_most: ms(self.leave_out.out_most_ms),
-                share: self.leave_out.share,
-                proven: self.leave_out.proven,
+                consecutive_failures: self.leave_out.failures.max(1),
+                base_ejection_time: ms(self.leave_out.out_ms),
+                max_ejection_time: ms(self.leave_out.out_most_ms),
+                max_ejected_fraction: self.leave_out.share,
+                probation_successes: self.leave_out.proven,
             },
             uploads: UploadLimits {
                 each: limits.uploads_mb << 20,
