--- a/crates/frontends/net/src/lib.rs
+++ b/crates/frontends/net/src/lib.rs
@@ -1,5 +1,6 @@
 //! What every frontend reads and writes through: sockets and connections, why a connection was closed, listeners,
-//! the table of open connections, the timer, the clock and a directory as storage. It knows no protocol and decides
+//! the table of open connections, the timer, the clock, a directory as storage, and what `main` functions have in
+//! common. It knows no protocol and decides
 //! nothing.
 
 pub mod clock;
@@ -12,5 +13,6 @@
 pub mod listener;
 pub mod mailbox;
 pub mod socket;
+pub mod startup;
 pub mod sync;
 pub mod timer;
--- a/crates/lynxtally-node/src/config.rs
+++ b/crates/lynxtally-node/src/config.rs
@@ -1,93 +1,97 @@
-//! What a node is told when it starts: read, checked and given defaults here and nowhere else.
+//! The configuration of a node: read, checked and given defaults here and nowhere else.
 
 use crate::shares;
 use lynxtally_settings::{decode, Declared, Fault};
 use serde::Deserialize;
+use std::fmt;
+use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// All that a node is told.
+/// The configuration of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     /// Its name, the same after a restart.
     pub name: String,
-    /// Where sidecars connect.
+    /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where the kernel is.
-    pub kernel: SocketAddr,
+    /// Where the executor is.
+    pub executor: SocketAddr,
     /// Where the control plane is.
-    pub control: SocketAddr,
-    /// Where the ledger is. Nodes whose stages call nothing may have none.
-    pub ledger: Option<SocketAddr>,
-    /// Where chance starts from.
+    pub control_plane: SocketAddr,
+    /// Where the downstream dependency is. Nodes whose request classes call nothing may have none.
+    pub downstream: Option<SocketAddr>,
+    /// The seed of the random generator.
     pub seed: u64,
-    /// How long after the notice to leave it is killed.
-    pub stop: Duration,
+    /// How long after SIGTERM the process is killed.
+    pub shutdown_timeout: Duration,
     /// How many descriptors it may hold.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// How much memory it may use, in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// The settings of the decisions, and the names in them.
     pub declared: Declared,
-    /// Its shares of what the fleet has together; none where no keepers are named.
+    /// Its part in what the fleet has together; none where no coordinators are named.
     pub shares: Option<shares::Settings>,
 }
 
-/// What the node's own sockets and memory are held to: one place for all such bounds, as ratios to `limits`
-/// and settings.
+/// The limits of the node's own sockets and memory: one place for all such limits, as fractions of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Connections from sidecars at most.
-    pub connections: usize,
-    /// How long a message may take until it is whole, and an answer until it is taken.
-    pub message: Duration,
+    /// How many connections from clients may be open.
+    pub max_connections: usize,
+    /// How long a message may take until it is complete, and a response until it is taken.
+    pub message_timeout: Duration,
     /// How long a connection is read on after our last byte.
-    pub linger: Duration,
-    /// How many bytes of it.
+    pub linger_timeout: Duration,
+    /// How many bytes are read then.
     pub linger_bytes: usize,
-    /// After how long a connection that carries nothing is one that its sidecar has forgotten.
-    pub idle: Option<Duration>,
-    /// What kept results take at most, in bytes.
-    pub results: usize,
-}
-
-/// Sidecars get this part of the descriptors; the rest stands for kernel, ledger, control plane and files.
-const SIDECARS_PART: f64 = 0.75;
-/// A message that takes longer is not waited for, however long a task may.
-const MESSAGE_MOST: Duration = Duration::from_secs(2);
-/// The part of that for which a connection is read on after our last byte.
-const LINGER_PART: u32 = 2;
-/// Sidecars close what carries nothing after the time that the settings name; this many times that is forgotten.
-const FORGOTTEN: u32 = 2;
-/// Kept results take this part of the memory at most.
-const RESULTS_PART: f64 = 0.25;
+    /// After how long an idle connection is one that its client has forgotten; none where clients keep them for good.
+    pub idle_timeout: Option<Duration>,
+    /// How many bytes retained results take.
+    pub retained_result_bytes: usize,
+}
+
+/// Clients get this fraction of the descriptors; the rest is for the executor, the downstream dependency, the control
+/// plane and files.
+const CLIENT_SOCKETS_FRACTION: f64 = 0.75;
+/// No message gets longer than this, however long the deadline of a request class is.
+const MAX_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A connection lingers for the message timeout divided by this.
+const LINGER_DIVISOR: u32 = 2;
+/// Clients close what is idle after the time that the settings name; after this many times that, they have forgotten it.
+const FORGOTTEN_AFTER: u32 = 2;
+/// Retained results take this fraction of the memory.
+const RETAINED_RESULTS_FRACTION: f64 = 0.25;
 
 impl Config {
-    /// The bounds that follow from it.
+    /// The limits that follow from it.
     pub fn bounds(&self) -> Bounds {
         let settings = &self.declared.settings;
-        let span = |span: lynxtally::Span| Duration::from_micros(span.micros());
-        let longest = settings.classes.iter().map(|stage| span(stage.deadline)).max().unwrap_or(MESSAGE_MOST);
-        let connections = (self.sockets as f64 * SIDECARS_PART) as usize;
-        let message = longest.min(MESSAGE_MOST);
+        let duration = |span: lynxtally::Span| Duration::from_micros(span.micros());
+        let deadlines = settings.classes.iter().map(|class| duration(class.deadline));
+        let longest_deadline = deadlines.max().unwrap_or(MAX_MESSAGE_TIMEOUT);
+        let max_connections = (self.max_sockets as f64 * CLIENT_SOCKETS_FRACTION) as usize;
+        let message_timeout = longest_deadline.min(MAX_MESSAGE_TIMEOUT);
+        let idle_timeout = duration(settings.client_idle_timeout) * FORGOTTEN_AFTER;
         Bounds {
-            connections,
-            message,
-            linger: message / LINGER_PART,
-            // All of them together take in no more than there is memory.
-            linger_bytes: self.memory / connections,
-            idle: Some(span(settings.client_idle_timeout) * FORGOTTEN).filter(|idle| !idle.is_zero()),
-            results: (self.memory as f64 * RESULTS_PART) as usize,
+            max_connections,
+            message_timeout,
+            linger_timeout: message_timeout / LINGER_DIVISOR,
+            // All connections together read no more than there is memory.
+            linger_bytes: self.memory_bytes / max_connections,
+            idle_timeout: Some(idle_timeout).filter(|timeout| !timeout.is_zero()),
+            retained_result_bytes: (self.memory_bytes as f64 * RETAINED_RESULTS_FRACTION) as usize,
         }
     }
 
     /// The keys whose values differ in a newer configuration and can't take effect in a running program.
-    pub fn fixed(&self, newer: &Self) -> Vec<&'static str> {
+    pub fn changed_fixed_keys(&self, newer: &Self) -> Vec<&'static str> {
         [
             ("name", self.name != newer.name),
             ("listen", self.listen != newer.listen),
-            ("limits.sockets", self.sockets != newer.sockets),
-            ("limits.memory_mb", self.memory != newer.memory),
+            ("limits.sockets", self.max_sockets != newer.max_sockets),
+            ("limits.memory_mb", self.memory_bytes != newer.memory_bytes),
             ("settings", self.declared != newer.declared),
             ("shares", self.shares != newer.shares),
         ]
@@ -97,105 +101,173 @@
     }
 }
 
-/// The file as it stands. Unknown keys are ignored.
+/// The configuration file with its own keys. Unknown keys are ignored.
 #[derive(Deserialize)]
 struct File {
     name: Option<String>,
     listen: Option<String>,
-    kernel: String,
-    control: String,
-    ledger: Option<String>,
+    #[serde(rename = "kernel")]
+    executor: String,
+    #[serde(rename = "control")]
+    control_plane: String,
+    #[serde(rename = "ledger")]
+    downstream: Option<String>,
     #[serde(default)]
     seed: String,
-    #[serde(default = "stop_ms")]
-    stop_ms: u64,
+    #[serde(rename = "stop_ms", default = "default_shutdown_ms")]
+    shutdown_ms: u64,
     #[serde(default)]
     limits: Limits,
     settings: serde_json::Value,
     shares: Option<shares::File>,
 }
 
-fn stop_ms() -> u64 {
+fn default_shutdown_ms() -> u64 {
     3000
 }
 
 #[derive(Deserialize)]
 struct Limits {
-    #[serde(default = "sockets")]
+    #[serde(default = "default_sockets")]
     sockets: usize,
-    #[serde(default = "memory_mb")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: usize,
 }
 
-fn memory_mb() -> usize {
+fn default_memory_mb() -> usize {
     192
 }
 
-fn sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { sockets: sockets(), memory_mb: memory_mb() }
+        Self { sockets: default_sockets(), memory_mb: default_memory_mb() }
     }
 }
 
-/// Fewer descriptors than this leave no room for kernel, ledger, control plane and files.
-const SOCKETS_LEAST: usize = 64;
+/// Fewer descriptors leave no room for the executor, the downstream dependency, the control plane and files.
+const MIN_SOCKETS: usize = 64;
+/// Overrides `name` of the file.
+const NAME_VARIABLE: &str = "RELAY_NAME";
+/// Overrides `listen` of the file.
+const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
+
+/// Why a configuration can't be used.
+#[derive(Debug)]
+pub enum LoadError {
+    /// Its file can't be read.
+    Read {
+        /// The path of the file.
+        path: String,
+        /// Why not.
+        error: io::Error,
+    },
+    /// What is in the file can't be used.
+    Invalid {
+        /// The path of the file.
+        path: String,
+        /// The key, and what is wrong with it.
+        fault: Fault,
+    },
+}
 
-/// Reads a configuration. What `own` says of name and listening address (the environment's word) goes before
-/// what the file says.
-pub fn read(text: &str, own: impl Fn(&str) -> Option<String>) -> Result<Config, Fault> {
+impl fmt::Display for LoadError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Self::Read { path, error } => write!(f, "{path}: {error}"),
+            Self::Invalid { path, fault } => write!(f, "{path}: {fault}"),
+        }
+    }
+}
+
+impl std::error::Error for LoadError {}
+
+/// Reads the configuration from a file. The process's environment overrides name and listening address.
+///
+/// # Errors
+/// The file can't be read, or a key in it can't be used.
+pub fn load(path: &str) -> Result<Config, LoadError> {
+    let path = path.to_owned();
+    let text = match std::fs::read_to_string(&path) {
+        Ok(text) => text,
+        Err(error) => return Err(LoadError::Read { path, error }),
+    };
+    parse(&text, |name| std::env::var(name).ok()).map_err(|fault| LoadError::Invalid { path, fault })
+}
+
+/// Reads the configuration from a text. `environment` overrides name and listening address.
+///
+/// # Errors
+/// The key that can't be used, and what is wrong with it.
+pub fn parse(text: &str, environment: impl Fn(&str) -> Option<String>) -> Result<Config, Fault> {
     let json: serde_json::Value =
-        serde_json::from_str(text).map_err(|fault| Fault::new("", format!("no JSON: {fault}")))?;
+        serde_json::from_str(text).map_err(|error| Fault::new("", format!("no JSON: {error}")))?;
     let file: File = decode(json)?;
     let missing = |key: &str| Fault::new(key, "is missing; a text is expected");
-    let name = own("RELAY_NAME").or(file.name).ok_or_else(|| missing("name"))?;
+    let name = environment(NAME_VARIABLE).or(file.name).ok_or_else(|| missing("name"))?;
     if name.is_empty() || name.contains(char::is_whitespace) {
         return Err(Fault::new("name", format!("is {name:?}; one word is expected")));
     }
-    let listen = own("RELAY_LISTEN").or(file.listen).ok_or_else(|| missing("listen"))?;
-    let address = |key: &str, text: &str| -> Result<SocketAddr, Fault> {
-        let what = format!("is {text:?}; an address such as 127.0.0.1:8443 is expected");
-        text.parse().map_err(|_| Fault::new(key, what))
-    };
-    let seed = file.seed.trim_start_matches("0x");
-    let seed = if seed.is_empty() { Ok(0) } else { u64::from_str_radix(seed, 16) }
-        .map_err(|_| Fault::new("seed", format!("is {:?}; up to 16 hex digits are expected", file.seed)))?;
-    if file.stop_ms == 0 {
+    let listen = environment(LISTEN_VARIABLE).or(file.listen).ok_or_else(|| missing("listen"))?;
+    let seed = parse_seed(&file.seed)?;
+    if file.shutdown_ms == 0 {
         return Err(Fault::new("stop_ms", "is 0; a time above 0 is expected"));
     }
-    if file.limits.sockets < SOCKETS_LEAST {
-        let what = format!("is {}; at least {SOCKETS_LEAST} are expected", file.limits.sockets);
+    if file.limits.sockets < MIN_SOCKETS {
+        let what = format!("is {}; at least {MIN_SOCKETS} are expected", file.limits.sockets);
         return Err(Fault::new("limits.sockets", what));
     }
-    let mut declared =
-        lynxtally_settings::read(file.settings).map_err(|fault| match fault.path.as_str() {
-            "" | "." => Fault::new("settings", fault.what),
-            path => Fault::new(format!("settings.{path}"), fault.what),
-        })?;
-    let ledger = file.ledger.map(|ledger| address("ledger", &ledger)).transpose()?;
-    if ledger.is_none() {
-        if let Some(at) = declared.settings.classes.iter().position(|stage| stage.calls_downstream) {
-            let what =
-                format!("is missing; an address is expected, as stage `{}` calls", declared.stages[at]);
-            return Err(Fault::new("ledger", what));
-        }
+    let mut declared = parse_settings(file.settings)?;
+    let downstream = file.downstream.map(|text| parse_address("ledger", &text)).transpose()?;
+    if downstream.is_none() {
+        check_nothing_is_called(&declared)?;
     }
-    // The kernel knows no command for a call left out, so leaving one out earns nothing here.
-    declared.settings.classes.iter_mut().for_each(|stage| stage.degraded_utility_fraction = 0.0);
+    // The executor has no command to degrade a request, so degrading one earns nothing here.
+    declared.settings.classes.iter_mut().for_each(|class| class.degraded_utility_fraction = 0.0);
     Ok(Config {
         name,
-        listen: address("listen", &listen)?,
-        kernel: address("kernel", &file.kernel)?,
-        control: address("control", &file.control)?,
-        ledger,
+        listen: parse_address("listen", &listen)?,
+        executor: parse_address("kernel", &file.executor)?,
+        control_plane: parse_address("control", &file.control_plane)?,
+        downstream,
         seed,
-        stop: Duration::from_millis(file.stop_ms),
-        sockets: file.limits.sockets,
-        memory: file.limits.memory_mb << 20,
+        shutdown_timeout: Duration::from_millis(file.shutdown_ms),
+        max_sockets: file.limits.sockets,
+        memory_bytes: file.limits.memory_mb << 20,
         shares: file.shares.map(|file| shares::read(file, &declared)).transpose()?,
         declared,
     })
 }
+
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, Fault> {
+    let what = || format!("is {text:?}; an address such as 127.0.0.1:8443 is expected");
+    text.parse().map_err(|_| Fault::new(key, what()))
+}
+
+fn parse_seed(text: &str) -> Result<u64, Fault> {
+    let digits = text.trim_start_matches("0x");
+    if digits.is_empty() {
+        return Ok(0);
+    }
+    u64::from_str_radix(digits, 16)
+        .map_err(|_| Fault::new("seed", format!("is {text:?}; up to 16 hex digits are expected")))
+}
+
+fn parse_settings(json: serde_json::Value) -> Result<Declared, Fault> {
+    lynxtally_settings::read(json).map_err(|fault| match fault.path.as_str() {
+        "" | "." => Fault::new("settings", fault.what),
+        path => Fault::new(format!("settings.{path}"), fault.what),
+    })
+}
+
+/// A node without a downstream dependency may have no request class that calls it.
+fn check_nothing_is_called(declared: &Declared) -> Result<(), Fault> {
+    let Some(calling) = declared.settings.classes.iter().position(|class| class.calls_downstream) else {
+        return Ok(());
+    };
+    let what = format!("is missing; an address is expected, as stage `{}` calls", declared.stages[calling]);
+    Err(Fault::new("ledger", what))
+}
--- a/crates/lynxtally-node/src/counters.rs
+++ b/crates/lynxtally-node/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the program takes in, sends and answers, counted; printed as one line of JSON.
+//! What the node receives, sends and answers, counted. SIGUSR1 prints the counters, as does the end of the program.
 
 use lynxtally_net::close_reason::CloseReason;
 use std::fmt::Write;
@@ -9,13 +9,13 @@
 pub struct Count(AtomicU64);
 
 impl Count {
-    /// One more.
+    /// Adds one.
     pub fn add(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// One less, for what is counted while it lasts.
-    pub fn less(&self) {
+    /// Takes one off, for what is counted while it lasts.
+    pub fn subtract(&self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -25,53 +25,52 @@
     }
 
     fn print(&self, line: &mut String) {
-        // A string takes whatever is written to it.
+        // Writing to a string can't fail.
         let _ = write!(line, "{}", self.get());
     }
 }
 
-/// Connections by how they ended.
+/// Connections by the reason of their closing.
 #[derive(Debug, Default)]
-pub struct Ends([Count; CloseReason::ALL.len()]);
+pub struct CountByReason([Count; CloseReason::ALL.len()]);
 
-impl Ends {
-    /// One more that ended so.
-    pub fn add(&self, end: CloseReason) {
-        self.0[end as usize].add();
+impl CountByReason {
+    /// Counts one more that ended for this reason.
+    pub fn add(&self, reason: CloseReason) {
+        self.0[reason as usize].add();
     }
 
-    /// How many ended so.
-    pub fn get(&self, end: CloseReason) -> u64 {
-        self.0[end as usize].get()
+    /// How many ended for this reason.
+    pub fn get(&self, reason: CloseReason) -> u64 {
+        self.0[reason as usize].get()
     }
 
     fn print(&self, line: &mut String) {
-        object(
-            line,
-            CloseReason::ALL.iter().filter(|end| self.get(**end) > 0).map(|end| (end.name(), self.get(*end))),
-        );
+        let counts = CloseReason::ALL.iter().map(|reason| (reason.name(), self.get(*reason)));
+        print_object(line, counts.filter(|(_, count)| *count > 0));
     }
 }
 
-fn object<'a>(line: &mut String, pairs: impl Iterator<Item = (&'a str, u64)>) {
+fn print_object<'a>(line: &mut String, entries: impl Iterator<Item = (&'a str, u64)>) {
     line.push('{');
-    for (at, (name, value)) in pairs.enumerate() {
-        let comma = if at > 0 { "," } else { "" };
+    for (index, (name, value)) in entries.enumerate() {
+        let comma = if index > 0 { "," } else { "" };
+        // As above.
         let _ = write!(line, "{comma}\"{name}\":{value}");
     }
     line.push('}');
 }
 
-/// Counts by the names of the settings, such as tasks by stage.
+/// Counts by a name of the settings, such as requests by class.
 #[derive(Debug, Default)]
-pub struct Named(Vec<(String, Count)>);
+pub struct CountByName(Vec<(String, Count)>);
 
-impl Named {
+impl CountByName {
     fn new(names: &[String]) -> Self {
         Self(names.iter().map(|name| (name.clone(), Count::default())).collect())
     }
 
-    /// One more of the name with this index.
+    /// Counts one more of the name with this index.
     pub fn add(&self, index: usize) {
         if let Some((_, count)) = self.0.get(index) {
             count.add();
@@ -79,12 +78,14 @@
     }
 
     fn print(&self, line: &mut String) {
-        object(line, self.0.iter().map(|(name, count)| (name.as_str(), count.get())));
+        print_object(line, self.0.iter().map(|(name, count)| (name.as_str(), count.get())));
     }
 }
 
+/// Declares the counters, each with the key under which it is printed. Scripts read these keys: they never change,
+/// also where the field has a better name.
 macro_rules! counters {
-    ($($(#[$doc:meta])* $name:ident: $kind:ty,)*) => {
+    ($($(#[$doc:meta])* $name:ident: $kind:ty => $key:literal,)*) => {
         /// All counters of a node.
         #[derive(Debug, Default)]
         pub struct Counters {
@@ -99,7 +100,7 @@
                     if line.len() > 1 {
                         line.push(',');
                     }
-                    line.push_str(concat!("\"", stringify!($name), "\":"));
+                    line.push_str(concat!("\"", $key, "\":"));
                     self.$name.print(&mut line);
                 )*
                 line.push('}');
@@ -110,75 +111,76 @@
 }
 
 counters! {
-    /// Connections taken from sidecars.
-    connections: Count,
-    /// How they ended.
-    connection_ends: Ends,
-    /// Connections that could not be taken, for want of descriptors most likely.
-    accepts_failed: Count,
+    /// Connections accepted from clients.
+    connections: Count => "connections",
+    /// Why they ended.
+    connections_closed: CountByReason => "connection_ends",
+    /// Connections that could not be accepted, for want of descriptors most likely.
+    accepts_failed: Count => "accepts_failed",
     /// Health checks answered.
-    health_checks: Count,
-    /// Messages with a head that can't be read.
-    bad_head: Count,
-    /// Messages with a field that can't be read, or names that are not known.
-    bad_field: Count,
-    /// Messages for a path or method that is not there.
-    bad_path: Count,
-    /// Messages that are too large, or come in a coding that is not taken.
-    bad_size: Count,
-    /// Tasks read, by stage.
-    tasks: Named,
-    /// Tasks rejected without the module: before the kernel is up, or under a name that is in use.
-    tasks_refused: Count,
-    /// Tasks answered with a run's result.
-    finished: Count,
-    /// Tasks answered that they never ran.
-    rejected: Count,
-    /// Tasks answered that they failed.
-    abandoned: Count,
-    /// Tasks whose caller was gone before their answer.
-    caller_gone: Count,
-    /// Tasks read whose answer is still owed.
-    open: Count,
-    /// Answers that no connection took any more.
-    answers_lost: Count,
+    health_checks: Count => "health_checks",
+    /// Messages whose head can't be parsed.
+    bad_head: Count => "bad_head",
+    /// Messages with a header that can't be parsed, or with a name that is not known.
+    bad_header: Count => "bad_field",
+    /// Messages for a path or method that does not exist.
+    bad_path: Count => "bad_path",
+    /// Messages that are too large, or have an encoding that is not supported.
+    bad_size: Count => "bad_size",
+    /// Requests read, by class.
+    requests: CountByName => "tasks",
+    /// Requests not accepted by the engine: before the executor is up, under an id that is in use, or under another
+    /// request's idempotency key.
+    requests_refused: Count => "tasks_refused",
+    /// Requests answered with a run's result.
+    completed: Count => "finished",
+    /// Requests answered that they were never executed.
+    rejected: Count => "rejected",
+    /// Requests answered that they failed.
+    failed: Count => "abandoned",
+    /// Requests whose caller was gone before the response.
+    caller_gone: Count => "caller_gone",
+    /// Requests read that are still owed a response.
+    in_flight: Count => "open",
+    /// Responses that no connection took any more.
+    responses_undelivered: Count => "answers_lost",
     /// Runs ordered.
-    runs: Count,
-    /// Runs that ended well.
-    runs_ok: Count,
-    /// Runs that ended with an error.
-    runs_error: Count,
+    runs: Count => "runs",
+    /// Runs that succeeded.
+    runs_succeeded: Count => "runs_ok",
+    /// Runs that failed.
+    runs_failed: Count => "runs_error",
     /// Runs that were stopped.
-    runs_stopped: Count,
+    runs_stopped: Count => "runs_stopped",
     /// Runs that never started.
-    runs_moot: Count,
-    /// Calls made to the ledger.
-    calls: Count,
-    /// Calls that went well.
-    calls_ok: Count,
-    /// Calls that failed and never ran.
-    calls_never_ran: Count,
-    /// Calls that failed and may have run.
-    calls_may_have_run: Count,
-    /// How connections to the ledger ended.
-    ledger_ends: Ends,
-    /// Links made to the kernel.
-    kernel_links: Count,
-    /// How they, or the attempts at one, ended.
-    kernel_ends: Ends,
-    /// Commands that the kernel did not carry out.
-    kernel_refused: Count,
-    /// Notices for tasks that are not known.
-    kernel_unknown: Count,
-    /// Reports to the control plane.
-    reports: Count,
-    /// Reports that could not be sent.
-    reports_failed: Count,
+    runs_not_started: Count => "runs_moot",
+    /// Downstream calls started.
+    calls: Count => "calls",
+    /// Calls that succeeded.
+    calls_succeeded: Count => "calls_ok",
+    /// Calls that failed and were not executed.
+    calls_not_executed: Count => "calls_never_ran",
+    /// Calls that failed and may have been executed.
+    calls_maybe_executed: Count => "calls_may_have_run",
+    /// Why downstream connections ended.
+    downstream_closed: CountByReason => "ledger_ends",
+    /// Links made to the executor.
+    executor_links: Count => "kernel_links",
+    /// Why they, or the attempts at one, ended.
+    executor_links_closed: CountByReason => "kernel_ends",
+    /// Commands that the executor refused.
+    commands_refused: Count => "kernel_refused",
+    /// Events for requests that are not known.
+    unknown_request_events: Count => "kernel_unknown",
+    /// Health reports sent to the control plane.
+    health_reports: Count => "reports",
+    /// Health reports that could not be sent.
+    health_reports_failed: Count => "reports_failed",
 }
 
 impl Counters {
-    /// Counters that know the stages' names.
-    pub fn new(stages: &[String]) -> Self {
-        Self { tasks: Named::new(stages), ..Self::default() }
+    /// Counters for the request classes with these names.
+    pub fn new(classes: &[String]) -> Self {
+        Self { requests: CountByName::new(classes), ..Self::default() }
     }
 }
--- /dev/null
+++ b/crates/lynxtally-node/src/event_loop/calls.rs
@@ -0,0 +1,33 @@
+//! Downstream calls that ended.
+
+use super::EventLoop;
+use crate::executor_link::Command;
+use crate::messages::CallEnd;
+use lynxtally::{CallOutcome, Instant};
+use tracing::debug;
+
+impl EventLoop {
+    /// A call ended. A successful reply goes to the run that waits for it; a call that was cancelled meanwhile is only
+    /// counted.
+    pub(super) fn call_ended(&mut self, now: Instant, id: &str, number: u64, end: CallEnd) {
+        let outcome = end.outcome();
+        match outcome {
+            CallOutcome::Succeeded => self.counters.calls_succeeded.add(),
+            CallOutcome::NotExecuted => self.counters.calls_not_executed.add(),
+            CallOutcome::MaybeExecuted => self.counters.calls_maybe_executed.add(),
+        }
+        let Some(request) = self.engine.find(id) else { return };
+        if !self.engine.call_ended(now, request, number, outcome) {
+            return;
+        }
+        debug!(id, ?outcome, "call ended");
+        let Some(work) = self.engine.work(request) else { return };
+        work.call = None;
+        if let CallEnd::Replied(reply) = end {
+            if outcome == CallOutcome::Succeeded {
+                let reply = Command::CallReply { id: id.to_owned(), body: reply.body };
+                self.executor.send(work, reply);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/lynxtally-node/src/event_loop/executor_events.rs
@@ -0,0 +1,115 @@
+//! What the executor reports: it is up, runs ended, calls are to be made, commands were refused.
+
+use super::executor::RequestWork;
+use super::EventLoop;
+use crate::executor_link::Command;
+use crate::messages::{CommandName, ExecutorEvent, RunStatus};
+use lynxtally::{Gauges, Instant, Policy, RequestId, Span};
+use lynxtally_engine::RunEnd;
+use tracing::{debug, info, warn};
+
+impl EventLoop {
+    pub(super) fn executor_event(&mut self, now: Instant, event: ExecutorEvent) {
+        match event {
+            ExecutorEvent::Started { cold_start, uptime_ms } => {
+                self.executor_started(now, cold_start, uptime_ms);
+            }
+            ExecutorEvent::CaughtUp { link } => {
+                self.executor.link_caught_up(link, self.engine.works_mut());
+            }
+            ExecutorEvent::Gauges { number, values } => self.gauges_reported(now, number, &values),
+            ExecutorEvent::CallRequested { id, body } => self.call_requested(now, &id, body),
+            ExecutorEvent::RunEnded { id, status, result } => self.run_ended(now, &id, status, result),
+            ExecutorEvent::CommandRefused { command, id } => self.command_refused(now, &command, &id),
+            ExecutorEvent::LogLine(text) => debug!(text, "log line of the executor"),
+        }
+    }
+
+    /// The executor is up: decisions start. It reports this on each link; only the first counts.
+    fn executor_started(&mut self, now: Instant, cold_start: bool, uptime_ms: f64) {
+        if self.engine.is_started() {
+            return;
+        }
+        let started_at = now - Span::from_secs(uptime_ms / 1000.0);
+        info!(cold_start, uptime_ms, "the executor is up");
+        debug!(downstream = ?self.config.declared.settings.downstream, "where calls go");
+        let mut settings = self.config.declared.settings.clone();
+        settings.cold_start = cold_start;
+        self.engine.start(now, Policy::new(settings, self.config.seed, started_at));
+    }
+
+    fn gauges_reported(&mut self, now: Instant, number: u64, values: &[f64]) {
+        self.executor.gauges_reported(number);
+        let names = &self.config.declared.gauges;
+        let value_of = |name| Some(*values.get(names.iter().position(|known| known == name)?)?);
+        let gauges = Gauges { cpu_utilization: value_of("cpu_busy"), open_connections: value_of("sockets") };
+        self.engine.update_gauges(now, gauges);
+    }
+
+    fn call_requested(&mut self, now: Instant, id: &str, body: Vec<u8>) {
+        let Some((request, work)) = self.find_work(id) else { return self.unknown_request(id) };
+        // It shows that all earlier commands were read, but not a command to stop: that one may have crossed this
+        // event, and only the end of the run shows its effect.
+        work.unconfirmed.retain(|unconfirmed| matches!(unconfirmed.command, Command::Stop(_)));
+        work.call_body = body;
+        debug!(id, "call requested");
+        self.engine.call_requested(now, request);
+    }
+
+    fn run_ended(&mut self, now: Instant, id: &str, status: RunStatus, result: Vec<u8>) {
+        match status {
+            RunStatus::Succeeded => self.counters.runs_succeeded.add(),
+            RunStatus::Failed => self.counters.runs_failed.add(),
+            RunStatus::Stopped => self.counters.runs_stopped.add(),
+            RunStatus::NotStarted => self.counters.runs_not_started.add(),
+        }
+        debug!(id, ?status, "run ended");
+        let Some(request) = self.engine.find(id) else { return self.unknown_request(id) };
+        let can_be_resumed = status == RunStatus::Stopped
+            && self.config.declared.pauses
+            && self.engine.reply_to(request).is_some();
+        if let Some(work) = self.engine.work(request) {
+            work.unconfirmed.clear();
+            work.is_paused = can_be_resumed;
+        }
+        let end = match status {
+            RunStatus::Succeeded => RunEnd::Completed(result),
+            RunStatus::Failed => RunEnd::Failed,
+            RunStatus::Stopped => RunEnd::Stopped,
+            RunStatus::NotStarted => RunEnd::NotStarted,
+        };
+        self.end_run(now, request, end);
+    }
+
+    /// A refused run is never reported again: its request must not wait for it.
+    fn command_refused(&mut self, now: Instant, command: &CommandName, id: &str) {
+        if self.counters.commands_refused.get() == 0 {
+            warn!(id, %command, "the executor refused a command; later ones are only counted");
+        }
+        self.counters.commands_refused.add();
+        let end = match command {
+            CommandName::Start => RunEnd::NotStarted,
+            // It had begun before it was stopped.
+            CommandName::Resume => RunEnd::Failed,
+            CommandName::Other(_) => return,
+        };
+        if let Some((request, work)) = self.find_work(id) {
+            work.unconfirmed.clear();
+            self.end_run(now, request, end);
+        }
+    }
+
+    fn end_run(&mut self, now: Instant, request: RequestId, end: RunEnd) {
+        self.engine.run_ended(now, request, end, &mut self.executor, &mut self.responder);
+    }
+
+    fn find_work(&mut self, id: &str) -> Option<(RequestId, &mut RequestWork)> {
+        let request = self.engine.find(id)?;
+        Some((request, self.engine.work(request)?))
+    }
+
+    fn unknown_request(&self, id: &str) {
+        debug!(id, "an event for a request that is not known");
+        self.counters.unknown_request_events.add();
+    }
+}
--- /dev/null
+++ b/crates/lynxtally-node/src/event_loop/reload.rs
@@ -0,0 +1,32 @@
+//! A configuration that was read anew.
+
+use super::EventLoop;
+use crate::config::Config;
+use tracing::{info, warn};
+
+impl EventLoop {
+    /// Takes over what can change in a running program: the addresses of the other parts, and the time until the
+    /// process is killed after SIGTERM. Runs, requests and counters go on.
+    pub(super) fn reload(&mut self, newer: &Config) {
+        let Config { executor, downstream, control_plane, .. } = *newer;
+        let shown = downstream.map_or_else(|| "none".to_owned(), |address| address.to_string());
+        info!(%executor, downstream = shown, %control_plane, "configuration reloaded");
+        let fixed = self.config.changed_fixed_keys(newer);
+        if !fixed.is_empty() {
+            warn!(keys = fixed.join(", "), "changed keys that take effect only at the next start");
+        }
+        if self.config.executor != executor {
+            self.executor.set_executor_address(executor);
+        }
+        if self.config.downstream != downstream {
+            self.executor.set_downstream_address(downstream);
+        }
+        if self.config.control_plane != control_plane {
+            self.responder.set_control_plane_address(control_plane);
+        }
+        self.config.executor = executor;
+        self.config.downstream = downstream;
+        self.config.control_plane = control_plane;
+        self.config.shutdown_timeout = newer.shutdown_timeout;
+    }
+}
--- /dev/null
+++ b/crates/lynxtally-node/src/event_loop/responder.rs
@@ -0,0 +1,74 @@
+//! Gives final responses to the clients' connections, and announces the node's state.
+
+use crate::advertised_state::AdvertisedState;
+use crate::counters::Counters;
+use crate::health_reports::HealthReporter;
+use crate::listener::Listener;
+use crate::messages::{ConnectionCommand, ConnectionHandle};
+use lynxtally::Span;
+use lynxtally_engine::{FinalResponse, Responder};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tracing::info;
+
+/// The clients' connections, and the control plane that tells clients of this node.
+pub(super) struct NodeResponder {
+    pub listener: Arc<Listener>,
+    pub advertised: Arc<AdvertisedState>,
+    health_reporter: HealthReporter,
+    counters: Arc<Counters>,
+}
+
+impl NodeResponder {
+    pub fn new(
+        listener: Arc<Listener>,
+        advertised: Arc<AdvertisedState>,
+        health_reporter: HealthReporter,
+        counters: Arc<Counters>,
+    ) -> Self {
+        Self { listener, advertised, health_reporter, counters }
+    }
+
+    /// Tells health checks and the control plane whether this node is healthy.
+    pub fn announce_health(&mut self, is_healthy: bool) {
+        self.advertised.set_healthy(is_healthy);
+        self.health_reporter.set_healthy(is_healthy);
+    }
+
+    /// The control plane is at this address from now on.
+    pub fn set_control_plane_address(&self, address: SocketAddr) {
+        self.health_reporter.set_address(address);
+    }
+}
+
+impl Responder<ConnectionHandle> for NodeResponder {
+    fn respond(&mut self, connection: ConnectionHandle, response: FinalResponse) -> bool {
+        self.counters.in_flight.subtract();
+        match &response {
+            FinalResponse::Completed(_) => self.counters.completed.add(),
+            FinalResponse::Rejected { .. } => self.counters.rejected.add(),
+            FinalResponse::Failed => self.counters.failed.add(),
+        }
+        let is_taken = connection.push(ConnectionCommand::Respond(response));
+        if !is_taken {
+            self.counters.responses_undelivered.add();
+        }
+        is_taken
+    }
+
+    fn set_health(&mut self, is_healthy: bool) {
+        self.announce_health(is_healthy);
+    }
+
+    fn advertise_capacity(&mut self, capacity: f64) {
+        self.advertised.set_capacity(capacity);
+    }
+
+    fn close_idle_connections(&mut self, idle_for: Span) {
+        self.listener.close_idle(super::duration(idle_for));
+    }
+
+    fn log(&mut self, text: &str) {
+        info!("{text}");
+    }
+}
--- a/crates/lynxtally-node/src/idempotency.rs
+++ b/crates/lynxtally-node/src/idempotency.rs
@@ -1,32 +1,43 @@
-//! By what a task's repeats are known.
+//! By which idempotency key duplicates of a request are recognized.
 
-use crate::http::Sent;
-use lynxtally::Effect;
+use crate::http::ReceivedRequest;
+use lynxtally::{Effect, Span};
 use lynxtally_engine::{Fingerprint, IdempotencyKey};
 use sha2::{Digest, Sha256};
 
-/// Key and fingerprint of a task; without a key it repeats nothing.
+/// What identifies a request among its duplicates. Without a key it is nobody's duplicate.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Known {
-    /// Under what it is known.
+pub struct RequestIdentity {
+    /// The key under which its result is retained.
     pub key: Option<IdempotencyKey>,
-    /// What the same task under that key has in common with it.
+    /// What another request under that key must have in common with it to be its duplicate.
     pub fingerprint: Fingerprint,
 }
 
-/// Marks are a customer's own, and stand for one body: else whoever copies a mark gets what another's run made. What a
-/// read is about is common to all customers, and any body about it may share its answer, where answers are shared.
-pub fn known_by(sent: &Sent, effect: Effect, shares: bool) -> Known {
+/// The identity of a request whose class has this effect.
+///
+/// A deduplicated request is known by its tenant, the idempotency key that its caller chose, and its body: without the
+/// tenant and the body, whoever copies a key would be given what another's run made. An idempotent read is known by
+/// its subject alone, for all tenants and bodies, and only where responses are coalesced at all.
+pub fn request_identity(
+    request: &ReceivedRequest,
+    effect: Effect,
+    coalescing_window: Span,
+) -> RequestIdentity {
     match effect {
-        Effect::Idempotent if shares => {
-            let key = sent.subject.clone().map(|value| IdempotencyKey { class: sent.stage, value });
-            Known { key, ..Known::default() }
+        Effect::Idempotent if coalescing_window > Span::ZERO => {
+            let subject = request.subject.clone();
+            let key = subject.map(|value| IdempotencyKey { class: request.class, value });
+            RequestIdentity { key, ..RequestIdentity::default() }
         }
         Effect::Deduplicated => {
-            let whose = sent.customer.map_or_else(String::new, |customer| customer.to_string());
-            let own = |mark| IdempotencyKey { class: sent.stage, value: format!("{whose}/{mark}") };
-            Known { key: sent.mark.as_ref().map(own), fingerprint: Sha256::digest(&sent.body).into() }
+            let tenant = request.tenant.map_or_else(String::new, |tenant| tenant.to_string());
+            let own_key = |key| IdempotencyKey { class: request.class, value: format!("{tenant}/{key}") };
+            RequestIdentity {
+                key: request.idempotency_key.as_ref().map(own_key),
+                fingerprint: Sha256::digest(&request.body).into(),
+            }
         }
-        Effect::Idempotent | Effect::NonIdempotent => Known::default(),
+        Effect::Idempotent | Effect::NonIdempotent => RequestIdentity::default(),
     }
 }
--- a/crates/lynxtally-node/src/lib.rs
+++ b/crates/lynxtally-node/src/lib.rs
@@ -1,8 +1,15 @@
-//! The program round the module: sockets on one side, decisions on the other.
+//! A node: the program that serves requests on real sockets as lynxtally decides.
+//!
+//! The parts run side by side and send each other [`messages`]. The [`event_loop`] alone decides: it holds the
+//! scheduler and the open requests. The [`listener`] reads requests from clients and writes their responses, the
+//! [`executor_link`] has them run, [`downstream`] makes their calls, [`health_reports`] tells the control plane that
+//! this node may be used, and [`shares`] has its part in what the fleet has together. [`node`] starts all of them.
 
+pub mod advertised_state;
 pub mod config;
 pub mod counters;
 pub mod downstream;
+pub mod error;
 pub mod event_loop;
 pub mod executor_link;
 pub mod health_reports;
--- a/crates/lynxtally-node/src/listener/accept_loop.rs
+++ b/crates/lynxtally-node/src/listener/accept_loop.rs
@@ -1,113 +1,119 @@
-//! The listener before the table: connections are taken eagerly until it is closed.
+//! The accept loop: connections are accepted eagerly until the listener is closed.
 
-use super::connection::Connection;
-use super::{Entrance, Handle, Room, Seat, Stand, PAUSE, TURN};
-use crate::messages::Heard;
+use super::connection::ClientConnection;
+use super::table::Room;
+use super::{Listener, ACCEPT_RETRY_PAUSE, YIELD_TIME};
+use crate::messages::{ConnectionHandle, Message};
 use lynxtally_net::close_reason::CloseReason;
+use lynxtally_net::connection::Connection;
 use lynxtally_net::coroutine::{self, Panic};
 use lynxtally_net::listener::ignore_new_connections;
-use lynxtally_net::sync as wire;
-
+use lynxtally_net::sync::lock;
 use may::io::{CoIo, WaitIo};
-use std::io::ErrorKind;
+use std::io::{self, ErrorKind};
 use std::net::{TcpListener, TcpStream};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
-use std::time::Instant;
+use std::time::Duration;
 use tracing::{debug, warn};
 
 const STACK_WORDS: usize = 0x2000;
-/// After so many connections taken in one go the others get their turn.
-const AT_ONCE: u32 = 16;
+/// After so many connections accepted in one go the others run.
+const MAX_ACCEPTS_IN_A_ROW: u32 = 16;
+/// The pause for evicted connections to close: they do as soon as they run, or after a moment of reading on.
+const EVICTION_PAUSE: Duration = Duration::from_millis(5);
 
-impl Entrance {
-    /// Takes connections until the listener is to be closed.
-    pub fn accept(self: &Arc<Self>, listener: TcpListener) {
-        let listener = match CoIo::new(listener) {
-            Ok(listener) => listener,
-            Err(fault) => return warn!(%fault, "the listener can't be waited on"),
+impl Listener {
+    /// Accepts connections until [`Listener::close`], then reports that the socket is closed.
+    ///
+    /// While closing, what waits in the system's queue is still accepted: the system has accepted those connections,
+    /// so requests on them count as read, and closing the socket over them would reset them. Only when the queue is
+    /// empty, new connections are ignored; those whose handshake was under way get one more pause to arrive.
+    pub fn accept(self: &Arc<Self>, socket: TcpListener) {
+        let socket = match CoIo::new(socket) {
+            Ok(socket) => socket,
+            Err(error) => return warn!(%error, "the listener can't be registered with the event loop"),
         };
-        *wire::lock(&self.waker) = Some(listener.waker());
-        let (mut taken, mut settled) = (0, false);
+        *lock(&self.waker) = Some(socket.waker());
+        let mut accepted_in_a_row = 0;
+        let mut ignores_new = false;
         loop {
-            // Looked at first: what waits by then is still taken.
+            // Read before the look at the queue: what waits by then is still accepted.
             let closing = self.closing.load(Ordering::Acquire);
-            match self.make_room(false) {
-                // Those that were told go as soon as they run, or after a moment of reading on.
-                Room::Soon if !closing => {
-                    self.alarm.sleep(PAUSE / 4);
-                    continue;
-                }
-                Room::Later if !closing => {
-                    self.alarm.sleep(PAUSE);
-                    continue;
-                }
-                _ => {}
+            if let Some(pause) = self.pause_for_room().filter(|_| !closing) {
+                self.parts.timer.sleep(pause);
+                continue;
             }
-            match listener.inner().accept() {
+            match socket.inner().accept() {
                 Ok((stream, _)) => {
-                    self.take(stream);
-                    taken += 1;
-                    if taken % AT_ONCE == 0 {
-                        self.alarm.sleep(TURN);
+                    self.serve(stream);
+                    accepted_in_a_row += 1;
+                    if accepted_in_a_row % MAX_ACCEPTS_IN_A_ROW == 0 {
+                        self.parts.timer.sleep(YIELD_TIME);
                     }
                 }
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock && !closing => {
-                    listener.wait_io();
+                Err(error) if error.kind() == ErrorKind::WouldBlock && !closing => {
+                    socket.wait_io();
                 }
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock && settled => break,
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => {
-                    // What had begun before has come after this, and nothing begins any more.
-                    if let Err(fault) = ignore_new_connections(listener.inner()) {
-                        debug!(%fault, "connections may begin until the listener is closed");
+                Err(error) if error.kind() == ErrorKind::WouldBlock && ignores_new => break,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    if let Err(error) = ignore_new_connections(socket.inner()) {
+                        debug!(%error, "connections may begin until the listener is closed");
                     }
-                    settled = true;
-                    self.alarm.sleep(PAUSE);
-                }
-                // Also while closing: what waits was taken by the system, and only the program's end gives it up.
-                Err(fault) => {
-                    if self.counters.accepts_failed.get() == 0 {
-                        warn!(%fault, "a connection could not be taken; later ones are only counted");
-                    }
-                    self.counters.accepts_failed.add();
-                    // For want of descriptors most likely, though the table has room.
-                    self.make_room(true);
-                    self.alarm.sleep(PAUSE);
+                    ignores_new = true;
+                    self.parts.timer.sleep(ACCEPT_RETRY_PAUSE);
                 }
+                // Also while closing: only the end of the program gives up what waits in the queue.
+                Err(error) => self.accept_failed(&error),
             }
         }
-        drop(listener);
-        // The owner is gone only with the program.
-        let _ = self.owner.send(Heard::Closed);
+        drop(socket);
+        // The event loop is gone only where the program ends.
+        let _ = self.parts.event_loop.send(Message::ListenerClosed);
+    }
+
+    /// How long to wait for room in the table, where there is none.
+    fn pause_for_room(&self) -> Option<Duration> {
+        match lock(&self.table).make_room() {
+            Room::Available => None,
+            Room::Soon => Some(EVICTION_PAUSE),
+            Room::Later => Some(ACCEPT_RETRY_PAUSE),
+        }
+    }
+
+    /// There is no descriptor left, most likely, although the table has room.
+    fn accept_failed(&self, error: &io::Error) {
+        if self.parts.counters.accepts_failed.get() == 0 {
+            warn!(%error, "a connection could not be accepted; later ones are only counted");
+        }
+        self.parts.counters.accepts_failed.add();
+        lock(&self.table).evict_one();
+        self.parts.timer.sleep(ACCEPT_RETRY_PAUSE);
     }
 
-    fn take(self: &Arc<Self>, stream: TcpStream) {
-        self.counters.connections.add();
-        let line = match lynxtally_net::connection::Connection::new(stream) {
-            Ok(line) => line,
-            Err(fault) => {
-                debug!(%fault, "a connection broke as it was taken");
-                return self.counters.connection_ends.add(CloseReason::Reset);
+    /// Starts the coroutine of a connection.
+    fn serve(self: &Arc<Self>, stream: TcpStream) {
+        self.parts.counters.connections.add();
+        let connection = match Connection::new(stream) {
+            Ok(connection) => connection,
+            Err(error) => {
+                debug!(%error, "a connection broke as it was accepted");
+                return self.parts.counters.connections_closed.add(CloseReason::Reset);
             }
         };
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let handle = Handle::default();
-        handle.attach(&line);
-        let seat = Seat { handle: handle.clone(), stand: Stand::New, since: Instant::now(), told: false };
-        wire::lock(&self.open).insert(number, seat);
-        let entrance = self.clone();
-        let work = move || {
-            Connection { entrance: &entrance, handle: &handle, number, task: None, answered: false }
-                .carry(line)
-        };
-        let entrance = self.clone();
-        let failed = move |panic: Panic| {
-            warn!(%panic, "a connection's coroutine failed as it ended");
-            wire::lock(&entrance.open).remove(&number);
+        let handle = ConnectionHandle::default();
+        handle.attach(&connection);
+        let number = lock(&self.table).insert(handle.clone());
+        let listener = self.clone();
+        let serve = move || ClientConnection::new(&listener, &handle, number).run(connection);
+        let listener = self.clone();
+        let on_panic = move |panic: Panic| {
+            warn!(%panic, "a connection's coroutine failed while closing");
+            lock(&listener.table).remove(number);
         };
-        if coroutine::spawn(STACK_WORDS, work, failed).is_err() {
-            wire::lock(&self.open).remove(&number);
-            self.counters.connection_ends.add(CloseReason::InternalError);
+        if coroutine::spawn(STACK_WORDS, serve, on_panic).is_err() {
+            lock(&self.table).remove(number);
+            self.parts.counters.connections_closed.add(CloseReason::InternalError);
         }
     }
 }
--- a/crates/lynxtally-node/src/listener/mod.rs
+++ b/crates/lynxtally-node/src/listener/mod.rs
@@ -1,222 +1,165 @@
-//! Connections from sidecars: taken eagerly, read eagerly, one task at a time on each.
+//! Connections from clients: accepted eagerly, read eagerly, one request at a time on each.
 
 mod accept_loop;
 mod connection;
+mod table;
 
-pub use crate::messages::{Handle, Order, Taken};
 pub use lynxtally_net::listener::listen;
 
+use crate::advertised_state::AdvertisedState;
 use crate::config::Bounds;
 use crate::counters::Counters;
-use crate::http::{Bad, Names};
-use crate::messages::Heard;
-use crate::response::{Answer, Standing};
+use crate::http::{ParseError, RequestSchema};
+use crate::messages::{ConnectionCommand, Message};
+use crate::response::ResponseContext;
+use lynxtally_engine::FinalResponse;
 use lynxtally_net::clock::Clock;
 use lynxtally_net::close_reason::CloseReason;
-use lynxtally_net::sync as wire;
+use lynxtally_net::sync::lock;
 use lynxtally_net::timer::Timer;
 use may::io::WaitIoWaker;
 use may::sync::mpsc::Sender;
-use std::collections::BTreeMap;
-use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
+use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
-use std::time::{Duration, Instant};
-
-/// The pause after a connection could not be taken: a full table of descriptors must not be spun on.
-const PAUSE: Duration = Duration::from_millis(20);
-/// What has stood for less is not closed to make room: its first bytes may be on their way.
-const SETTLE: Duration = PAUSE;
-
-/// Who could go on without waiting leaves the others a turn for so long. A coroutine that only yields stands first in
-/// its worker's line again, and the worker never looks at anything else: one client that never stopped sending kept
-/// the whole node waiting. Of many that do so each leaves so many turns, so that all together get no more than one.
-const TURN: Duration = Duration::from_millis(1);
-
-/// How a connection stands. To make room, the ones named first go first.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Stand {
-    /// We wrote the last on it, and read on so that this is not lost.
-    Leaving,
-    /// Nothing whole has come on it yet.
-    New,
-    /// A message is begun, or an answer not taken yet.
-    Halfway,
-    /// Between two messages.
-    Resting,
-    /// A task on it is open.
-    Busy,
+use std::time::Duration;
+use table::{ConnectionState, ConnectionTable};
+
+/// The pause after a connection could not be accepted: with no descriptor left, accepting fails at once each time.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
+
+/// A connection that could go on without waiting lets the others run for so long.
+///
+/// The failure this guards against: a client that never stops sending keeps the whole node waiting, because a coroutine
+/// that only yields is put at the front of its worker's queue again, and the worker never polls for anything else. Of
+/// many that do so each waits so many times as long, so that all together get no more than one.
+const YIELD_TIME: Duration = Duration::from_millis(1);
+
+/// What a [`Listener`] needs of the other parts.
+pub struct ListenerParts {
+    /// The limits of connections.
+    pub bounds: Bounds,
+    /// What requests are checked against.
+    pub schema: RequestSchema,
+    /// What goes with responses.
+    pub advertised: Arc<AdvertisedState>,
+    /// Sends messages later.
+    pub timer: Timer,
+    /// Where requests go.
+    pub event_loop: Sender<Message>,
+    /// Where connections and messages are counted.
+    pub counters: Arc<Counters>,
 }
 
-/// A connection in the table, and since when it has stood so.
-struct Seat {
-    handle: Handle,
-    stand: Stand,
-    since: Instant,
-    /// Whether it was told to make room.
-    told: bool,
-}
-
-/// Whether one more connection can be taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Room {
-    Now,
-    /// Once those that were told to go have gone.
-    Soon,
-    /// Nothing may go yet.
-    Later,
-}
-
-/// All connections from sidecars and the listener before them.
-pub struct Entrance {
-    open: Mutex<BTreeMap<u64, Seat>>,
-    next: AtomicU64,
-    /// Connections that could go on and leave the others a turn.
-    turns: AtomicU32,
-    bounds: Bounds,
+/// The listener and all connections that were accepted from it.
+pub struct Listener {
+    parts: ListenerParts,
+    clock: Clock,
+    table: Mutex<ConnectionTable>,
+    /// How many connections are letting the others run.
+    yielding: AtomicU32,
     closing: AtomicBool,
     waker: Mutex<Option<WaitIoWaker>>,
-    names: Names,
-    standing: Arc<Standing>,
-    clock: Clock,
-    alarm: Timer,
-    owner: Sender<Heard>,
-    counters: Arc<Counters>,
 }
 
-impl Entrance {
-    /// An entrance with these bounds.
-    pub fn new(
-        bounds: Bounds,
-        names: Names,
-        standing: Arc<Standing>,
-        alarm: Timer,
-        owner: Sender<Heard>,
-        counters: Arc<Counters>,
-    ) -> Self {
+impl Listener {
+    /// A listener without connections; [`Listener::accept`] serves a socket.
+    pub fn new(parts: ListenerParts) -> Self {
+        let table = Mutex::new(ConnectionTable::new(parts.bounds.max_connections));
         Self {
-            open: Mutex::default(),
-            next: AtomicU64::new(0),
-            turns: AtomicU32::new(0),
-            bounds,
+            parts,
+            clock: Clock::default(),
+            table,
+            yielding: AtomicU32::new(0),
             closing: AtomicBool::new(false),
             waker: Mutex::default(),
-            names,
-            standing,
-            clock: Clock::default(),
-            alarm,
-            owner,
-            counters,
         }
     }
 
-    /// Whether no connection is open, but such as have carried their last answer.
+    /// Whether no connection is open, but for those that have carried their last response.
     pub fn is_empty(&self) -> bool {
-        wire::lock(&self.open).values().all(|seat| seat.stand == Stand::Leaving)
+        lock(&self.table).all(|entry| entry.state == ConnectionState::Lingering)
     }
 
-    /// How many connections were taken so far.
-    pub fn taken(&self) -> u64 {
-        self.counters.connections.get()
+    /// How many connections were accepted so far.
+    pub fn accepted(&self) -> u64 {
+        self.parts.counters.connections.get()
     }
 
     /// How many connections are open.
     pub fn len(&self) -> usize {
-        wire::lock(&self.open).len()
+        lock(&self.table).len()
     }
 
-    /// Has connections closed that carried nothing for so long.
-    pub fn close_idle(&self, since: Duration) {
-        self.close_where(CloseReason::IdleTimeout, |seat| {
-            matches!(seat.stand, Stand::New | Stand::Resting) && seat.since.elapsed() >= since
+    /// Closes the connections that have carried nothing for so long.
+    pub fn close_idle(&self, idle_for: Duration) {
+        lock(&self.table).close_where(CloseReason::IdleTimeout, |entry| {
+            matches!(entry.state, ConnectionState::New | ConnectionState::Idle)
+                && entry.since.elapsed() >= idle_for
         });
     }
 
-    /// Has connections closed whose time is over: those that carry no whole message or don't take an answer,
-    /// those that were to leave, and those that sidecars would have closed long ago if they still knew them.
-    /// Catches silent clients, halves of messages, trickles and forgotten connections; harms a sidecar that
-    /// needs longer than a task's time for one message.
-    pub fn sweep(&self) {
-        let Bounds { message, linger, idle, .. } = self.bounds;
-        self.close_where(CloseReason::TimedOut, |seat| {
-            let over = |span| seat.since.elapsed() >= span;
-            match seat.stand {
-                Stand::Leaving => over(linger),
-                Stand::New | Stand::Halfway => over(message),
-                Stand::Resting => idle.is_some_and(over),
-                Stand::Busy => false,
+    /// Closes the connections whose time is over: those that complete no message or don't take a response, those that
+    /// linger, and idle ones that their clients would have closed long ago if they still knew them.
+    ///
+    /// This answers silent clients, halves of messages, bytes that trickle in, and forgotten connections. The price: a
+    /// client that needs longer than a request's time for one message is closed.
+    pub fn close_expired(&self) {
+        let Bounds { message_timeout, linger_timeout, idle_timeout, .. } = self.parts.bounds;
+        lock(&self.table).close_where(CloseReason::TimedOut, |entry| {
+            let is_over = |limit| entry.since.elapsed() >= limit;
+            match entry.state {
+                ConnectionState::Lingering => is_over(linger_timeout),
+                ConnectionState::New | ConnectionState::Partial => is_over(message_timeout),
+                ConnectionState::Idle => idle_timeout.is_some_and(is_over),
+                ConnectionState::Serving => false,
             }
         });
     }
 
-    /// Has all connections closed that have no task, also such as stand in the middle of a message. The last thing
-    /// before the end: what is half written then would be reset by it, so its sidecar is told, and sends once more.
+    /// Closes all connections without an open request, also in the middle of a message. The last step before the
+    /// program ends: what is half written then would be reset by the end, so its client is told, and sends it again.
     pub fn close_all(&self) {
-        self.close_where(CloseReason::Completed, |seat| !matches!(seat.stand, Stand::Leaving | Stand::Busy));
+        lock(&self.table).close_where(CloseReason::Completed, |entry| {
+            !matches!(entry.state, ConnectionState::Lingering | ConnectionState::Serving)
+        });
     }
 
-    fn close_where(&self, end: CloseReason, goes: impl Fn(&Seat) -> bool) {
-        for seat in wire::lock(&self.open).values().filter(|seat| goes(seat)) {
-            seat.handle.push(Order::Close(end));
-        }
+    /// Answers whatever request still waits on any connection that it failed.
+    pub fn fail_all(&self) {
+        lock(&self.table).send_to_all(&ConnectionCommand::Respond(FinalResponse::Failed));
     }
 
-    /// Makes room where the table is full: what is leaving goes first, then what has never carried a whole
-    /// message, then what rests, of each the longest; a connection with a task never. So neither silent
-    /// clients nor such as keep their connections shut the sidecars out. Harms a sidecar whose connection
-    /// rests and is closed as it sends: it sends once more. The same where descriptors run short before.
-    fn make_room(&self, short: bool) -> Room {
-        let mut open = wire::lock(&self.open);
-        let most = self.bounds.connections;
-        if open.len() < most && !short {
-            return Room::Now;
-        }
-        // Those that were told need a moment to go; some places are taken before that.
-        let full = open.len() >= most + most / 8;
-        if full && open.values().any(|seat| seat.told) {
-            return Room::Soon;
-        }
-        let may_go =
-            |seat: &&mut Seat| !seat.told && seat.stand != Stand::Busy && seat.since.elapsed() >= SETTLE;
-        let first = open.values_mut().filter(may_go).min_by_key(|seat| (seat.stand, seat.since));
-        let Some(seat) = first else { return Room::Later };
-        // Each makes room for one: told again, it would be counted on twice.
-        seat.told = true;
-        seat.handle.push(Order::Close(CloseReason::Evicted));
-        if full {
-            Room::Soon
-        } else {
-            Room::Now
+    /// Closes the listening socket, once all connections that wait there have been accepted.
+    pub fn close(&self) {
+        self.closing.store(true, Ordering::Release);
+        if let Some(waker) = &*lock(&self.waker) {
+            waker.wakeup();
         }
     }
 
-    /// Leaves the others a turn. Should catch floods of any kind; harms nobody who sends one message at a time.
-    fn leave_turn(&self) {
-        let turns = self.turns.fetch_add(1, Ordering::Relaxed) + 1;
-        self.alarm.sleep(TURN * turns);
-        self.turns.fetch_sub(1, Ordering::Relaxed);
-    }
-
-    /// Answers whatever still waits on any connection that it failed. Where nothing waits this does nothing.
-    pub fn abandon_all(&self) {
-        for seat in wire::lock(&self.open).values() {
-            seat.handle.push(Order::Answer(Answer::Abandoned));
-        }
+    /// Lets the others run. Answers floods of any kind, and costs nothing to a client that sends one message at a time.
+    fn yield_to_others(&self) {
+        let yielding = self.yielding.fetch_add(1, Ordering::Relaxed) + 1;
+        self.parts.timer.sleep(YIELD_TIME * yielding);
+        self.yielding.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Has the listener closed, once all that waits before it is taken.
-    pub fn close(&self) {
-        self.closing.store(true, Ordering::Release);
-        if let Some(waker) = &*wire::lock(&self.waker) {
-            waker.wakeup();
-        }
+    /// What goes with a response after which the client or this node closes the connection, or does not.
+    fn response_context(&self, closes_connection: bool) -> ResponseContext {
+        ResponseContext { capacity: self.parts.advertised.capacity(), closes_connection }
     }
 
-    fn count_bad(&self, bad: Bad) {
-        match bad {
-            Bad::Head | Bad::Length => self.counters.bad_head.add(),
-            Bad::Field(_) | Bad::Stage | Bad::Customer => self.counters.bad_field.add(),
-            Bad::Path | Bad::Method => self.counters.bad_path.add(),
-            Bad::HeadLarge | Bad::BodyLarge | Bad::Coding => self.counters.bad_size.add(),
+    fn count_parse_error(&self, error: ParseError) {
+        let counters = &self.parts.counters;
+        match error {
+            ParseError::MalformedHead | ParseError::InvalidLength => counters.bad_head.add(),
+            ParseError::InvalidHeader(_) | ParseError::UnknownClass | ParseError::UnknownTenant => {
+                counters.bad_header.add();
+            }
+            ParseError::UnknownPath | ParseError::MethodNotAllowed => counters.bad_path.add(),
+            ParseError::HeadTooLarge | ParseError::BodyTooLarge | ParseError::UnsupportedEncoding => {
+                counters.bad_size.add();
+            }
         }
     }
 }
--- a/crates/lynxtally-node/src/messages.rs
+++ b/crates/lynxtally-node/src/messages.rs
@@ -1,161 +1,186 @@
-//! What the owner hears, and what the others are told: the messages between the parts of a node, on which all
-//! of them stand and which stands on none.
+//! The messages between the parts of a node. All parts depend on this module, and it depends on none of them but for
+//! the types that it carries.
 
 use crate::config::Config;
-use crate::http::{Reply, Sent};
-use crate::response::Answer;
+use crate::http::{CallReply, ReceivedRequest};
 use lynxtally::CallOutcome;
+use lynxtally_engine::FinalResponse;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::mailbox::Mailbox;
+use std::fmt;
 use std::sync::Arc;
 
-/// What the owner hears.
-pub enum Heard {
-    /// Of a message to a keeper.
-    Keeper(Said),
-    /// A task was read.
-    Taken(Taken),
-    /// A task's connection ended so that nobody waits.
+/// A message to the event loop.
+pub enum Message {
+    /// A request was read.
+    Request(RequestRead),
+    /// A request's connection ended in a way that says that its caller no longer waits.
     CallerGone {
-        /// The task's name.
+        /// The request's id.
         id: String,
-        /// The connection; another's task may have the same name.
-        from: Handle,
+        /// The connection; a request on another connection may have the same id.
+        connection: ConnectionHandle,
         /// How the connection ended.
-        end: CloseReason,
+        reason: CloseReason,
     },
-    /// The kernel said something.
-    Kernel(Notice),
-    /// There is no link to the kernel any more.
-    LinkLost,
-    /// A call ended.
-    Called {
-        /// The task's name.
+    /// The executor reported something.
+    Executor(ExecutorEvent),
+    /// There is no link to the executor any more.
+    ExecutorLinkLost,
+    /// A downstream call ended.
+    CallEnded {
+        /// The id of the request that it was made for.
         id: String,
         /// The call's number.
         number: u64,
         /// How it ended.
-        ended: Ended,
+        end: CallEnd,
     },
-    /// Something may be due.
-    Due,
-    /// The notice to leave.
-    Leave,
-    /// What the program is told from now on.
-    Configured(Box<Config>),
-    /// The listener is closed.
-    Closed,
+    /// A message to a coordinator was answered, or surely will not be.
+    CoordinatorReply(CoordinatorReply),
+    /// A timer of the event loop may have expired.
+    TimerFired,
+    /// SIGTERM came: drain, and end.
+    Shutdown,
+    /// SIGHUP came, and this is the configuration as it was read anew.
+    Reload(Box<Config>),
+    /// The listener is closed; nobody connects any more.
+    ListenerClosed,
 }
 
-/// What a connection is told.
+/// What a client's connection is told.
 #[derive(Clone, Debug)]
-pub enum Order {
-    /// The final answer to its task.
-    Answer(Answer),
-    /// Close if no task is open and nothing came meanwhile; the end says why.
+pub enum ConnectionCommand {
+    /// Write the final response to its open request.
+    Respond(FinalResponse),
+    /// Close if no request is open and nothing came meanwhile, for this reason.
     Close(CloseReason),
 }
 
-/// A connection, as the owner knows it.
-pub type Handle = Arc<Mailbox<Order>>;
+/// A client's connection, as the other parts reach it.
+pub type ConnectionHandle = Arc<Mailbox<ConnectionCommand>>;
 
-/// What a keeper said to a message, or that it surely says nothing.
-pub struct Said {
+/// What a coordinator replied to a message.
+pub struct CoordinatorReply {
     /// Which message.
     pub token: u64,
-    /// The reply.
+    /// The reply, or none where surely none will come.
     pub reply: Option<lynxtally_messages::Reply>,
 }
 
-/// A task as it goes to the owner, and where its answer is awaited.
-pub struct Taken {
-    /// The task.
-    pub sent: Sent,
+/// A request that was read, and where its response is awaited.
+pub struct RequestRead {
+    /// The request.
+    pub request: ReceivedRequest,
     /// The connection.
-    pub from: Handle,
+    pub connection: ConnectionHandle,
 }
 
-/// How a run ended, by the kernel's word.
+/// How a run ended, as the executor reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reaped {
-    /// Well, with a result.
-    Ok,
-    /// With an error.
-    Error,
-    /// It was stopped, or ended at a call as nobody waits.
+pub enum RunStatus {
+    /// It succeeded, with a result.
+    Succeeded,
+    /// It failed.
+    Failed,
+    /// It was stopped, or ended at a call because nobody waits any more.
     Stopped,
     /// Nothing was started.
-    Moot,
+    NotStarted,
 }
 
-/// What the kernel tells.
+/// What the executor reports.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Notice {
-    /// It came up some milliseconds ago.
-    Booted {
-        /// Whether it was cold then.
-        cold: bool,
-        /// How long ago.
-        ms: f64,
+pub enum ExecutorEvent {
+    /// It is up.
+    Started {
+        /// Whether it had a cold start.
+        cold_start: bool,
+        /// How long ago it came up, in milliseconds.
+        uptime_ms: f64,
     },
-    /// A run is over.
-    Ended {
-        /// The task's name.
+    /// A run ended.
+    RunEnded {
+        /// The request's id.
         id: String,
         /// How it ended.
-        how: Reaped,
+        status: RunStatus,
         /// Its result.
         result: Vec<u8>,
     },
-    /// A run waits for a call with this body.
-    AtCall {
-        /// The task's name.
+    /// A run waits for a downstream call.
+    CallRequested {
+        /// The request's id.
         id: String,
-        /// What goes to the ledger.
+        /// The body of the call.
         body: Vec<u8>,
     },
-    /// The gauges, in the order of the settings.
+    /// The gauges that were requested.
     Gauges {
-        /// Under which number they were asked for.
+        /// The number of the request for them.
         number: u64,
-        /// In the order of the settings.
+        /// Their values, in the order of the settings.
         values: Vec<f64>,
     },
-    /// All that happened before the link with this number was made has been told.
-    Synced(u64),
+    /// All events from before the link with this number was made have been reported.
+    CaughtUp {
+        /// The link's number.
+        link: u64,
+    },
     /// A command was not carried out.
-    Refused {
-        /// The command's word.
-        command: String,
-        /// The task's name.
+    CommandRefused {
+        /// Which command.
+        command: CommandName,
+        /// The request's id.
         id: String,
     },
-    /// A remark with no meaning.
-    Remark(String),
+    /// A line for the log.
+    LogLine(String),
+}
+
+/// A command that the executor refused.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum CommandName {
+    /// To start a run.
+    Start,
+    /// To resume a stopped run.
+    Resume,
+    /// Any other, by its name in the protocol.
+    Other(String),
 }
 
-/// How a call ended: with a reply, or with its connection.
+impl fmt::Display for CommandName {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Self::Start => f.write_str("start"),
+            Self::Resume => f.write_str("resume"),
+            Self::Other(name) => f.write_str(name),
+        }
+    }
+}
+
+/// How a downstream call ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ended {
-    /// The ledger replied.
-    Replied(Reply),
-    /// No whole reply came.
-    Without {
-        /// How the connection ended.
-        end: CloseReason,
+pub enum CallEnd {
+    /// With a reply.
+    Replied(CallReply),
+    /// Without a complete reply.
+    NoReply {
+        /// How its connection ended.
+        reason: CloseReason,
         /// Whether any byte of the call was written.
         written: bool,
     },
 }
 
-impl Ended {
-    /// What the module is told.
+impl CallEnd {
+    /// What is known of the call's execution.
     pub fn outcome(&self) -> CallOutcome {
         match self {
-            Self::Replied(Reply { status: 200, .. }) => CallOutcome::Succeeded,
-            Self::Replied(Reply { untouched: true, .. }) => CallOutcome::NotExecuted,
+            Self::Replied(CallReply { status: 200, .. }) => CallOutcome::Succeeded,
+            Self::Replied(CallReply { not_executed: true, .. }) => CallOutcome::NotExecuted,
             Self::Replied(_) => CallOutcome::MaybeExecuted,
-            Self::Without { end, written } => end.call_outcome(*written),
+            Self::NoReply { reason, written } => reason.call_outcome(*written),
         }
     }
 }
--- a/crates/lynxtally-node/src/node.rs
+++ b/crates/lynxtally-node/src/node.rs
@@ -1,183 +1,270 @@
-//! One node from its start to its end: makes the parts, joins them, and waits for the owner.
+//! One node from its start to its end: starts the parts, connects them, and waits for the event loop to end.
 
-use crate::config::Config;
+use crate::advertised_state::AdvertisedState;
+use crate::config::{Config, LoadError};
 use crate::counters::Counters;
-use crate::downstream::Ledger;
-use crate::event_loop::{Owner, Parts};
-use crate::executor_link::{self as kernel, Orders};
-use crate::health_reports::{self as control, Reporter, State};
-use crate::http::Names;
-use crate::listener::{self as accept, Entrance};
-use crate::messages::{Heard, Said};
-use crate::response::Standing;
+use crate::downstream::DownstreamClient;
+use crate::error::NodeError;
+use crate::event_loop::{EventLoop, Parts};
+use crate::executor_link::{ExecutorHandle, ExecutorLink};
+use crate::health_reports::{HealthReporter, HealthReports, ReporterMessage};
+use crate::http::RequestSchema;
+use crate::listener::{self, Listener, ListenerParts};
+use crate::messages::{CoordinatorReply, Message};
 use crate::shares::{Carrier, Shares};
-use lynxtally_net::coroutine::spawn;
-use lynxtally_net::coroutine::{catch_panic, Panic};
+use lynxtally_net::coroutine::{catch_panic, spawn, Panic};
 use lynxtally_net::timer::Timer;
 use may::sync::mpsc::{channel, Receiver, Sender};
 use signal_hook::consts::{SIGHUP, SIGTERM, SIGUSR1};
 use signal_hook::iterator::Signals;
 use std::io::Write;
+use std::net::TcpListener;
 use std::sync::mpsc;
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 use tracing::error;
 
-/// The owner runs the module; the other parts need less.
-const OWNER_STACK_WORDS: usize = 0x8000;
+/// The event loop runs the scheduler; the other coroutines need less stack.
+const EVENT_LOOP_STACK_WORDS: usize = 0x8000;
 const STACK_WORDS: usize = 0x2000;
-/// Prepared coroutines, and how long the event loop sleeps where nothing is due.
-const PREPARED: usize = 32;
-const SLEEP_AT_MOST: Duration = Duration::from_secs(10);
-/// After the last message the connections get so long to write it.
-const LAST_WORDS: Duration = Duration::from_millis(20);
-
-/// Sets the coroutines up: one worker, as there is one core, and bound to none, as others share it.
-pub fn prepare() {
-    may::config().set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(PREPARED);
+/// How many coroutines are kept for reuse.
+const COROUTINE_POOL: usize = 32;
+/// How long the coroutines' worker sleeps where nothing is due.
+const MAX_WORKER_SLEEP: Duration = Duration::from_secs(10);
+/// After the event loop has ended the connections get so long to write its last responses.
+const FINAL_FLUSH_TIME: Duration = Duration::from_millis(20);
+
+/// How the event loop, or another part that may not end, has ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// After a shutdown.
+    Finished,
+    /// By a failure of our own.
+    Failed,
+}
+
+/// Sets the coroutines up: one worker, as there is one core, and not pinned to it, as others share it.
+pub fn configure_coroutines() {
+    may::config().set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(COROUTINE_POOL);
     may::config().set_worker_pin(false);
-    may::config().set_timeout_ns(SLEEP_AT_MOST.as_nanos() as u64);
+    may::config().set_timeout_ns(MAX_WORKER_SLEEP.as_nanos() as u64);
 }
 
-/// Serves until the notice to leave has been followed; `read` reads the configuration anew where that is asked
-/// for. An error is one line for the person who started it.
+/// Serves until a shutdown is complete. `read_config` reads the configuration again where SIGHUP asks for it.
+///
+/// # Errors
+/// The node can't start, or a part of it failed.
 pub fn serve(
     config: Config,
-    read: impl Fn() -> Result<Config, String> + Send + 'static,
-) -> Result<(), String> {
-    // Before anybody can connect: a notice that comes between the two would end the program at once.
-    let signals = Signals::new([SIGHUP, SIGTERM, SIGUSR1])
-        .map_err(|fault| format!("signals can't be listened to: {fault}"))?;
-    let listener = accept::listen(config.listen)
-        .map_err(|fault| format!("`listen`: {} can't be listened on: {fault}", config.listen))?;
-    let names = Names::of(&config.declared);
-    let counters = Arc::new(Counters::new(&names.stages));
-    let standing = Arc::new(Standing::default());
-    let (owner, heard) = channel();
-    let alarm = Timer::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
-    let entrance = Arc::new(Entrance::new(
-        config.bounds(),
-        names,
-        standing.clone(),
-        alarm.clone(),
-        owner.clone(),
-        counters.clone(),
-    ));
-    let ledger = Arc::new(Ledger::new(config.ledger, owner.clone(), counters.clone()));
-    let orders = Arc::new(Orders::new(config.kernel));
-    let (states, reports) = channel();
-
-    heed_signals(signals, owner.clone(), counters.clone(), read);
-    let (ended, end) = mpsc::channel();
-    let part = |name: &'static str, ended: mpsc::Sender<bool>| {
-        move |panic: Panic| {
-            error!(part = name, %panic, "a part of the node failed");
-            // The receiver waits for as long as the program runs.
-            let _ = ended.send(false);
-        }
-    };
-    let started = |fault: std::io::Error| format!("a coroutine can't be started: {fault}");
-    {
-        let entrance = entrance.clone();
-        spawn(STACK_WORDS, move || entrance.accept(listener), part("accept", ended.clone()))
-            .map_err(started)?;
-        let (counters, orders, owner) = (counters.clone(), orders.clone(), owner.clone());
-        let alarm = alarm.clone();
-        let link = move || kernel::hold(&orders, &owner, &alarm, &counters);
-        spawn(STACK_WORDS, link, part("kernel", ended.clone())).map_err(started)?;
-    }
-    {
-        let (name, at, counters) = (config.name.clone(), config.control, counters.clone());
-        let (again, alarm) = (states.clone(), alarm.clone());
-        // The time to the next report starts now.
-        let _ = again.send(State::Again);
-        let report = move || control::report(&name, at, &reports, &again, &alarm, &counters);
-        spawn(STACK_WORDS, report, part("control", ended.clone())).map_err(started)?;
-    }
-    let shares = match config.shares.clone() {
-        None => None,
-        Some(settings) => {
-            let owner = owner.clone();
-            let told = move |token, reply| {
-                // Nobody hears it only where the program ends.
-                let _ = owner.send(Heard::Keeper(Said { token, reply }));
-            };
-            let carrier = Carrier::start(settings.keepers.clone(), settings.patience, told)
-                .map_err(|fault| format!("a thread can't be started: {fault}"))?;
-            Some(Shares::new(&config.name, settings, config.seed, carrier))
-        }
-    };
-    let reporter = Reporter::new(states);
-    let parts = Parts {
-        alarm,
-        owner,
-        reporter,
-        kernel: orders,
-        ledger,
-        entrance,
-        standing,
-        counters: counters.clone(),
-        shares,
-    };
-    let work = move || own(config, parts, &heard, &ended);
-    let failed = |panic: Panic| error!(%panic, "the owner failed as it gave up");
-    spawn(OWNER_STACK_WORDS, work, failed).map_err(started)?;
+    read_config: impl Fn() -> Result<Config, LoadError> + Send + 'static,
+) -> Result<(), NodeError> {
+    // Before anybody can connect: a SIGTERM that came between the two would end the program at once.
+    let signals = Signals::new([SIGHUP, SIGTERM, SIGUSR1]).map_err(NodeError::Signals)?;
+    let address = config.listen;
+    let socket = listener::listen(address).map_err(|error| NodeError::Listen { address, error })?;
+    let node = Node::new(&config)?;
+    node.handle_signals(signals, read_config);
+    let (outcome_sender, outcomes) = mpsc::channel();
+    let supervisor = Supervisor(outcome_sender);
+    node.start_listener(socket, &supervisor)?;
+    node.start_executor_link(&supervisor)?;
+    let health_reporter = node.start_health_reports(&config, &supervisor)?;
+    let shares = node.start_shares(&config)?;
+    let counters = node.counters.clone();
+    node.start_event_loop(config, health_reporter, shares, supervisor)?;
 
-    let well = end.recv().unwrap_or(false);
-    thread::sleep(LAST_WORDS);
+    let outcome = outcomes.recv().unwrap_or(Outcome::Failed);
+    thread::sleep(FINAL_FLUSH_TIME);
     print(&counters);
-    if well {
-        Ok(())
-    } else {
-        Err("a part of the node failed; the log says why".to_owned())
+    match outcome {
+        Outcome::Finished => Ok(()),
+        Outcome::Failed => Err(NodeError::PartFailed),
     }
 }
 
-/// The owner's work from the start to the end; `ended` hears whether it ended well. If it fails, what is open
-/// is answered all the same.
-pub fn own(config: Config, parts: Parts, heard: &Receiver<Heard>, ended: &mpsc::Sender<bool>) {
-    let mut owner = Owner::new(config, parts);
-    let worked = catch_panic(|| owner.work(heard));
-    if let Err(panic) = &worked {
-        error!(%panic, "the owner failed; every open task is answered that it failed");
-        owner.give_up();
+/// Learns when a part ends that may not end before the program.
+#[derive(Clone)]
+struct Supervisor(mpsc::Sender<Outcome>);
+
+impl Supervisor {
+    /// What to do when the part with this name panics: the program ends.
+    fn on_panic(&self, part: &'static str) -> impl FnOnce(Panic) + Send + 'static {
+        let outcomes = self.0.clone();
+        move |panic: Panic| {
+            error!(part, %panic, "a part of the node failed");
+            // The receiver waits for as long as the program runs.
+            let _ = outcomes.send(Outcome::Failed);
+        }
     }
-    // The receiver waits for as long as the program runs.
-    let _ = ended.send(worked.is_ok());
 }
 
-/// Prints the counters; that nobody reads them does no harm.
-fn print(counters: &Counters) {
-    let _ = writeln!(std::io::stdout(), "{}", counters.line());
+/// The parts of a node, while they are started.
+struct Node {
+    timer: Timer,
+    listener: Arc<Listener>,
+    executor: Arc<ExecutorHandle>,
+    downstream: Arc<DownstreamClient>,
+    advertised: Arc<AdvertisedState>,
+    counters: Arc<Counters>,
+    event_loop: Sender<Message>,
+    messages: Receiver<Message>,
 }
 
-/// SIGTERM is the notice to leave, SIGHUP asks for the configuration to be read anew, SIGUSR1 for the counters.
-fn heed_signals(
-    mut signals: Signals,
-    owner: Sender<Heard>,
-    counters: Arc<Counters>,
-    read: impl Fn() -> Result<Config, String> + Send + 'static,
-) {
-    thread::spawn(move || {
-        for signal in signals.forever() {
-            let heard = match signal {
-                SIGTERM => Heard::Leave,
-                SIGHUP => match read() {
-                    Ok(config) => Heard::Configured(Box::new(config)),
-                    Err(fault) => {
-                        error!(fault, "the new configuration can't be used; the old one stays in force");
+impl Node {
+    fn new(config: &Config) -> Result<Self, NodeError> {
+        let schema = RequestSchema::new(&config.declared);
+        let counters = Arc::new(Counters::new(&schema.classes));
+        let advertised = Arc::new(AdvertisedState::default());
+        let (event_loop, messages) = channel();
+        let timer = Timer::start().map_err(NodeError::Thread)?;
+        let listener = Arc::new(Listener::new(ListenerParts {
+            bounds: config.bounds(),
+            schema,
+            advertised: advertised.clone(),
+            timer: timer.clone(),
+            event_loop: event_loop.clone(),
+            counters: counters.clone(),
+        }));
+        let downstream =
+            Arc::new(DownstreamClient::new(config.downstream, event_loop.clone(), counters.clone()));
+        let executor = Arc::new(ExecutorHandle::new(config.executor));
+        Ok(Self { timer, listener, executor, downstream, advertised, counters, event_loop, messages })
+    }
+
+    /// SIGTERM shuts down, SIGHUP has the configuration read again, SIGUSR1 prints the counters.
+    fn handle_signals(
+        &self,
+        mut signals: Signals,
+        read_config: impl Fn() -> Result<Config, LoadError> + Send + 'static,
+    ) {
+        let event_loop = self.event_loop.clone();
+        let counters = self.counters.clone();
+        thread::spawn(move || {
+            for signal in signals.forever() {
+                let message = match signal {
+                    SIGTERM => Message::Shutdown,
+                    SIGHUP => match read_config() {
+                        Ok(config) => Message::Reload(Box::new(config)),
+                        Err(error) => {
+                            error!(%error, "the new configuration can't be used; the old one stays in force");
+                            continue;
+                        }
+                    },
+                    _ => {
+                        print(&counters);
                         continue;
                     }
-                },
-                _ => {
-                    print(&counters);
-                    continue;
+                };
+                if event_loop.send(message).is_err() {
+                    return;
                 }
-            };
-            if owner.send(heard).is_err() {
-                return;
             }
+        });
+    }
+
+    fn start_listener(&self, socket: TcpListener, supervisor: &Supervisor) -> Result<(), NodeError> {
+        let listener = self.listener.clone();
+        let accept = move || listener.accept(socket);
+        spawn(STACK_WORDS, accept, supervisor.on_panic("listener")).map_err(NodeError::Coroutine)?;
+        Ok(())
+    }
+
+    fn start_executor_link(&self, supervisor: &Supervisor) -> Result<(), NodeError> {
+        let handle = self.executor.clone();
+        let event_loop = self.event_loop.clone();
+        let timer = self.timer.clone();
+        let counters = self.counters.clone();
+        let run = move || {
+            ExecutorLink { handle: &handle, event_loop: &event_loop, timer: &timer, counters: &counters }
+                .run();
+        };
+        spawn(STACK_WORDS, run, supervisor.on_panic("executor link")).map_err(NodeError::Coroutine)?;
+        Ok(())
+    }
+
+    fn start_health_reports(
+        &self,
+        config: &Config,
+        supervisor: &Supervisor,
+    ) -> Result<HealthReporter, NodeError> {
+        let (sender, messages) = channel();
+        // The interval to the next report begins now.
+        let _ = sender.send(ReporterMessage::ReportDue);
+        let reporter = HealthReporter::new(sender.clone());
+        let name = config.name.clone();
+        let address = config.control_plane;
+        let timer = self.timer.clone();
+        let counters = self.counters.clone();
+        let run = move || {
+            HealthReports { name: &name, address, sender: &sender, timer: &timer, counters: &counters }
+                .run(&messages);
+        };
+        spawn(STACK_WORDS, run, supervisor.on_panic("health reports")).map_err(NodeError::Coroutine)?;
+        Ok(reporter)
+    }
+
+    fn start_shares(&self, config: &Config) -> Result<Option<Shares>, NodeError> {
+        let Some(settings) = config.shares.clone() else { return Ok(None) };
+        let event_loop = self.event_loop.clone();
+        let on_reply = move |token, reply| {
+            // The event loop is gone only where the program ends.
+            let _ = event_loop.send(Message::CoordinatorReply(CoordinatorReply { token, reply }));
+        };
+        let carrier = Carrier::start(settings.keepers.clone(), settings.patience, on_reply)
+            .map_err(NodeError::Thread)?;
+        Ok(Some(Shares::new(&config.name, settings, config.seed, carrier)))
+    }
+
+    fn start_event_loop(
+        self,
+        config: Config,
+        health_reporter: HealthReporter,
+        shares: Option<Shares>,
+        supervisor: Supervisor,
+    ) -> Result<(), NodeError> {
+        let messages = self.messages;
+        let parts = Parts {
+            timer: self.timer,
+            event_loop: self.event_loop,
+            health_reporter,
+            executor: self.executor,
+            downstream: self.downstream,
+            listener: self.listener,
+            advertised: self.advertised,
+            counters: self.counters,
+            shares,
+        };
+        let run = move || run_event_loop(config, parts, &messages, &supervisor.0);
+        let on_panic =
+            |panic: Panic| error!(%panic, "the event loop failed while it answered its open requests");
+        spawn(EVENT_LOOP_STACK_WORDS, run, on_panic).map_err(NodeError::Coroutine)?;
+        Ok(())
+    }
+}
+
+/// Runs the event loop to its end, and then sends how it ended. If it fails, every open request is answered all the
+/// same.
+pub fn run_event_loop(
+    config: Config,
+    parts: Parts,
+    messages: &Receiver<Message>,
+    outcomes: &mpsc::Sender<Outcome>,
+) {
+    let mut event_loop = EventLoop::new(config, parts);
+    let outcome = match catch_panic(|| event_loop.run(messages)) {
+        Ok(()) => Outcome::Finished,
+        Err(panic) => {
+            error!(%panic, "the event loop failed; every open request is answered that it failed");
+            event_loop.fail_all();
+            Outcome::Failed
         }
-    });
+    };
+    // The receiver waits for as long as the program runs.
+    let _ = outcomes.send(outcome);
+}
+
+/// Prints the counters. Where nobody reads them, that does no harm.
+fn print(counters: &Counters) {
+    let _ = writeln!(std::io::stdout(), "{}", counters.line());
 }
--- a/crates/lynxtally-node/src/response.rs
+++ b/crates/lynxtally-node/src/response.rs
@@ -1,135 +1,80 @@
-//! Final answers, and how they are written to a sidecar.
+//! How responses are written to a client, as HTTP/1.1.
 
 use lynxtally::Span;
+use lynxtally_engine::FinalResponse;
 use std::io::Write;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// The final answer to a task.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Answer {
-    /// The result that its run made, unchanged.
-    Finished(Vec<u8>),
-    /// It never ran.
-    Rejected {
-        /// How long the caller should keep away.
-        hold_off: Span,
-        /// Asks that it not be tried elsewhere.
-        terminal: bool,
-    },
-    /// Failed, without a promise.
-    Abandoned,
-    /// It can't be read; the status says why.
-    Unfit(u16),
-}
+const RETRY_AFTER_MS: &str = "X-Pushback-Ms";
+const NO_RETRY: &str = "X-Stop-Trying";
+const CAPACITY: &str = "X-Backend-Says";
 
-impl Answer {
-    /// The status that says so.
-    pub fn status(&self) -> u16 {
-        match self {
-            Self::Finished(_) => 200,
-            Self::Rejected { .. } => 503,
-            Self::Abandoned => 500,
-            Self::Unfit(status) => *status,
-        }
-    }
-}
-
-impl From<lynxtally_engine::FinalResponse> for Answer {
-    fn from(answer: lynxtally_engine::FinalResponse) -> Self {
-        use lynxtally_engine::FinalResponse as Final;
-        match answer {
-            Final::Completed(result) => Self::Finished(result),
-            Final::Rejected { retry_after: hold_off, no_retry: terminal } => {
-                Self::Rejected { hold_off, terminal }
-            }
-            Final::Failed => Self::Abandoned,
-        }
-    }
+/// What goes with every response on a connection.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct ResponseContext {
+    /// The capacity to advertise, once there is one.
+    pub capacity: Option<f64>,
+    /// Whether the connection is closed after this response.
+    pub closes_connection: bool,
 }
 
-/// What goes with every answer and what health checks hear. The owner sets it, connections read it.
-#[derive(Debug, Default)]
-pub struct Standing {
-    healthy: AtomicBool,
-    leaving: AtomicBool,
-    /// The free value's bits, and whether there is one.
-    free: AtomicU64,
-    said: AtomicBool,
-}
-
-impl Standing {
-    /// Sets what health checks hear.
-    pub fn set_healthy(&self, healthy: bool) {
-        self.healthy.store(healthy, Ordering::Release);
-    }
-
-    /// Whether health checks hear that all is well.
-    pub fn healthy(&self) -> bool {
-        self.healthy.load(Ordering::Acquire)
-    }
-
-    /// From now on every answer is the last on its connection.
-    pub fn leave(&self) {
-        self.leaving.store(true, Ordering::Release);
-    }
-
-    /// Whether this node leaves.
-    pub fn leaving(&self) -> bool {
-        self.leaving.load(Ordering::Acquire)
-    }
-
-    /// Sets the free value.
-    pub fn say(&self, free: f64) {
-        self.free.store(free.to_bits(), Ordering::Release);
-        self.said.store(true, Ordering::Release);
-    }
-
-    /// The free value, once there is one.
-    pub fn free(&self) -> Option<f64> {
-        self.said.load(Ordering::Acquire).then(|| f64::from_bits(self.free.load(Ordering::Acquire)))
+/// The HTTP status of a final response.
+pub fn status(response: &FinalResponse) -> u16 {
+    match response {
+        FinalResponse::Completed(_) => 200,
+        FinalResponse::Rejected { .. } => 503,
+        FinalResponse::Failed => 500,
     }
 }
 
-/// Writes an answer; `last` announces that the connection ends with it.
-pub fn write(out: &mut Vec<u8>, answer: &Answer, free: Option<f64>, last: bool) {
-    let (reason, body): (&str, &[u8]) = match answer {
-        Answer::Finished(result) => ("OK", result),
-        Answer::Rejected { .. } => ("Service Unavailable", b""),
-        Answer::Abandoned => ("Internal Server Error", b""),
-        Answer::Unfit(_) => ("Unfit", b""),
+/// Writes the final response to a request.
+pub fn write(out: &mut Vec<u8>, response: &FinalResponse, context: ResponseContext) {
+    let (reason, body): (&str, &[u8]) = match response {
+        FinalResponse::Completed(result) => ("OK", result),
+        FinalResponse::Rejected { .. } => ("Service Unavailable", b""),
+        FinalResponse::Failed => ("Internal Server Error", b""),
     };
-    head(out, answer.status(), reason, body.len(), free, last);
-    if let Answer::Rejected { hold_off, terminal } = answer {
-        if *hold_off > Span::ZERO {
-            line(out, format_args!("X-Pushback-Ms: {}", hold_off.micros().div_ceil(1000)));
+    write_head(out, status(response), reason, body.len(), context);
+    if let FinalResponse::Rejected { retry_after, no_retry } = response {
+        if *retry_after > Span::ZERO {
+            write_line(out, format_args!("{RETRY_AFTER_MS}: {}", retry_after.micros().div_ceil(1000)));
         }
-        if *terminal {
-            line(out, format_args!("X-Stop-Trying: 1"));
+        if *no_retry {
+            write_line(out, format_args!("{NO_RETRY}: 1"));
         }
     }
-    out.extend_from_slice(b"\r\n");
+    end_head(out);
     out.extend_from_slice(body);
 }
 
-/// Writes what a health check hears.
-pub fn write_health(out: &mut Vec<u8>, healthy: bool, free: Option<f64>, last: bool) {
-    let (status, reason) = if healthy { (200, "OK") } else { (503, "Service Unavailable") };
-    head(out, status, reason, 0, free, last);
-    out.extend_from_slice(b"\r\n");
+/// Writes the response to a message that can't be accepted, with the status that says why.
+pub fn write_parse_error(out: &mut Vec<u8>, status: u16, context: ResponseContext) {
+    write_head(out, status, "Unfit", 0, context);
+    end_head(out);
+}
+
+/// Writes the response to a health check.
+pub fn write_health(out: &mut Vec<u8>, is_healthy: bool, context: ResponseContext) {
+    let (status, reason) = if is_healthy { (200, "OK") } else { (503, "Service Unavailable") };
+    write_head(out, status, reason, 0, context);
+    end_head(out);
 }
 
-fn head(out: &mut Vec<u8>, status: u16, reason: &str, length: usize, free: Option<f64>, last: bool) {
-    line(out, format_args!("HTTP/1.1 {status} {reason}"));
-    line(out, format_args!("Content-Length: {length}"));
-    if let Some(free) = free {
-        line(out, format_args!("X-Backend-Says: {free}"));
+fn write_head(out: &mut Vec<u8>, status: u16, reason: &str, length: usize, context: ResponseContext) {
+    write_line(out, format_args!("HTTP/1.1 {status} {reason}"));
+    write_line(out, format_args!("Content-Length: {length}"));
+    if let Some(capacity) = context.capacity {
+        write_line(out, format_args!("{CAPACITY}: {capacity}"));
     }
-    if last {
-        line(out, format_args!("Connection: close"));
+    if context.closes_connection {
+        write_line(out, format_args!("Connection: close"));
     }
 }
 
-fn line(out: &mut Vec<u8>, text: std::fmt::Arguments) {
-    // A vector takes whatever is written to it.
+fn end_head(out: &mut Vec<u8>) {
+    out.extend_from_slice(b"\r\n");
+}
+
+fn write_line(out: &mut Vec<u8>, text: std::fmt::Arguments) {
+    // Writing to a vector can't fail.
     let _ = write!(out, "{text}\r\n");
 }
