--- a/src/cost_model.rs
+++ b/src/cost_model.rs
@@ -33,6 +33,7 @@
 pub(crate) struct CostModel(Vec<ClassEstimate>);
 
 impl CostModel {
+    /// The model of classes in the order of their indices.
     pub fn new(classes: impl IntoIterator<Item = ClassEstimate>) -> Self {
         Self(classes.into_iter().collect())
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -40,7 +40,8 @@
 //!     coalescing_window: Span::ZERO,
 //!     max_retry_after: Span::from_millis(1000),
 //! };
-//! let (mut ids, mut actions) = (RequestIdTable::default(), Vec::new());
+//! let mut ids = RequestIdTable::default();
+//! let mut actions = Vec::new();
 //! let mut policy = Policy::new(settings, 7, Instant::from_micros(0));
 //! let request = ids.assign("first");
 //! let arrival = Arrival {
--- a/src/pcg.rs
+++ b/src/pcg.rs
@@ -1,4 +1,4 @@
-//! The module's only source of chance.
+//! The random numbers of the decisions. Nothing else in the library is random.
 
 /// A permuted congruential generator (PCG-XSH-RR 64/32, after O'Neill).
 #[derive(Clone, Debug)]
--- a/src/rate_queue.rs
+++ b/src/rate_queue.rs
@@ -13,6 +13,7 @@
 }
 
 impl RateQueue {
+    /// Adds a request.
     pub fn insert(&mut self, request: RequestId, rate: f64) {
         self.0.insert((descending(rate), request));
     }
@@ -22,10 +23,12 @@
         self.0.remove(&(descending(rate), request));
     }
 
+    /// The request with the highest rate.
     pub fn highest(&self) -> Option<RequestId> {
         self.0.first().map(|&(_, request)| request)
     }
 
+    /// The request with the lowest rate.
     pub fn lowest(&self) -> Option<RequestId> {
         self.0.last().map(|&(_, request)| request)
     }
@@ -35,7 +38,7 @@
         self.0.iter().map(|&(_, request)| request)
     }
 
-    /// The number of requests.
+    /// The number of requests, as a float for the arithmetic of the rules.
     pub fn len(&self) -> f64 {
         self.0.len() as f64
     }
--- a/src/receive_delay.rs
+++ b/src/receive_delay.rs
@@ -10,6 +10,7 @@
 }
 
 impl ReceiveDelay {
+    /// Begins without a delay.
     pub fn new(memory_secs: f64) -> Self {
         Self { secs: 0.0, memory_secs }
     }
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -10,8 +10,11 @@
 use std::collections::BTreeSet;
 use std::ops::{Index, IndexMut};
 
-/// The requests, by index. Indexing panics for an index without a request: the policy indexes only with what `contains`
-/// confirmed in the same event, or what stands in a queue or an armed timer, which a request leaves before its removal.
+/// The requests, by index.
+///
+/// Indexing panics where an index has no request. The policy indexes only with ids that `contains` confirmed in the same
+/// event, or that it took from a queue or from the armed timers: a request is removed only when it is in no queue, and
+/// its timer with it.
 pub(crate) struct RequestTable {
     requests: Vec<Option<Request>>,
     run_queue: RateQueue,
@@ -43,6 +46,7 @@
 }
 
 impl RequestTable {
+    /// An empty table of a policy that starts now.
     pub fn new(settings: &Settings, started: Instant) -> Self {
         Self {
             requests: Vec::new(),
@@ -59,10 +63,12 @@
         }
     }
 
+    /// The request with this index, if there is one.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(id.0 as usize)?.as_ref()
     }
 
+    /// Whether there is a request with this index.
     pub fn contains(&self, id: RequestId) -> bool {
         self.get(id).is_some()
     }
@@ -141,8 +147,8 @@
         self[id].notified_state = state;
     }
 
-    /// Takes a request that has no use for what it waits for out of its queue; false where it waits for nothing. The host
-    /// knows by itself.
+    /// Ends the wait of a request that needs it no more, for a core, a call or another's response; false where it waits
+    /// for none of these. The host needs no action to know.
     pub fn leave_queue(&mut self, id: RequestId) -> bool {
         match self[id].state {
             RequestState::Queued | RequestState::Coalesced => self.set_known_state(id, RequestState::Done),
