--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -38,6 +38,7 @@
         now < self.paused_until
     }
 
+    /// What one call moves the mean time; the first one sets it.
     fn gain(&self) -> f64 {
         if self.usual_call_secs > 0.0 {
             LEARNING_GAIN
@@ -46,6 +47,7 @@
         }
     }
 
+    /// Takes in a successful call.
     pub fn call_succeeded(&mut self, took: Span) {
         self.size += 1.0 / self.size;
         self.usual_call_secs += (took.secs() - self.usual_call_secs) * self.gain();
--- a/src/policy/downstream_calls.rs
+++ b/src/policy/downstream_calls.rs
@@ -40,6 +40,7 @@
         }
     }
 
+    /// Starts a call, which counts until it must have ended downstream even if it is cancelled.
     fn start_call(&mut self, id: RequestId, timeout: Span) {
         let call = &mut self.requests[id].call;
         call.started_at = self.now;
@@ -84,6 +85,8 @@
         }
     }
 
+    /// Lets the bounds learn from a failed call. Other dependencies than a shared one are paced by the window
+    /// alone.
     fn learn_from_failed_call(&mut self, took: Span, outcome: CallOutcome) {
         self.call_window.call_failed(self.now, took, outcome);
         if outcome == CallOutcome::MaybeExecuted {
--- a/src/policy/final_response.rs
+++ b/src/policy/final_response.rs
@@ -43,7 +43,8 @@
         self.requests.leave_queue(id);
     }
 
-    /// A run ended. If it gave no response, and one is owed, the request fails.
+    /// A run ended. If it gave no response, and one is owed, the request fails. A call that was in flight
+    /// counts as cancelled.
     pub(super) fn run_ended(&mut self, id: RequestId, outcome: RunOutcome) {
         let has_responded = outcome == RunOutcome::Responded;
         let request = &mut self.requests[id];
