--- a/src/policy/advertise.rs
+++ b/src/policy/advertise.rs
@@ -88,11 +88,8 @@
         if self.shutdown.is_some() {
             return longest;
         }
-        let queue_secs = if self.profile.one_class_stands_out {
-            0.0
-        } else {
-            self.queued_work_secs / self.profile.cores + self.learned.receive_delay.secs()
-        };
+        let queue_secs = self.queued_work_secs / self.profile.cores + self.learned.receive_delay.secs();
+        let queue_secs = if self.profile.one_class_stands_out { 0.0 } else { queue_secs };
         let spread = 0.5 + self.rng.unit();
         (Span::from_secs(queue_secs) * spread).min(longest)
     }
--- a/src/policy/arrival.rs
+++ b/src/policy/arrival.rs
@@ -5,6 +5,7 @@
 //! one that nobody paid for, that came too late in a shutdown, or whose key has no room in memory is rejected
 //! at once.
 
+use super::final_response::RetryAdvice;
 use super::learning::{LEARNING_GAIN, RECEIVE_DELAY_GAIN};
 use super::Policy;
 use crate::request::{Request, RequestState, RequestTimer};
@@ -38,10 +39,10 @@
             return self.check_deadlines(id);
         }
         if self.shutdown.is_some_and(|shutdown| arrived_at >= shutdown.last_start) {
-            return self.reject(id, false);
+            return self.reject(id, RetryAdvice::Retry);
         }
         if !self.retain_key(id, arrival.coalescable, arrived_at) {
-            return self.reject(id, false);
+            return self.reject(id, RetryAdvice::Retry);
         }
         self.set_first_deadline_check(id);
     }
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -38,19 +38,16 @@
         now < self.paused_until
     }
 
-    /// What one call moves the mean time; the first one sets it.
-    fn gain(&self) -> f64 {
-        if self.usual_call_secs > 0.0 {
-            LEARNING_GAIN
-        } else {
-            1.0
-        }
+    /// Moves the mean time of a call by a part of the difference; the first call moves it all the way.
+    fn learn_call_secs(&mut self, difference_secs: f64) {
+        let gain = if self.usual_call_secs > 0.0 { LEARNING_GAIN } else { 1.0 };
+        self.usual_call_secs += difference_secs * gain;
     }
 
     /// Takes in a successful call.
     pub fn call_succeeded(&mut self, took: Span) {
         self.size += 1.0 / self.size;
-        self.usual_call_secs += (took.secs() - self.usual_call_secs) * self.gain();
+        self.learn_call_secs(took.secs() - self.usual_call_secs);
     }
 
     /// Takes in a failed call. A timeout that was short only as its request had little time says nothing of
@@ -63,7 +60,7 @@
             self.last_cut = now;
         }
         if outcome == CallOutcome::MaybeExecuted {
-            self.usual_call_secs += (took.secs() - self.usual_call_secs).max(0.0) * self.gain();
+            self.learn_call_secs((took.secs() - self.usual_call_secs).max(0.0));
         }
     }
 
--- a/src/policy/deadline.rs
+++ b/src/policy/deadline.rs
@@ -6,6 +6,7 @@
 //! to that part, until its deadline. A started request fails at the end of its time: its latency objective
 //! where the host can stop runs, else its deadline.
 
+use super::final_response::RetryAdvice;
 use super::Policy;
 use crate::request::{Request, RequestState};
 use crate::*;
@@ -60,26 +61,31 @@
         }
         self.queued_work_secs = work_ahead_secs;
         for id in hopeless {
-            let no_retry = self.is_retry_useless(id);
-            self.give_up_or_demote(id, no_retry);
+            let advice = self.retry_advice(id);
+            self.give_up_or_demote(id, advice);
         }
     }
 
-    /// Whether a rejected request is better not retried at another backend. Where reading is behind here it
-    /// most likely is elsewhere, and a request that wanders is read by each. Catches every jam of reading,
-    /// which shows as growing receive delays; harms where only this backend is behind.
-    fn is_retry_useless(&mut self, id: RequestId) -> bool {
-        self.profile.one_class_stands_out
+    /// Whether a hopeless request should be retried at another backend. Where reading is behind here it most
+    /// likely is elsewhere, and a request that wanders is read by each. Catches every jam of reading, which
+    /// shows as growing receive delays; harms where only this backend is behind.
+    fn retry_advice(&mut self, id: RequestId) -> RetryAdvice {
+        let is_useless = self.profile.one_class_stands_out
             || self.requests[id].is_retry
-            || self.rng.unit() < self.fraction_behind()
+            || self.rng.unit() < self.fraction_behind();
+        if is_useless {
+            RetryAdvice::NoRetry
+        } else {
+            RetryAdvice::Retry
+        }
     }
 
     /// A queued request can't respond in time: it is rejected or, where late responses earn a part, demoted.
-    pub(super) fn give_up_or_demote(&mut self, id: RequestId, no_retry: bool) {
+    pub(super) fn give_up_or_demote(&mut self, id: RequestId, advice: RetryAdvice) {
         let request = &self.requests[id];
         let late_fraction = self.settings.classes[request.class].late_utility_fraction;
         if late_fraction <= 0.0 || request.respond_by >= request.deadline {
-            return self.reject(id, no_retry);
+            return self.reject(id, advice);
         }
         self.requests.cut_queued_rate(id, late_fraction);
         let request = &mut self.requests[id];
@@ -112,7 +118,7 @@
     fn check_queued(&mut self, id: RequestId) {
         let refused_at = self.refusal_time(&self.requests[id]);
         if refused_at <= self.now {
-            return self.give_up_or_demote(id, true);
+            return self.give_up_or_demote(id, RetryAdvice::NoRetry);
         }
         if !std::mem::replace(&mut self.requests[id].stale, true) {
             self.requests.cut_queued_rate(id, STALE_RATE_FRACTION);
--- a/src/policy/downstream_calls.rs
+++ b/src/policy/downstream_calls.rs
@@ -85,8 +85,7 @@
         }
     }
 
-    /// Lets the bounds learn from a failed call. Other dependencies than a shared one are paced by the window
-    /// alone.
+    /// Lets the bounds learn from a failed call. What is not shared is paced by the window alone.
     fn learn_from_failed_call(&mut self, took: Span, outcome: CallOutcome) {
         self.call_window.call_failed(self.now, took, outcome);
         if outcome == CallOutcome::MaybeExecuted {
--- a/src/policy/final_response.rs
+++ b/src/policy/final_response.rs
@@ -8,10 +8,18 @@
 use crate::request::RequestState;
 use crate::*;
 
+/// What a rejected caller is told about trying another backend.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum RetryAdvice {
+    Retry,
+    NoRetry,
+}
+
 impl Policy {
     /// Rejects a request, with the Retry-After of this moment.
-    pub(super) fn reject(&mut self, id: RequestId, no_retry: bool) {
+    pub(super) fn reject(&mut self, id: RequestId, advice: RetryAdvice) {
         let retry_after = self.retry_after();
+        let no_retry = advice == RetryAdvice::NoRetry;
         self.finish(id, Action::Reject { request: id, retry_after, no_retry });
     }
 
@@ -22,8 +30,7 @@
         let response = if may_have_had_effect { Action::Fail(id) } else { response };
         request.response.get_or_insert(response);
         let state = request.state;
-        let never_run_tenant = request.tenant.take_if(|_| !request.run.started);
-        if let Some(tenant) = never_run_tenant {
+        if let Some(tenant) = request.tenant.take_if(|_| !request.run.started) {
             self.learned.tenants.uncount(tenant);
         }
         if self.requests.leave_queue(id) {
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -44,11 +44,8 @@
         self.is_closing = self.cpu_utilization < MAX_CPU_UTILIZATION
             && open > max_running * FAR_MORE_FACTOR
             && f64::from(settings.callers) > open * FAR_MORE_FACTOR;
-        let target_secs = if self.is_closing {
-            profile.mean_objective_secs
-        } else {
-            longest_idle_secs(settings, profile.mean_objective_secs)
-        };
+        let longest_secs = longest_idle_secs(settings, profile.mean_objective_secs);
+        let target_secs = if self.is_closing { profile.mean_objective_secs } else { longest_secs };
         self.idle_secs += (target_secs - self.idle_secs) * TIMER_PERIOD_FRACTION;
     }
 
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -6,6 +6,7 @@
 //! place of being started (see `deadline`). Where the queue itself exceeds the memory, the lowest rates are
 //! rejected.
 
+use super::final_response::RetryAdvice;
 use super::Policy;
 use crate::request::RequestState;
 use crate::*;
@@ -15,7 +16,7 @@
     pub(super) fn select_requests(&mut self) {
         while let Some(id) = self.requests.run_queue().highest() {
             if self.now >= self.last_useful_start(id) {
-                self.give_up_or_demote(id, true);
+                self.give_up_or_demote(id, RetryAdvice::NoRetry);
                 continue;
             }
             let request = &self.requests[id];
@@ -26,7 +27,7 @@
         }
         while self.requests.usage().memory_kb > self.memory_limit_kb() {
             let Some(id) = self.requests.run_queue().lowest() else { break };
-            self.reject(id, false);
+            self.reject(id, RetryAdvice::Retry);
         }
     }
 
