--- a/crates/lynxtally-node/src/config.rs
+++ b/crates/lynxtally-node/src/config.rs
@@ -30,7 +30,7 @@
     /// How much memory it may use, in bytes.
     pub memory_bytes: usize,
     /// The settings of the decisions, and the names in them.
-    pub declared: BackendSettings,
+    pub backend: BackendSettings,
     /// Its part in what the fleet has together; none where no coordinators are named.
     pub shares: Option<shares::Settings>,
 }
@@ -67,7 +67,7 @@
 impl Config {
     /// The limits that follow from it.
     pub fn bounds(&self) -> Bounds {
-        let settings = &self.declared.settings;
+        let settings = &self.backend.settings;
         let duration = |span: lynxtally::Span| Duration::from_micros(span.micros());
         let deadlines = settings.classes.iter().map(|class| duration(class.deadline));
         let longest_deadline = deadlines.max().unwrap_or(MAX_MESSAGE_TIMEOUT);
@@ -92,7 +92,7 @@
             ("listen", self.listen != newer.listen),
             ("limits.sockets", self.max_sockets != newer.max_sockets),
             ("limits.memory_mb", self.memory_bytes != newer.memory_bytes),
-            ("settings", self.declared != newer.declared),
+            ("settings", self.backend != newer.backend),
             ("shares", self.shares != newer.shares),
         ]
         .into_iter()
@@ -220,13 +220,13 @@
         let what = format!("is {}; at least {MIN_SOCKETS} are expected", file.limits.sockets);
         return Err(SettingError::new("limits.sockets", what));
     }
-    let mut declared = parse_settings(file.settings)?;
+    let mut backend = parse_settings(file.settings)?;
     let downstream = file.downstream.map(|text| parse_address("ledger", &text)).transpose()?;
     if downstream.is_none() {
-        check_nothing_is_called(&declared)?;
+        check_nothing_is_called(&backend)?;
     }
     // The executor has no command to degrade a request, so degrading one earns nothing here.
-    declared.settings.classes.iter_mut().for_each(|class| class.degraded_utility_fraction = 0.0);
+    backend.settings.classes.iter_mut().for_each(|class| class.degraded_utility_fraction = 0.0);
     Ok(Config {
         name,
         listen: parse_address("listen", &listen)?,
@@ -237,8 +237,8 @@
         shutdown_timeout: Duration::from_millis(file.shutdown_ms),
         max_sockets: file.limits.sockets,
         memory_bytes: file.limits.memory_mb << 20,
-        shares: file.shares.map(|file| shares::read(file, &declared)).transpose()?,
-        declared,
+        shares: file.shares.map(|file| shares::read(file, &backend)).transpose()?,
+        backend,
     })
 }
 
@@ -264,11 +264,11 @@
 }
 
 /// A node without a downstream dependency may have no request class that calls it.
-fn check_nothing_is_called(declared: &BackendSettings) -> Result<(), SettingError> {
-    let Some(calling) = declared.settings.classes.iter().position(|class| class.calls_downstream) else {
+fn check_nothing_is_called(backend: &BackendSettings) -> Result<(), SettingError> {
+    let Some(calling) = backend.settings.classes.iter().position(|class| class.calls_downstream) else {
         return Ok(());
     };
     let what =
-        format!("is missing; an address is expected, as stage `{}` calls", declared.class_names[calling]);
+        format!("is missing; an address is expected, as stage `{}` calls", backend.class_names[calling]);
     Err(SettingError::new("ledger", what))
 }
--- a/crates/lynxtally-node/src/event_loop/executor_events.rs
+++ b/crates/lynxtally-node/src/event_loop/executor_events.rs
@@ -32,15 +32,15 @@
         }
         let started_at = now - Span::from_secs(uptime_ms / 1000.0);
         info!(cold_start, uptime_ms, "the executor is up");
-        debug!(downstream = ?self.config.declared.settings.downstream, "where calls go");
-        let mut settings = self.config.declared.settings.clone();
+        debug!(downstream = ?self.config.backend.settings.downstream, "where calls go");
+        let mut settings = self.config.backend.settings.clone();
         settings.cold_start = cold_start;
         self.engine.start(now, Policy::new(settings, self.config.seed, started_at));
     }
 
     fn gauges_reported(&mut self, now: Instant, number: u64, values: &[f64]) {
         self.executor.gauges_reported(number);
-        let names = &self.config.declared.gauges;
+        let names = &self.config.backend.gauges;
         let value_of = |name| Some(*values.get(names.iter().position(|known| known == name)?)?);
         let gauges = Gauges { cpu_utilization: value_of("cpu_busy"), open_connections: value_of("sockets") };
         self.engine.update_gauges(now, gauges);
@@ -66,7 +66,7 @@
         debug!(id, ?status, "run ended");
         let Some(request) = self.engine.find(id) else { return self.unknown_request(id) };
         let can_be_resumed = status == RunStatus::Stopped
-            && self.config.declared.stop_keeps_progress
+            && self.config.backend.stop_keeps_progress
             && self.engine.reply_to(request).is_some();
         if let Some(work) = self.engine.work(request) {
             work.unconfirmed.clear();
--- a/crates/lynxtally-node/src/event_loop/mod.rs
+++ b/crates/lynxtally-node/src/event_loop/mod.rs
@@ -130,9 +130,9 @@
         let mut engine = Engine::new(config.bounds().retained_result_bytes);
         engine.set_timer(Instant::default(), TimerKind::CloseExpired);
         // The codec accepts nothing that arrived longer ago.
-        let max_deadline_ms = RequestSchema::new(&config.declared).max_deadline_ms;
+        let max_deadline_ms = RequestSchema::new(&config.backend).max_deadline_ms;
         engine.set_max_receive_delay(Span::from_millis(max_deadline_ms));
-        let classes = config.declared.class_names.clone();
+        let classes = config.backend.class_names.clone();
         Self {
             executor: NodeExecutor::new(parts.executor, parts.downstream, classes, parts.counters.clone()),
             responder: NodeResponder::new(
--- a/crates/lynxtally-node/src/event_loop/requests.rs
+++ b/crates/lynxtally-node/src/event_loop/requests.rs
@@ -16,7 +16,7 @@
     pub(super) fn request_read(&mut self, now: Instant, read: RequestRead) {
         let RequestRead { request, connection } = read;
         self.counters.requests.add(request.class);
-        let settings = &self.config.declared.settings;
+        let settings = &self.config.backend.settings;
         let effect = settings.classes[request.class].effect;
         let identity = request_identity(&request, effect, settings.coalescing_window);
         let incoming = incoming_request(now, &request, identity);
--- a/crates/lynxtally-node/src/health_reports.rs
+++ b/crates/lynxtally-node/src/health_reports.rs
@@ -76,6 +76,7 @@
         }
     }
 
+    /// Sends one report, as the control plane reads it: `lease NAME Ready` or `lease NAME NotReady`.
     fn send(&self, socket: &mut Option<UdpSocket>, is_healthy: bool) -> io::Result<usize> {
         let state = if is_healthy { "Ready" } else { "NotReady" };
         let text = format!("lease {} {state}", self.name);
--- a/crates/lynxtally-node/src/http/mod.rs
+++ b/crates/lynxtally-node/src/http/mod.rs
@@ -84,6 +84,7 @@
         let body_end = body_start + length;
         let path = head.path.unwrap_or("");
         let path = path.split_once('?').map_or(path, |(path, _query)| path);
+        // Health checks are `GET /alive`, requests `POST /ops/CLASS`.
         let content = match (path.rsplit_once('/'), head.method) {
             (Some(("", "alive")), Some("GET" | "HEAD")) => ClientMessage::HealthCheck,
             (Some(("/ops", class)), Some("POST")) => {
--- a/crates/lynxtally-node/src/http/request.rs
+++ b/crates/lynxtally-node/src/http/request.rs
@@ -15,11 +15,11 @@
 
 impl RequestSchema {
     /// As the settings declare it.
-    pub fn new(declared: &BackendSettings) -> Self {
-        let longest = declared.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
+    pub fn new(backend: &BackendSettings) -> Self {
+        let longest = backend.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         Self {
-            classes: declared.class_names.clone(),
-            tenants: declared.tenant_names.clone(),
+            classes: backend.class_names.clone(),
+            tenants: backend.tenant_names.clone(),
             max_deadline_ms: longest.micros() / 1000,
         }
     }
--- a/crates/lynxtally-node/src/node.rs
+++ b/crates/lynxtally-node/src/node.rs
@@ -113,7 +113,7 @@
 
 impl Node {
     fn new(config: &Config) -> Result<Self, NodeError> {
-        let schema = RequestSchema::new(&config.declared);
+        let schema = RequestSchema::new(&config.backend);
         let counters = Arc::new(Counters::new(&schema.classes));
         let advertised = Arc::new(AdvertisedState::default());
         let (event_loop, messages) = channel();
