--- /dev/null
+++ b/crates/cli/tests/deploy.rs
@@ -0,0 +1,38 @@
+//! The settings under `deploy/` that the pages start from are taken by the programs that they are for.
+
+use std::os::unix::fs::PermissionsExt;
+use std::path::{Path, PathBuf};
+use std::process::Command;
+
+fn deploy(file: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy").join(file)
+}
+
+/// Checks a file as the pages say, in a folder with the keys that it names.
+fn check(name: &str, file: &str) -> (Option<i32>, String) {
+    let folder = std::env::temp_dir().join(format!("lynxtally-deploy-{}-{name}", std::process::id()));
+    let keys = folder.join("state/keys");
+    std::fs::create_dir_all(&keys).expect("a folder");
+    let key = keys.join("nodes.key");
+    let secret = "c2VjcmV0IHNlY3JldCBzZWNyZXQgc2VjcmV0IHNlY3I=";
+    std::fs::write(&key, format!("hmac-sha256 nodes.fleet.example.org. {secret}\n")).expect("a file");
+    std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).expect("a mode");
+    let out = Command::new(env!("CARGO_BIN_EXE_lynxtally"))
+        .args(["settings", "check"])
+        .arg(deploy(file))
+        .current_dir(&folder)
+        .output()
+        .expect("it runs");
+    std::fs::remove_dir_all(&folder).expect("it is there");
+    (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
+}
+
+#[test]
+fn the_names_server_takes_its_settings() {
+    assert_eq!(check("names", "names/fleet.jsonnet"), (Some(0), String::new()));
+}
+
+#[test]
+fn the_stream_server_takes_its_settings() {
+    assert_eq!(check("stream", "stream/front.jsonnet"), (Some(0), String::new()));
+}
