--- a/crates/core/routes/src/lib.rs
+++ b/crates/core/routes/src/lib.rs
@@ -1,8 +1,8 @@
-//! Who gets what share of which tasks, without I/O: the members that a proxy uses ([`subset`]), how tasks spill over from
-//! place to place ([`spill`]), and the plan that earns most ([`plan`]).
+//! Who gets what fraction of which requests, without I/O: the members that a proxy uses ([`subset`]), how requests spill
+//! over from zone to zone ([`spillover`]), and the plan that earns most ([`plan`]).
 
 #![forbid(unsafe_code)]
 
 pub mod plan;
-pub mod spill;
+pub mod spillover;
 pub mod subset;
