--- /dev/null
+++ b/crates/core/wal/tests/format.rs
@@ -0,0 +1,73 @@
+//! The stored format, octet for octet: files as the program wrote them before its parts were renamed.
+
+use lynxtally_test_doubles::disk::MemoryDisk;
+use lynxtally_wal::{Disk, Journal};
+
+/// The files of a log called `zone` with a snapshot and entries in two generations, in hexadecimal.
+const FILES: [(&str, &str); 3] = [
+    (
+        "zone.0.log",
+        "4c58544c4f47003105000000817217730000000000000000666972737400000000adcf14c50100000000000000140000\
+         00cbd86b580200000000000000ffffffffffffffffffffffffffffffffffffffff",
+    ),
+    (
+        "zone.1.log",
+        "4c58544c4f470031060000006383a3190300000000000000666f75727468050000007f8b537904000000000000006669\
+         667468",
+    ),
+    ("zone.1.snap", "4c5854534e500031090000002eaaeef10300000000000000616c6c207468726565"),
+];
+
+fn write() -> MemoryDisk {
+    let mut disk = MemoryDisk::default();
+    let (mut journal, _) = Journal::open(&mut disk, "zone").expect("it opens");
+    for octets in [&b"first"[..], b"", &[0xff; 20]] {
+        journal.add(octets);
+    }
+    journal.commit(&mut disk).expect("it is written");
+    let rotation = journal.rotate();
+    Journal::write_snapshot(&mut disk, "zone", rotation, b"all three").expect("it is written");
+    journal.add(b"fourth");
+    journal.commit(&mut disk).expect("it is written");
+    journal.add(b"fifth");
+    journal.commit(&mut disk).expect("it is written");
+    disk
+}
+
+fn hex(octets: &[u8]) -> String {
+    octets.iter().map(|octet| format!("{octet:02x}")).collect()
+}
+
+fn octets(hex: &str) -> Vec<u8> {
+    (0..hex.len() / 2).map(|at| u8::from_str_radix(&hex[2 * at..2 * at + 2], 16).expect("hex")).collect()
+}
+
+#[test]
+fn what_is_written_has_the_same_octets_as_ever() {
+    let mut disk = write();
+    let files: Vec<(String, String)> = disk
+        .list()
+        .expect("it lists")
+        .into_iter()
+        .map(|file| {
+            let octets = disk.read(&file).expect("it reads").expect("it is there");
+            (file, hex(&octets))
+        })
+        .collect();
+    let expected: Vec<(String, String)> =
+        FILES.iter().map(|(file, octets)| ((*file).to_owned(), (*octets).to_owned())).collect();
+    assert_eq!(files, expected);
+}
+
+#[test]
+fn what_was_written_before_is_read() {
+    let mut disk = MemoryDisk::default();
+    for (file, hex) in FILES {
+        disk.replace(file, &octets(hex)).expect("it is written");
+    }
+    let (journal, found) = Journal::open(&mut disk, "zone").expect("it opens");
+    assert_eq!(found.snapshot.as_deref(), Some(&b"all three"[..]));
+    assert_eq!(found.entries, [b"fourth".to_vec(), b"fifth".to_vec()]);
+    assert!(found.cut.is_none() && found.damage.is_empty());
+    assert_eq!(journal.next(), 5);
+}
