--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -8,7 +8,7 @@
 use lynxtally_dns::server;
 use lynxtally_dns::settings::{self, Checked};
 use lynxtally_dns::tsig::Key;
-use lynxtally_wal::Journal;
+use lynxtally_wal::WriteAheadLog;
 use lynxtally_zones::change::{between, Change};
 use lynxtally_zones::file;
 use lynxtally_zones::follow::Brought;
@@ -383,7 +383,7 @@
     let zone = zone.ok_or_else(|| wrong(format!("{} is no zone of the settings", running.zone)))?;
     let name = server::journal_name(zone);
     let mut folder = server::folder(&checked.state)?;
-    let (_, found) = Journal::look(&mut folder, &name).map_err(wrong)?;
+    let (_, found) = WriteAheadLog::inspect(&mut folder, &name).map_err(wrong)?;
     let mut faults: Vec<String> = found.damage.iter().map(ToString::to_string).collect();
     let snapshot = found.snapshot.as_deref().map(decode::<Snapshot>).transpose();
     if let Ok(Some(snapshot)) = &snapshot {
@@ -410,9 +410,9 @@
         }
         count += 1;
     }
-    if let Some(cut) = &found.cut {
+    if let Some(cut) = &found.torn_tail {
         // It was never acknowledged: no fault, but worth a line.
-        println!("; {}: {} octets at {} broke off and will be cut off", cut.file, cut.octets, cut.at);
+        println!("; {}: {} octets at {} broke off and will be cut off", cut.file, cut.length, cut.offset);
     }
     match format {
         Format::Text => {
@@ -420,7 +420,7 @@
             println!("{count} entries, {} faults", faults.len());
         }
         Format::Json => {
-            println!("{}", json!({"entries": count, "faults": faults, "cut": found.cut.is_some()}))
+            println!("{}", json!({"entries": count, "faults": faults, "cut": found.torn_tail.is_some()}))
         }
     }
     if faults.is_empty() {
--- a/crates/frontends/dns/src/disk.rs
+++ b/crates/frontends/dns/src/disk.rs
@@ -1,6 +1,6 @@
 //! The thread that makes logs durable: all that waits is written, and then made durable once for all of it.
 
-use lynxtally_wal::{Batch, Disk};
+use lynxtally_wal::{Batch, Storage};
 use std::collections::BTreeMap;
 use std::sync::mpsc::Receiver;
 
@@ -16,7 +16,11 @@
 
 /// Works until nobody sends any more; `done` hears of each zone up to which number its entries are durable, or
 /// that the log failed.
-pub fn work(mut folder: impl Disk, jobs: &Receiver<Job>, mut done: impl FnMut(usize, Result<u64, String>)) {
+pub fn work(
+    mut folder: impl Storage,
+    jobs: &Receiver<Job>,
+    mut done: impl FnMut(usize, Result<u64, String>),
+) {
     let mut failed: BTreeMap<usize, String> = BTreeMap::new();
     while let Ok(first) = jobs.recv() {
         let mut all = vec![first];
@@ -26,10 +30,10 @@
             if failed.contains_key(&zone) {
                 continue;
             }
-            match folder.append(&batch.file, &batch.octets) {
+            match folder.append(&batch.file, &batch.bytes) {
                 Ok(()) => {
                     files.insert(batch.file, zone);
-                    reached.insert(zone, batch.up_to);
+                    reached.insert(zone, batch.durable_below);
                 }
                 Err(why) => {
                     failed.insert(zone, format!("{}: {why}", batch.file));
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -18,7 +18,7 @@
 use lynxtally_net::fair_yield::FairYield;
 use lynxtally_net::sync::lock;
 use lynxtally_net::timer::Timer;
-use lynxtally_wal::{Disk, Journal, Rotation};
+use lynxtally_wal::{Rotation, Storage, WriteAheadLog};
 use lynxtally_zones::change::{between, Change};
 use lynxtally_zones::file;
 use lynxtally_zones::flood::{prefix, Shares};
@@ -427,7 +427,7 @@
 /// Reads it.
 pub fn read_base(folder: &mut DirectoryStorage, file: &str) -> Option<Zone> {
     let octets = folder.read(file).ok()??;
-    decode_base(lynxtally_wal::unseal(&octets)?.1)
+    decode_base(lynxtally_wal::unseal(&octets)?.content)
 }
 
 /// Takes a zone from its log, or from its file where it has none yet. A damaged log freezes the zone as far as it
@@ -439,10 +439,10 @@
     now: Instant,
 ) -> Result<ZoneState, String> {
     let name = journal_name(zone);
-    let (mut journal, found) = Journal::open(folder, &name).map_err(|fault| fault.to_string())?;
+    let (mut journal, found) = WriteAheadLog::open(folder, &name).map_err(|fault| fault.to_string())?;
     let limits = settings.limits.keeper();
-    if let Some(cut) = &found.cut {
-        warn!(zone = %zone.apex, file = cut.file, at = cut.at, octets = cut.octets, "an entry that broke off was cut off");
+    if let Some(cut) = &found.torn_tail {
+        warn!(zone = %zone.apex, file = cut.file, at = cut.offset, octets = cut.length, "an entry that broke off was cut off");
     }
     let mut damage: Vec<String> = found.damage.iter().map(ToString::to_string).collect();
     let mut keeper = match found.snapshot {
@@ -473,7 +473,7 @@
         let file = write_base(folder, &name, &base)?;
         let made = Keeper::new(base, file, limits);
         let rotation = journal.rotate();
-        Journal::write_snapshot(folder, &name, rotation, &encode(&made.snapshot()))
+        WriteAheadLog::write_snapshot(folder, &name, rotation, &encode(&made.snapshot()))
             .map_err(|fault| fault.to_string())?;
         info!(zone = %zone.apex, serial = %made.live().serial(), records = made.live().records(), "read from its file");
         keeper = Some(made);
@@ -504,7 +504,7 @@
         Aside::Snapshot { zone, name, rotation, keeper } => {
             let done = folder(state).and_then(|mut folder| {
                 let octets = encode(&keeper.snapshot());
-                Journal::write_snapshot(&mut folder, &name, rotation, &octets)
+                WriteAheadLog::write_snapshot(&mut folder, &name, rotation, &octets)
                     .map_err(|fault| fault.to_string())?;
                 clean_bases(state, &mut folder, &name);
                 Ok(())
@@ -531,8 +531,8 @@
     for file in files.iter().filter(|file| file.starts_with(&format!("{name}."))) {
         let Ok(Some(octets)) = folder.read(file) else { return };
         if file.ends_with(".snap") {
-            let Some((_, octets)) = lynxtally_wal::unseal(&octets) else { return };
-            let Ok(snapshot) = decode::<Snapshot>(octets) else { return };
+            let Some(sealed) = lynxtally_wal::unseal(&octets) else { return };
+            let Ok(snapshot) = decode::<Snapshot>(sealed.content) else { return };
             named.push(snapshot.base);
         } else if file.ends_with(".log") {
             // A base that an entry names stands in it as text.
@@ -976,9 +976,10 @@
         let zone = &mut self.serving.zones[at];
         let Some(keeper) = &zone.keeper else { return };
         let (name, octets) = (journal_name(&zone.settings), encode(&keeper.snapshot()));
-        let rotation = Rotation { generation: 0, next: 0 };
+        let rotation = Rotation { generation: 0, first_entry: 0 };
         let done = folder(&self.settings.state).and_then(|mut folder| {
-            Journal::write_snapshot(&mut folder, &name, rotation, &octets).map_err(|fault| fault.to_string())
+            WriteAheadLog::write_snapshot(&mut folder, &name, rotation, &octets)
+                .map_err(|fault| fault.to_string())
         });
         if let Err(why) = done {
             self.serving.log_failed(at, &why);
@@ -1060,7 +1061,7 @@
         live.names(),
         keeper.leases().len(),
         keeper.leases().suspect().is_some(),
-        zone.journal.grown(),
+        zone.journal.bytes_since_snapshot(),
         zone.served().is_some(),
     )
 }
--- a/crates/frontends/dns/src/serving.rs
+++ b/crates/frontends/dns/src/serving.rs
@@ -6,7 +6,7 @@
 use crate::tsig::Signer;
 use lynxtally::{CallOutcome, Instant, RequestId, Span};
 use lynxtally_engine::{Executor, RunEnd};
-use lynxtally_wal::{Batch, Journal, Rotation};
+use lynxtally_wal::{Batch, Rotation, WriteAheadLog};
 use lynxtally_zones::change::Change;
 use lynxtally_zones::follow::{Follower, Notices, Step};
 use lynxtally_zones::keeper::{encode, Entry, Frozen, Keeper, Ready};
@@ -91,7 +91,7 @@
     /// Its versions; none before a secondary has one.
     pub keeper: Option<Keeper>,
     /// Its log.
-    pub journal: Journal,
+    pub journal: WriteAheadLog,
     /// Where it follows primaries.
     pub follower: Option<Follower>,
     /// Who is told of new versions.
@@ -113,11 +113,11 @@
     pub fn new(
         settings: settings::Zone,
         keeper: Option<Keeper>,
-        journal: Journal,
+        journal: WriteAheadLog,
         follower: Option<Follower>,
         notices: Notices,
     ) -> Self {
-        let durable = journal.next();
+        let durable = journal.next_number();
         Self {
             settings,
             keeper,
@@ -141,7 +141,7 @@
 
     /// Puts an entry on the log.
     fn log(&mut self, entry: &Entry) {
-        let number = self.journal.add(&encode(entry));
+        let number = self.journal.append(&encode(entry));
         if let Some(keeper) = &mut self.keeper {
             keeper.added(number + 1, entry);
         }
@@ -413,16 +413,16 @@
     /// What is to be made durable, by zone.
     pub fn batches(&mut self) -> Vec<(usize, Batch)> {
         let batches = self.zones.iter_mut().enumerate();
-        batches.filter_map(|(at, zone)| Some((at, zone.journal.batch()?))).collect()
+        batches.filter_map(|(at, zone)| Some((at, zone.journal.take_batch()?))).collect()
     }
 
     /// Begins a generation of the log where it is long and all of it is durable; the keeper goes out as it
     /// stands, for the snapshot. What waited for that is judged.
     pub fn rotate(&mut self, at: usize, asked: bool) -> Option<(Rotation, Keeper)> {
         let (log_most, zone) = (self.log_most, &mut self.zones[at]);
-        zone.rotate |= !zone.snapshotting && (asked || zone.journal.grown() > log_most);
+        zone.rotate |= !zone.snapshotting && (asked || zone.journal.bytes_since_snapshot() > log_most);
         let keeper = zone.keeper.as_ref().filter(|keeper| keeper.settled())?.clone();
-        if !zone.rotate || zone.durable < zone.journal.next() {
+        if !zone.rotate || zone.durable < zone.journal.next_number() {
             return None;
         }
         (zone.rotate, zone.snapshotting) = (false, true);
--- a/crates/frontends/net/src/directory.rs
+++ b/crates/frontends/net/src/directory.rs
@@ -1,6 +1,6 @@
 //! A directory on a file system as storage for logs and snapshots.
 
-use lynxtally_wal::Disk;
+use lynxtally_wal::Storage;
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
@@ -33,7 +33,7 @@
     }
 }
 
-impl Disk for DirectoryStorage {
+impl Storage for DirectoryStorage {
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>> {
         match fs::read(self.path.join(name)) {
             Ok(bytes) => Ok(Some(bytes)),
--- a/crates/frontends/stream/src/archive.rs
+++ b/crates/frontends/stream/src/archive.rs
@@ -4,7 +4,7 @@
 use lynxtally_flow::uploads::{Entry, UploadId, UploadLimits, Uploads};
 use lynxtally_net::directory::DirectoryStorage;
 use lynxtally_net::sync::lock;
-use lynxtally_wal::{Disk, Journal};
+use lynxtally_wal::{Storage, WriteAheadLog};
 use std::path::Path;
 use std::sync::mpsc::{self, Receiver, Sender};
 use std::sync::{Arc, Mutex};
@@ -79,7 +79,7 @@
         let shown = path.display();
         let mut folder = DirectoryStorage::new(path).map_err(|fault| format!("{shown}: {fault}"))?;
         let (mut journal, found) =
-            Journal::open(&mut folder, NAME).map_err(|fault| format!("{shown}: {fault}"))?;
+            WriteAheadLog::open(&mut folder, NAME).map_err(|fault| format!("{shown}: {fault}"))?;
         for damage in &found.damage {
             warn!(%damage, "the log of uploads is damaged; those that it can't tell of are not kept");
         }
@@ -112,7 +112,7 @@
         }
         info!(uploads = uploads.ids().len(), octets = uploads.sum(), "uploads that can be gone on with");
         let rotation = journal.rotate();
-        Journal::write_snapshot(&mut folder, NAME, rotation, &encode(&uploads.snapshot()))
+        WriteAheadLog::write_snapshot(&mut folder, NAME, rotation, &encode(&uploads.snapshot()))
             .map_err(|fault| format!("{shown}: {fault}"))?;
         let (jobs, todo) = mpsc::channel();
         // What is durable, apart from how far each has come meanwhile.
@@ -195,7 +195,12 @@
     Ok(())
 }
 
-fn work(mut folder: DirectoryStorage, mut journal: Journal, mut durable: Uploads, todo: &Receiver<Job>) {
+fn work(
+    mut folder: DirectoryStorage,
+    mut journal: WriteAheadLog,
+    mut durable: Uploads,
+    todo: &Receiver<Job>,
+) {
     // After a failed sync nobody knows what is on the disk: nothing more is called durable.
     let mut broken: Option<String> = None;
     for job in todo {
@@ -227,20 +232,21 @@
 
 fn note(
     folder: &mut DirectoryStorage,
-    journal: &mut Journal,
+    journal: &mut WriteAheadLog,
     durable: &mut Uploads,
     entry: Entry,
 ) -> Result<(), String> {
     if let Entry::Moved { id, offset: 1.., .. } = entry {
         folder.sync(&file(id)).map_err(|fault| fault.to_string())?;
     }
-    journal.add(&encode(&entry));
+    journal.append(&encode(&entry));
     journal.commit(folder).map_err(|fault| fault.to_string())?;
     durable.replay(entry);
-    if journal.grown() > GROWN {
+    if journal.bytes_since_snapshot() > GROWN {
         let rotation = journal.rotate();
         let snapshot = encode(&durable.snapshot());
-        Journal::write_snapshot(folder, NAME, rotation, &snapshot).map_err(|fault| fault.to_string())?;
+        WriteAheadLog::write_snapshot(folder, NAME, rotation, &snapshot)
+            .map_err(|fault| fault.to_string())?;
     }
     Ok(())
 }
--- a/crates/lynxtally-coordinator/src/store/disk.rs
+++ b/crates/lynxtally-coordinator/src/store/disk.rs
@@ -2,7 +2,7 @@
 
 use super::record::{Kept, Record};
 use super::StoreFault;
-use lynxtally_wal::{seal, unseal, Disk, Found, Journal};
+use lynxtally_wal::{seal, unseal, Recovered, SealedFile, Storage, WriteAheadLog};
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 
@@ -38,13 +38,13 @@
 ///
 /// # Errors
 /// The folder fails, or holds something that can't be trusted: nothing is changed then.
-pub fn open(mut folder: impl Disk + Send + 'static) -> Result<Opened, StoreFault> {
-    let (journal, Found { snapshot, entries, cut, damage }) =
-        Journal::open(&mut folder, NAME).map_err(StoreFault::Journal)?;
-    if let Some(fault) = damage.into_iter().next() {
-        return Err(StoreFault::Journal(fault));
+pub fn open(mut folder: impl Storage + Send + 'static) -> Result<Opened, StoreFault> {
+    let (journal, Recovered { snapshot, entries, torn_tail: cut, damage }) =
+        WriteAheadLog::open(&mut folder, NAME).map_err(StoreFault::Storage)?;
+    if let Some(damaged) = damage.into_iter().next() {
+        return Err(StoreFault::Damaged(damaged));
     }
-    let first = journal.next() - entries.len() as u64;
+    let first = journal.next_number() - entries.len() as u64;
     let record = |number, fault: serde_json::Error| StoreFault::Record { number, why: fault.to_string() };
     let mut kept: Kept = match snapshot {
         Some(octets) => serde_json::from_slice(&octets).map_err(|fault| record(first, fault))?,
@@ -56,9 +56,9 @@
     let state = match folder.read(STATE).map_err(|why| StoreFault::State(why.to_string()))? {
         None => None,
         Some(sealed) => {
-            let (_, octets) =
+            let SealedFile { content, .. } =
                 unseal(&sealed).ok_or_else(|| StoreFault::State("it is not whole".to_owned()))?;
-            Some(octets.to_vec())
+            Some(content.to_vec())
         }
     };
     let (jobs, to_do) = channel();
@@ -67,11 +67,11 @@
         .name("folder".to_owned())
         .spawn(move || work(folder, journal, copy, &to_do))
         .map_err(|why| StoreFault::Failed(why.to_string()))?;
-    let cut = cut.map(|cut| format!("{}: {} octets from {} on", cut.file, cut.octets, cut.at));
+    let cut = cut.map(|cut| format!("{}: {} octets from {} on", cut.file, cut.length, cut.offset));
     Ok(Opened { kept, state, jobs, cut })
 }
 
-fn work(mut folder: impl Disk, mut journal: Journal, mut kept: Kept, jobs: &Receiver<Job>) {
+fn work(mut folder: impl Storage, mut journal: WriteAheadLog, mut kept: Kept, jobs: &Receiver<Job>) {
     // After a failed write or sync nobody knows what is on the disk: nothing more is acknowledged.
     let mut failed: Option<String> = None;
     while let Ok(first) = jobs.recv() {
@@ -84,7 +84,7 @@
                 Job::Add(records, done) => {
                     for record in records {
                         match serde_json::to_vec(&record) {
-                            Ok(octets) => drop(journal.add(&octets)),
+                            Ok(octets) => drop(journal.append(&octets)),
                             Err(why) => failed = failed.or(Some(why.to_string())),
                         }
                         kept.take(record);
@@ -106,11 +106,11 @@
             }
             done(failed.clone().map_or(Ok(()), Err));
         }
-        if failed.is_none() && journal.grown() > GROWN {
+        if failed.is_none() && journal.bytes_since_snapshot() > GROWN {
             let rotation = journal.rotate();
             let octets = serde_json::to_vec(&kept).map_err(|why| why.to_string());
             let written = octets.and_then(|octets| {
-                Journal::write_snapshot(&mut folder, NAME, rotation, &octets)
+                WriteAheadLog::write_snapshot(&mut folder, NAME, rotation, &octets)
                     .map_err(|fault| fault.to_string())
             });
             failed = written.err();
--- a/crates/lynxtally-coordinator/src/store/mod.rs
+++ b/crates/lynxtally-coordinator/src/store/mod.rs
@@ -17,8 +17,10 @@
 /// Why a folder can't be used or went out of use; one line.
 #[derive(Debug)]
 pub enum StoreFault {
-    /// The journal is damaged, or the folder failed.
-    Journal(lynxtally_wal::Fault),
+    /// The folder failed.
+    Storage(lynxtally_wal::StorageError),
+    /// The log is damaged.
+    Damaged(lynxtally_wal::DamagedFile),
     /// A record can't be read.
     Record {
         /// Its number.
@@ -35,7 +37,8 @@
 impl fmt::Display for StoreFault {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Journal(fault) => write!(f, "{fault}"),
+            Self::Storage(fault) => write!(f, "{fault}"),
+            Self::Damaged(damaged) => write!(f, "{damaged}"),
             Self::Record { number, why } => write!(f, "record {number} of the log can't be read: {why}"),
             Self::State(why) => write!(f, "{}: {why}", disk::STATE),
             Self::Failed(why) => write!(f, "the folder failed before: {why}"),
--- a/crates/testing/test-doubles/src/disk.rs
+++ b/crates/testing/test-doubles/src/disk.rs
@@ -1,7 +1,7 @@
 //! A folder in memory that loses power at a chosen step. What was not made durable by then is lost, or half of
 //! it, or none of it, as the story asks; files that were renamed without being made durable too.
 
-use lynxtally_wal::Disk;
+use lynxtally_wal::Storage;
 use std::collections::BTreeMap;
 use std::io;
 
@@ -91,7 +91,7 @@
     }
 }
 
-impl Disk for MemoryDisk {
+impl Storage for MemoryDisk {
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>> {
         Ok(self.files.get(name).map(|file| file.octets.clone()))
     }
