--- a/src/dependency_usage.rs
+++ b/src/dependency_usage.rs
@@ -19,8 +19,9 @@
 /// Call time and cancelled calls. The calls in flight here are in the request table's usage.
 pub(crate) struct DependencyUsage {
     cancellation_lag: Span,
-    /// Call time over the last window, in seconds.
-    recent_call_secs: SlidingSum,
+    /// Call time over the last window, in seconds; none where it is not averaged. Its buckets are freed only by reading
+    /// it, so a sum that nobody reads would grow for as long as the process lives.
+    recent_call_secs: Option<SlidingSum>,
     /// Call time beyond the even use, in seconds.
     burst_secs: f64,
     /// Concurrent calls that count as even use.
@@ -34,12 +35,12 @@
 }
 
 impl DependencyUsage {
-    /// Call time is summed over `window` and begins at `spent_secs`, spread evenly over it; concurrent calls up to
-    /// `even_calls` are no burst.
-    pub fn new(cancellation_lag: Span, window: Span, spent_secs: f64, even_calls: f64) -> Self {
+    /// Call time is summed over `window`, if there is one, and begins at `spent_secs`, spread evenly over it; concurrent
+    /// calls up to `even_calls` are no burst.
+    pub fn new(cancellation_lag: Span, window: Option<Span>, spent_secs: f64, even_calls: f64) -> Self {
         Self {
             cancellation_lag,
-            recent_call_secs: SlidingSum::new(window, spent_secs),
+            recent_call_secs: window.map(|window| SlidingSum::new(window, spent_secs)),
             burst_secs: 0.0,
             even_calls,
             cancelled: 0.0,
@@ -56,7 +57,9 @@
 
     /// Counts the time that passed with so many calls in flight.
     pub fn advance(&mut self, now: Instant, elapsed_secs: f64, calls: f64) {
-        self.recent_call_secs.add(now, calls * elapsed_secs);
+        if let Some(recent) = &mut self.recent_call_secs {
+            recent.add(now, calls * elapsed_secs);
+        }
         self.burst_secs = (self.burst_secs + (calls - self.even_calls) * elapsed_secs).max(0.0);
         self.cancelled *= (-elapsed_secs / self.cancellation_lag.secs().max(1e-3)).exp();
     }
@@ -76,7 +79,9 @@
         let lag_secs = self.cancellation_lag.secs();
         self.cancelled += 1.0;
         self.cancelled_ends.add(now + self.cancellation_lag);
-        self.recent_call_secs.add(now, lag_secs);
+        if let Some(recent) = &mut self.recent_call_secs {
+            recent.add(now, lag_secs);
+        }
         self.burst_secs += lag_secs;
     }
 
@@ -90,9 +95,9 @@
         self.cancelled_ends.count_after(now)
     }
 
-    /// Call time over the window that ends now, in seconds.
+    /// Call time over the window that ends now, in seconds; 0 where it is not averaged.
     pub fn recent_call_secs(&mut self, now: Instant) -> f64 {
-        self.recent_call_secs.sum(now)
+        self.recent_call_secs.as_mut().map_or(0.0, |recent| recent.sum(now))
     }
 
     /// Call time beyond the even use, in seconds.
--- a/src/policy/call_budget.rs
+++ b/src/policy/call_budget.rs
@@ -55,7 +55,8 @@
         let window = averaging_window.unwrap_or(Span::ZERO);
         let spent_secs = mean_calls * window.secs() - free_secs;
         let even_calls = mean_calls * (1.0 - BURST_FRACTION);
-        let usage = DependencyUsage::new(lag, window + lag, spent_secs, even_calls);
+        let summed_window = averaging_window.map(|window| window + lag);
+        let usage = DependencyUsage::new(lag, summed_window, spent_secs, even_calls);
         Self { mean_calls, averaging_window, lease: None, usage }
     }
 
@@ -79,6 +80,8 @@
     pub fn timeout(&mut self, now: Instant, wanted: Span, needed: Span, committed_secs: f64) -> Option<Span> {
         let lag = self.usage.cancellation_lag();
         if let Some(lease) = self.lease {
+            // Read only to free what is past: the sum is needed again when the lease is gone.
+            self.usage.recent_call_secs(now);
             return Some(wanted.min(lease.max_duration - lag));
         }
         let Some(averaging_window) = self.averaging_window else { return Some(wanted) };
