--- a/crates/lynxtally-node/src/config.rs
+++ b/crates/lynxtally-node/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration of a node: read, checked and given defaults here and nowhere else.
 
-use crate::shares;
+use crate::coordination;
 use lynxtally_settings::{decode, BackendSettings, SettingError};
 use serde::Deserialize;
 use std::fmt;
@@ -32,7 +32,7 @@
     /// The settings of the decisions, and the names in them.
     pub backend: BackendSettings,
     /// Its part in what the fleet has together; none where no coordinators are named.
-    pub shares: Option<shares::Settings>,
+    pub shares: Option<coordination::Settings>,
 }
 
 /// The limits of the node's own sockets and memory: one place for all such limits, as fractions of the configuration.
@@ -119,7 +119,7 @@
     #[serde(default)]
     limits: Limits,
     settings: serde_json::Value,
-    shares: Option<shares::File>,
+    shares: Option<coordination::File>,
 }
 
 fn default_shutdown_ms() -> u64 {
@@ -237,7 +237,7 @@
         shutdown_timeout: Duration::from_millis(file.shutdown_ms),
         max_sockets: file.limits.sockets,
         memory_bytes: file.limits.memory_mb << 20,
-        shares: file.shares.map(|file| shares::read(file, &backend)).transpose()?,
+        shares: file.shares.map(|file| coordination::read(file, &backend)).transpose()?,
         backend,
     })
 }
--- /dev/null
+++ b/crates/lynxtally-node/src/coordination/mod.rs
@@ -0,0 +1,199 @@
+//! This node's part in coordination: leases of calls downstream and of tenants' quotas, and reservations of wallets.
+//! Nothing of it is there unless the configuration names coordinators.
+//!
+//! What is decided is decided by the lease client and by the scheduler; here they are told of each other. Requests go to a
+//! thread of their own ([`RequestSender`]), so that the event loop waits for nobody.
+
+mod sender;
+mod settings;
+
+pub use sender::RequestSender;
+pub use settings::{read, File, QuotaBudget, Settings, TenantWallet};
+
+use lynxtally::{CallLease, Instant, LeasedQuotas, Policy, Span};
+use lynxtally_engine::{Engine, WalletReservation};
+use lynxtally_lease_client::{BudgetSettings, Event, LeaseClient, UsageCounts, WalletSettings, WalletUsage};
+use lynxtally_messages::NodeResponse;
+use rustix::time::{clock_gettime, ClockId};
+use tracing::{debug, error, info, warn};
+
+/// The clock that lease durations are counted by: nobody sets it, and it counts on while the machine sleeps, so that a
+/// lease can't outlast a suspended machine.
+fn boot_clock() -> Instant {
+    let at = clock_gettime(ClockId::Boottime);
+    let micros = i128::from(at.tv_sec) * 1_000_000 + i128::from(at.tv_nsec) / 1000;
+    Instant::from_micros(u64::try_from(micros).unwrap_or_default())
+}
+
+/// The event loop's side of coordination. Of the budgets that the lease client knows the first is that of calls
+/// downstream, where there is one; those of quotas follow in the order of the settings.
+pub struct Coordination {
+    client: LeaseClient,
+    sender: RequestSender,
+    settings: Settings,
+    /// Whether the engine has been told any quotas.
+    quotas_told: bool,
+    /// Whether the engine has been told any reservations.
+    reservations_told: bool,
+    /// The clock at the last look, in this turn.
+    now: Instant,
+}
+
+impl Coordination {
+    /// A node that is no member yet.
+    pub fn new(name: &str, settings: Settings, seed: u64, sender: RequestSender) -> Self {
+        let now = boot_clock();
+        let client = LeaseClient::new(client_settings(name, &settings), seed, now);
+        Self { client, sender, settings, quotas_told: false, reservations_told: false, now }
+    }
+
+    /// Before anything is decided in a turn: looks at the clock, and tells the engine what is in force now. This look
+    /// is what keeps a node that was paused from starting anything under a lease that expired meanwhile.
+    pub fn apply_leases<W, F, D: Copy + Ord>(&mut self, now: Instant, engine: &mut Engine<Policy, W, F, D>) {
+        self.now = boot_clock();
+        self.client.advance(self.now);
+        let mut leases_changed = !self.quotas_told && engine.is_started();
+        let mut changed_wallets = Vec::new();
+        if !std::mem::replace(&mut self.reservations_told, true) {
+            changed_wallets.extend(0..self.settings.wallets.len());
+        }
+        for event in self.client.drain_events() {
+            match event {
+                Event::LeaseChanged { .. } => leases_changed = true,
+                Event::ReservationChanged { wallet } => changed_wallets.push(wallet),
+                _ => {}
+            }
+            log_event(&event);
+        }
+        if leases_changed && engine.is_started() {
+            self.quotas_told = true;
+            engine.set_quotas(now, self.leased_quotas());
+        }
+        for wallet in changed_wallets {
+            self.set_reservation(wallet, engine);
+        }
+    }
+
+    fn set_reservation<W, F, D: Copy + Ord>(&self, wallet: usize, engine: &mut Engine<Policy, W, F, D>) {
+        let Some(TenantWallet { wallet: name, tenant }) = self.settings.wallets.get(wallet) else { return };
+        let Some(current) = self.client.reservation(wallet) else { return };
+        let (account, granted, in_force) = (current.account, current.granted, current.in_force);
+        debug!(name, account, granted, in_force, "reservation");
+        let price = |class: &String| current.prices.get(class).copied().unwrap_or(0);
+        // Prices come with the first account.
+        let prices = (account > 0).then(|| self.settings.classes.iter().map(price).collect());
+        let reservation = WalletReservation { reservation_id: account, granted, in_force, prices };
+        engine.set_reservation(*tenant, reservation);
+    }
+
+    fn leased_quotas(&self) -> LeasedQuotas {
+        let calls = self.settings.calls.as_ref().map(|_| CallLease {
+            max_in_flight: self.client.leased_amount(0),
+            max_duration: self.settings.max_call_duration,
+        });
+        let mut tenants = vec![None; self.settings.tenants];
+        for (n, quota) in self.settings.quotas.iter().enumerate() {
+            tenants[quota.tenant] = Some(self.client.leased_amount(self.first_quota() + n) as f64);
+        }
+        LeasedQuotas { calls, tenants }
+    }
+
+    /// The place of the first quota's budget.
+    fn first_quota(&self) -> usize {
+        usize::from(self.settings.calls.is_some())
+    }
+
+    /// Tells the lease client what is in use now.
+    fn report_usage<W, F, D: Copy + Ord>(&mut self, engine: &mut Engine<Policy, W, F, D>) {
+        if let Some(policy) = engine.scheduler_mut() {
+            if self.settings.calls.is_some() {
+                let usage = policy.downstream_usage();
+                let counts = UsageCounts { requested: usage.requested, started: usage.started };
+                self.client.report_usage(0, usage.in_flight, counts);
+            }
+            let first_quota = self.first_quota();
+            for (n, quota) in self.settings.quotas.iter().enumerate() {
+                let rate = policy.tenant_rate(quota.tenant).ceil() as u64;
+                self.client.report_usage(first_quota + n, rate, UsageCounts::default());
+            }
+        }
+        for (n, wallet) in self.settings.wallets.iter().enumerate() {
+            let usage = engine.reservation_usage(wallet.tenant);
+            let usage = WalletUsage {
+                account: usage.reservation_id,
+                spent: usage.spent,
+                held: usage.reserved,
+                requested: usage.demand,
+            };
+            self.client.report_wallet_usage(n, usage);
+        }
+    }
+
+    /// After a turn's decisions: tells the lease client what is in use, and has the request sent that is due.
+    pub fn report_and_send<W, F, D: Copy + Ord>(&mut self, engine: &mut Engine<Policy, W, F, D>) {
+        self.report_usage(engine);
+        if let Some(request) = self.client.next_request(self.now) {
+            self.sender.send(request);
+        }
+    }
+
+    /// The response to a request came, or surely none will.
+    pub fn on_response<W, F, D: Copy + Ord>(
+        &mut self,
+        engine: &mut Engine<Policy, W, F, D>,
+        token: u64,
+        response: Option<NodeResponse>,
+    ) {
+        // Requests may have been admitted earlier in this turn: units that they hold must not be returned as idle.
+        self.report_usage(engine);
+        self.client.on_response(boot_clock(), token, response);
+    }
+
+    /// The node shuts down gracefully: its session ends once nothing is in use.
+    pub fn leave(&mut self) {
+        self.client.leave();
+    }
+
+    /// How long until something is to be done here without being asked.
+    pub fn time_to_deadline(&self) -> Option<Span> {
+        self.client.next_deadline().map(|deadline| deadline - self.now)
+    }
+}
+
+fn client_settings(name: &str, settings: &Settings) -> lynxtally_lease_client::Settings {
+    let budget = |name: &String, max_in_flight| BudgetSettings { name: name.clone(), max_in_flight };
+    let calls = settings.calls.iter().map(|name| budget(name, settings.max_call_duration));
+    // What counts against a quota is started at one moment: nothing of it is in flight.
+    let quotas = settings.quotas.iter().map(|quota| budget(&quota.budget, Span::ZERO));
+    let wallet = |of_tenant: &TenantWallet| WalletSettings {
+        name: of_tenant.wallet.clone(),
+        max_in_flight: settings.max_call_duration,
+    };
+    lynxtally_lease_client::Settings {
+        name: name.to_owned(),
+        program_version: env!("CARGO_PKG_VERSION").to_owned(),
+        schema_versions: Vec::new(),
+        budgets: calls.chain(quotas).collect(),
+        wallets: settings.wallets.iter().map(wallet).collect(),
+        coordinators: settings.coordinators.len(),
+        response_timeout: settings.response_timeout,
+    }
+}
+
+fn log_event(event: &Event) {
+    match event {
+        Event::LeaseChanged { budget, amount } => info!(budget, amount, "lease in force"),
+        Event::ReservationChanged { .. } => {}
+        Event::Document(document) => {
+            debug!(index = document.index, "a route document that nothing in this node reads");
+        }
+        Event::DocumentUnreadable { reason } => warn!(reason, "no version of the route document can be read"),
+        Event::Joined { incarnation } => info!(incarnation, "joined coordination"),
+        Event::Replaced => {
+            error!(
+                "another process has taken this node's name: this one is fenced off and gets no more leases"
+            );
+        }
+        Event::Rejected(rejection) => warn!(?rejection, "a coordinator rejected a request"),
+    }
+}
--- /dev/null
+++ b/crates/lynxtally-node/src/coordination/settings.rs
@@ -0,0 +1,146 @@
+//! The part of the configuration that names coordinators, budgets and wallets, under `shares`.
+
+use lynxtally::{Downstream, Span};
+use lynxtally_settings::{BackendSettings, SettingError};
+use serde::Deserialize;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+/// Limits of `patience_ms`.
+const RESPONSE_TIMEOUT_MS: std::ops::RangeInclusive<u64> = 10..=60_000;
+/// `patience_ms` where the file has none.
+const DEFAULT_RESPONSE_TIMEOUT_MS: u64 = 500;
+
+/// What a node takes part in.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Settings {
+    /// Where the coordinators are, in the order of their numbers.
+    pub coordinators: Vec<SocketAddr>,
+    /// How long a response is waited for before another coordinator is tried.
+    pub response_timeout: Span,
+    /// The budget of concurrent calls downstream.
+    pub calls: Option<String>,
+    /// How long a call that is started under a lease may run at most, with its cancellation lag.
+    pub max_call_duration: Span,
+    /// Budgets of tenants' requests a second.
+    pub quotas: Vec<QuotaBudget>,
+    /// Tenants' wallets.
+    pub wallets: Vec<TenantWallet>,
+    /// The request classes, in the order of their indices.
+    pub classes: Vec<String>,
+    /// How many tenants there are.
+    pub tenants: usize,
+}
+
+/// The budget that a tenant's quota is leased from.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct QuotaBudget {
+    /// The budget's name.
+    pub budget: String,
+    /// The tenant's index.
+    pub tenant: usize,
+}
+
+/// A tenant's wallet.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct TenantWallet {
+    /// The wallet's name.
+    pub wallet: String,
+    /// The tenant's index.
+    pub tenant: usize,
+}
+
+/// The part of the file. Its keys are older than the names here.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct File {
+    #[serde(rename = "keepers")]
+    coordinators: Vec<String>,
+    #[serde(default = "default_response_timeout_ms", rename = "patience_ms")]
+    response_timeout_ms: u64,
+    calls: Option<String>,
+    #[serde(default)]
+    quotas: BTreeMap<String, String>,
+    #[serde(default)]
+    wallets: BTreeMap<String, String>,
+}
+
+fn default_response_timeout_ms() -> u64 {
+    DEFAULT_RESPONSE_TIMEOUT_MS
+}
+
+/// Checks what the file says against the other settings.
+///
+/// # Errors
+/// The key and what is wrong with it.
+pub fn read(file: File, backend: &BackendSettings) -> Result<Settings, SettingError> {
+    let coordinators = read_addresses(&file.coordinators)?;
+    if !RESPONSE_TIMEOUT_MS.contains(&file.response_timeout_ms) {
+        let what = format!("is {}; 10 to 60000 is expected", file.response_timeout_ms);
+        return Err(SettingError::new("shares.patience_ms", what));
+    }
+    let cancellation_lag = cancellation_lag(&file, backend)?;
+    let deadlines = backend.settings.classes.iter().map(|class| class.deadline);
+    let longest_deadline = deadlines.max().unwrap_or_default();
+    let mut quotas = Vec::new();
+    for (tenant, budget) in &file.quotas {
+        quotas.push(QuotaBudget { budget: budget.clone(), tenant: find_tenant("quotas", tenant, backend)? });
+    }
+    let mut wallets = Vec::new();
+    for (tenant, wallet) in &file.wallets {
+        wallets
+            .push(TenantWallet { wallet: wallet.clone(), tenant: find_tenant("wallets", tenant, backend)? });
+    }
+    check_distinct(file.calls.iter().chain(quotas.iter().map(|quota| &quota.budget)))?;
+    Ok(Settings {
+        coordinators,
+        response_timeout: Span::from_millis(file.response_timeout_ms),
+        calls: file.calls,
+        max_call_duration: longest_deadline + cancellation_lag,
+        quotas,
+        wallets,
+        classes: backend.class_names.clone(),
+        tenants: backend.tenant_names.len(),
+    })
+}
+
+fn read_addresses(texts: &[String]) -> Result<Vec<SocketAddr>, SettingError> {
+    let mut addresses = Vec::new();
+    for (n, text) in texts.iter().enumerate() {
+        let address = text.parse().map_err(|_| {
+            let what = format!("is {text:?}; an address such as 127.0.0.1:7601 is expected");
+            SettingError::new(format!("shares.keepers[{n}]"), what)
+        })?;
+        addresses.push(address);
+    }
+    if addresses.is_empty() {
+        return Err(SettingError::new("shares.keepers", "is empty; the keepers' addresses are expected"));
+    }
+    Ok(addresses)
+}
+
+/// How long a call still runs downstream after its cancellation.
+fn cancellation_lag(file: &File, backend: &BackendSettings) -> Result<Span, SettingError> {
+    match backend.settings.downstream {
+        Downstream::Shared { cancellation_lag, .. } => Ok(cancellation_lag),
+        _ if file.calls.is_some() => {
+            Err(SettingError::new("shares.calls", "is there, but `settings` names no shared dependency"))
+        }
+        _ => Ok(Span::ZERO),
+    }
+}
+
+fn find_tenant(key: &str, tenant: &str, backend: &BackendSettings) -> Result<usize, SettingError> {
+    let place = backend.tenant_names.iter().position(|known| known == tenant);
+    place
+        .ok_or_else(|| SettingError::new(format!("shares.{key}.{tenant}"), "names no customer of `settings`"))
+}
+
+fn check_distinct<'a>(budgets: impl Iterator<Item = &'a String>) -> Result<(), SettingError> {
+    let mut sorted: Vec<&String> = budgets.collect();
+    sorted.sort_unstable();
+    match sorted.windows(2).find(|pair| pair[0] == pair[1]) {
+        Some(pair) => Err(SettingError::new("shares", format!("names the budget `{}` twice", pair[0]))),
+        None => Ok(()),
+    }
+}
--- a/crates/lynxtally-node/src/event_loop/mod.rs
+++ b/crates/lynxtally-node/src/event_loop/mod.rs
@@ -12,6 +12,7 @@
 
 use crate::advertised_state::AdvertisedState;
 use crate::config::Config;
+use crate::coordination::Coordination;
 use crate::counters::Counters;
 use crate::downstream::DownstreamClient;
 use crate::executor_link::ExecutorHandle;
@@ -19,7 +20,6 @@
 use crate::http::RequestSchema;
 use crate::listener::Listener;
 use crate::messages::{ConnectionCommand, ConnectionHandle, CoordinatorReply, Message};
-use crate::shares::Shares;
 use executor::{NodeExecutor, RequestWork};
 use lynxtally::{Instant, Policy, Span};
 use lynxtally_engine::{Engine, FinalResponse};
@@ -63,7 +63,7 @@
     shutdown: ShutdownProgress,
     counters: Arc<Counters>,
     /// Where coordinators are named.
-    shares: Option<Shares>,
+    shares: Option<Coordination>,
 }
 
 /// The other parts, as the event loop reaches them.
@@ -85,7 +85,7 @@
     /// The counters.
     pub counters: Arc<Counters>,
     /// This node's part in what the fleet has together, where coordinators are named.
-    pub shares: Option<Shares>,
+    pub shares: Option<Coordination>,
 }
 
 /// Wakes the event loop when a timer expires.
@@ -176,17 +176,18 @@
 
     fn decide(&mut self, now: Instant) {
         if let Some(shares) = &mut self.shares {
-            shares.before(now, &mut self.engine);
+            shares.apply_leases(now, &mut self.engine);
         }
         self.engine.decide(now, &mut self.executor, &mut self.responder);
         if let Some(shares) = &mut self.shares {
-            shares.after(&mut self.engine);
+            shares.report_and_send(&mut self.engine);
         }
     }
 
-    /// Schedules a wakeup for the next timer, of the engine or of the shares.
+    /// Schedules a wakeup for the next timer, of the engine or of coordination.
     fn schedule_wakeup(&mut self) {
-        let shares_timer = self.shares.as_ref().and_then(Shares::wait).map(|wait| self.clock.now() + wait);
+        let shares_timer =
+            self.shares.as_ref().and_then(Coordination::time_to_deadline).map(|wait| self.clock.now() + wait);
         let next = [self.engine.next_timer(), shares_timer].into_iter().flatten().min();
         if let Some(at) = next {
             self.wakeup.schedule(at, self.clock.now());
@@ -202,7 +203,7 @@
             Message::CallEnded { id, number, end } => self.call_ended(now, &id, number, end),
             Message::CoordinatorReply(CoordinatorReply { token, reply }) => {
                 if let Some(shares) = &mut self.shares {
-                    shares.heard(&mut self.engine, token, reply);
+                    shares.on_response(&mut self.engine, token, reply);
                 }
             }
             Message::TimerFired => {}
--- a/crates/lynxtally-node/src/lib.rs
+++ b/crates/lynxtally-node/src/lib.rs
@@ -3,10 +3,11 @@
 //! The parts run side by side and send each other [`messages`]. The [`event_loop`] alone decides: it holds the
 //! scheduler and the open requests. The [`listener`] reads requests from clients and writes their responses, the
 //! [`executor_link`] has them run, [`downstream`] makes their calls, [`health_reports`] tells the control plane that
-//! this node may be used, and [`shares`] has its part in what the fleet has together. [`node`] starts all of them.
+//! this node may be used, and [`coordination`] has its part in what all nodes share. [`node`] starts all of them.
 
 pub mod advertised_state;
 pub mod config;
+pub mod coordination;
 pub mod counters;
 pub mod downstream;
 pub mod error;
@@ -19,4 +20,3 @@
 pub mod messages;
 pub mod node;
 pub mod response;
-pub mod shares;
--- a/crates/lynxtally-node/src/node.rs
+++ b/crates/lynxtally-node/src/node.rs
@@ -2,6 +2,7 @@
 
 use crate::advertised_state::AdvertisedState;
 use crate::config::{Config, LoadError};
+use crate::coordination::{Coordination, RequestSender};
 use crate::counters::Counters;
 use crate::downstream::DownstreamClient;
 use crate::error::NodeError;
@@ -11,7 +12,6 @@
 use crate::http::RequestSchema;
 use crate::listener::{self, Listener, ListenerParts};
 use crate::messages::{CoordinatorReply, Message};
-use crate::shares::{Carrier, Shares};
 use lynxtally_net::coroutine::{catch_panic, spawn, Panic};
 use lynxtally_net::timer::Timer;
 use may::sync::mpsc::{channel, Receiver, Sender};
@@ -204,23 +204,23 @@
         Ok(reporter)
     }
 
-    fn start_shares(&self, config: &Config) -> Result<Option<Shares>, NodeError> {
+    fn start_shares(&self, config: &Config) -> Result<Option<Coordination>, NodeError> {
         let Some(settings) = config.shares.clone() else { return Ok(None) };
         let event_loop = self.event_loop.clone();
         let on_reply = move |token, reply| {
             // The event loop is gone only where the program ends.
             let _ = event_loop.send(Message::CoordinatorReply(CoordinatorReply { token, reply }));
         };
-        let carrier = Carrier::start(settings.keepers.clone(), settings.patience, on_reply)
+        let sender = RequestSender::start(settings.coordinators.clone(), settings.response_timeout, on_reply)
             .map_err(NodeError::Thread)?;
-        Ok(Some(Shares::new(&config.name, settings, config.seed, carrier)))
+        Ok(Some(Coordination::new(&config.name, settings, config.seed, sender)))
     }
 
     fn start_event_loop(
         self,
         config: Config,
         health_reporter: HealthReporter,
-        shares: Option<Shares>,
+        shares: Option<Coordination>,
         supervisor: Supervisor,
     ) -> Result<(), NodeError> {
         let messages = self.messages;
--- a/crates/testing/fault-injection/src/member.rs
+++ b/crates/testing/fault-injection/src/member.rs
@@ -3,7 +3,7 @@
 use crate::ask;
 use crate::audit::Audit;
 use lynxtally::{Instant, Span};
-use lynxtally_lease_client::{Asked, Counts, Event, Holder, Settings};
+use lynxtally_lease_client::{BudgetSettings, Event, LeaseClient, Settings, UsageCounts};
 use rustix::time::{clock_gettime, ClockId};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -86,15 +86,15 @@
 fn live(state: &State, audit: &Audit, name: String, who: &str, keepers: &[SocketAddr]) {
     let settings = Settings {
         name,
-        program: "test".to_owned(),
-        schemas: Vec::new(),
-        budgets: vec![Asked { name: "calls".to_owned(), tail: Span::ZERO }],
+        program_version: "test".to_owned(),
+        schema_versions: Vec::new(),
+        budgets: vec![BudgetSettings { name: "calls".to_owned(), max_in_flight: Span::ZERO }],
         wallets: Vec::new(),
-        keepers: keepers.len(),
-        patience: Span::from_micros(PATIENCE.as_micros() as u64),
+        coordinators: keepers.len(),
+        response_timeout: Span::from_micros(PATIENCE.as_micros() as u64),
     };
     let seed = who.bytes().fold(7, |seed: u64, octet| seed.wrapping_mul(31).wrapping_add(octet.into()));
-    let mut holder = Holder::new(settings, seed, now());
+    let mut holder = LeaseClient::new(settings, seed, now());
     let mut leaving = false;
     let (mut began, mut wanted, mut begun) = (now(), 0_u128, 0_u128);
     while !state.end.load(Ordering::Relaxed) {
@@ -106,27 +106,27 @@
         }
         // One whose part is what it uses: all of it, up to its need.
         let need = if leaving { 0 } else { state.need.load(Ordering::Relaxed) };
-        let in_use = holder.amount(0).min(need);
+        let in_use = holder.leased_amount(0).min(need);
         // Each unit is in use for a tenth of a second at a time, and one that is lacked is wanted as often.
         let past = (at - began).micros();
         began = at;
         wanted += u128::from(need) * u128::from(past);
         begun += u128::from(in_use) * u128::from(past);
-        let counts = Counts { wanted: (wanted / 100_000) as u64, begun: (begun / 100_000) as u64 };
-        holder.used(0, in_use, counts);
-        for event in holder.events().collect::<Vec<_>>() {
+        let counts = UsageCounts { requested: (wanted / 100_000) as u64, started: (begun / 100_000) as u64 };
+        holder.report_usage(0, in_use, counts);
+        for event in holder.drain_events().collect::<Vec<_>>() {
             state.replaced.fetch_or(event == Event::Replaced, Ordering::Relaxed);
         }
         // What it may use counts, whether it does or not; with no more said, until the span is over.
-        let until = holder.until(0).unwrap_or(at);
-        audit.note(at, who, if leaving { 0 } else { holder.amount(0) }, until);
-        state.amount.store(holder.amount(0), Ordering::Relaxed);
-        if holder.over() {
+        let until = holder.lease_expires_at(0).unwrap_or(at);
+        audit.note(at, who, if leaving { 0 } else { holder.leased_amount(0) }, until);
+        state.amount.store(holder.leased_amount(0), Ordering::Relaxed);
+        if holder.has_ended() {
             break;
         }
-        if let Some(outgoing) = holder.speak(now()) {
-            let reply = ask::post(keepers[outgoing.keeper], "/v1/say", &outgoing.say, PATIENCE).ok();
-            holder.heard(now(), outgoing.token, reply);
+        if let Some(outgoing) = holder.next_request(now()) {
+            let reply = ask::post(keepers[outgoing.coordinator], "/v1/say", &outgoing.request, PATIENCE).ok();
+            holder.on_response(now(), outgoing.token, reply);
         } else {
             thread::sleep(Duration::from_millis(5));
         }
--- a/crates/testing/simulator/src/shares/world.rs
+++ b/crates/testing/simulator/src/shares/world.rs
@@ -5,7 +5,7 @@
 use super::node::{Node, Process};
 use super::script::{Need, Script, What};
 use lynxtally::{Pcg, Span};
-use lynxtally_lease_client::Outgoing;
+use lynxtally_lease_client::OutgoingRequest;
 use lynxtally_messages::{NodeRequest, NodeResponse};
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -236,7 +236,7 @@
                 }
                 let now = node.clock.shows(self.now);
                 if let Some(process) = &mut node.process {
-                    process.holder.heard(now, token, reply.map(|reply| *reply));
+                    process.holder.on_response(now, token, reply.map(|reply| *reply));
                 }
                 self.turn(at);
             }
@@ -334,7 +334,7 @@
             self.say(at, life, outgoing);
         }
         let Some(process) = &mut self.nodes[at].process else { return };
-        if fixed.is_none() && process.holder.over() && process.leaving {
+        if fixed.is_none() && process.holder.has_ended() && process.leaving {
             self.nodes[at].process = None;
             return;
         }
@@ -356,8 +356,8 @@
         1 + (WAY * self.chance.unit()) as u64
     }
 
-    fn say(&mut self, at: usize, life: u64, outgoing: Outgoing) {
-        let Outgoing { token, say, .. } = outgoing;
+    fn say(&mut self, at: usize, life: u64, outgoing: OutgoingRequest) {
+        let OutgoingRequest { token, request: say, .. } = outgoing;
         if self.nodes[at].cut_sent > self.now || self.chance.unit() < self.loss {
             return;
         }
