--- a/crates/lynxtally-coordinator/src/leader.rs
+++ b/crates/lynxtally-coordinator/src/leader.rs
@@ -1,239 +1,221 @@
-//! What only the leader does: it stamps commands and writes them, has what is shared divided anew, tells whom
-//! it hears nothing of, and has the states of all keepers compared.
+//! What only the leader does: it timestamps commands and writes them to the log, writes ticks, tells the state machine
+//! whom it hears nothing of, and has the states of all replicas compared.
 
 use crate::clock;
-use crate::store::Shared;
+use crate::store::SharedState;
+use crate::suspicion::{ListedMember, SuspicionTracker};
 use crate::Raft;
-use lynxtally::{Instant, Span};
+use lynxtally::Span;
 use lynxtally_coordination::{Checkpoint, Command, Output, TimestampedCommand};
-use lynxtally_membership::{MemberState, Membership, MembershipLimits, Observation, Source};
 use lynxtally_messages::{AdminRequest, AdminResponse, NodeRequest, NodeResponse};
 use openraft::ServerState;
 use std::collections::BTreeMap;
 use std::fmt;
-use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
+use tokio::time::MissedTickBehavior;
 use tracing::{info, warn};
 
 /// Why a command was not written.
 #[derive(Debug)]
-pub enum Unled {
-    /// This keeper does not lead; the one with this number may.
-    By(Option<u64>),
+pub enum WriteError {
+    /// This replica does not lead.
+    NotLeader {
+        /// The number of the coordinator that may, where it is known.
+        leader: Option<u64>,
+    },
     /// The replication ended.
-    Failed(String),
+    Replication(String),
 }
 
-impl fmt::Display for Unled {
+impl fmt::Display for WriteError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::By(Some(leader)) => write!(f, "keeper {leader} leads"),
-            Self::By(None) => f.write_str("nobody leads"),
-            Self::Failed(why) => f.write_str(why),
+            Self::NotLeader { leader: Some(leader) } => write!(f, "coordinator {leader} leads"),
+            Self::NotLeader { leader: None } => f.write_str("no coordinator leads"),
+            Self::Replication(reason) => f.write_str(reason),
         }
     }
 }
 
-impl std::error::Error for Unled {}
+impl std::error::Error for WriteError {}
 
-/// A command is stamped anew this many times at most, where the term changes under it.
-const TRIES: usize = 5;
-/// The states of all keepers are compared once in so many ticks.
-const COMPARE: u64 = 40;
+/// A command is timestamped anew this many times at most, where the term changes under it.
+const MAX_WRITE_ATTEMPTS: usize = 5;
+/// The states of all replicas are compared once in as many ticks.
+const TICKS_PER_CHECKPOINT: u64 = 40;
 
-/// Writes commands where this keeper leads.
+/// Writes commands where this replica leads.
 #[derive(Clone)]
 pub struct Leader {
     raft: Raft,
-    shared: Shared,
-    /// Whom this keeper hears. Only the leader hears anybody.
-    fleet: Arc<Mutex<Option<Membership>>>,
-    tick: Span,
+    state: SharedState,
+    /// Whom this replica hears, while it leads: only the leader hears anybody.
+    suspicion: Arc<Mutex<Option<SuspicionTracker>>>,
+    tick_interval: Span,
 }
 
 impl Leader {
-    /// A keeper's commands.
-    pub fn new(raft: Raft, shared: Shared, tick: Duration) -> Self {
-        let tick = Span::from_micros(u64::try_from(tick.as_micros()).unwrap_or(u64::MAX));
-        Self { raft, shared, fleet: Arc::default(), tick }
+    /// The writer of a replica's commands.
+    pub fn new(raft: Raft, state: SharedState, tick_interval: Duration) -> Self {
+        let micros = u64::try_from(tick_interval.as_micros()).unwrap_or(u64::MAX);
+        Self { raft, state, suspicion: Arc::default(), tick_interval: Span::from_micros(micros) }
     }
 
-    /// The term in which this keeper leads, while it does.
-    fn term(&self) -> Option<u64> {
+    /// Which coordinator leads, as far as it is known here.
+    pub fn current_leader(&self) -> Option<u64> {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
-        (metrics.state == ServerState::Leader).then_some(metrics.current_term)
+        metrics.current_leader
     }
 
-    /// Which keeper leads, as far as it is known here.
-    pub fn known(&self) -> Option<u64> {
+    /// Up to which log index another coordinator acknowledged the log to this one, as the leader.
+    pub fn acknowledged_index(&self, coordinator: u64) -> u64 {
+        self.acknowledged_indexes().get(&coordinator).copied().unwrap_or(0)
+    }
+
+    /// The same of all other coordinators.
+    fn acknowledged_indexes(&self) -> BTreeMap<u64, u64> {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
-        metrics.current_leader
+        let Some(replication) = &metrics.replication else { return BTreeMap::new() };
+        replication.iter().map(|(id, acknowledged)| (*id, acknowledged.map_or(0, |log| log.index))).collect()
     }
 
-    /// Up to which number another keeper told this one, as the leader, that it has the log.
-    pub fn matched(&self, id: u64) -> u64 {
+    /// The term in which this replica leads, while it does.
+    fn leading_term(&self) -> Option<u64> {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
-        let replicated = metrics.replication.as_ref().and_then(|all| all.get(&id).copied().flatten());
-        replicated.map_or(0, |at| at.index)
-    }
-
-    /// Writes a command; the answer comes once it is applied here, and so durable on most keepers.
-    async fn write(&self, command: Command) -> Result<Output, Unled> {
-        for _ in 0..TRIES {
-            // The term before the clock: an entry of this term was stamped while this keeper led in it.
-            let Some(term) = self.term() else { return Err(Unled::By(self.known())) };
-            let stamped = TimestampedCommand { term, leader_clock: clock::now(), command: command.clone() };
-            match self.raft.client_write(stamped).await {
-                Ok(written) if written.data == Output::TermMismatch => continue,
+        (metrics.state == ServerState::Leader).then_some(metrics.current_term)
+    }
+
+    /// Writes a command. The output comes once it is applied here, and so durable on most replicas.
+    async fn write(&self, command: Command) -> Result<Output, WriteError> {
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            // The term before the clock: then a timestamp and an entry of one term mean that this replica led in it
+            // from the look at the clock on, which the clock of the state relies on.
+            let Some(term) = self.leading_term() else {
+                return Err(WriteError::NotLeader { leader: self.current_leader() });
+            };
+            let entry = TimestampedCommand { term, leader_clock: clock::now(), command: command.clone() };
+            match self.raft.client_write(entry).await {
+                Ok(written) if written.data == Output::TermMismatch => {}
                 Ok(written) => return Ok(written.data),
-                Err(why) => {
-                    return Err(match why.forward_to_leader() {
-                        Some(to) => Unled::By(to.leader_id),
-                        None => Unled::Failed(why.to_string()),
+                Err(error) => {
+                    return Err(match error.forward_to_leader() {
+                        Some(forward) => WriteError::NotLeader { leader: forward.leader_id },
+                        None => WriteError::Replication(error.to_string()),
                     })
                 }
             }
         }
-        Err(Unled::By(None))
+        Err(WriteError::NotLeader { leader: None })
     }
 
-    /// What a node says.
+    /// Applies a node's request.
     ///
     /// # Errors
-    /// Another keeper leads, or none.
-    pub async fn say(&self, say: NodeRequest) -> Result<NodeResponse, Unled> {
-        let name = say.name.clone();
-        let over = say.ends_session;
-        match self.write(Command::Node(say)).await? {
-            Output::Node(reply) => {
-                if matches!(reply, NodeResponse::Accepted(_)) {
-                    self.hear(name, over);
+    /// Another coordinator leads, or none.
+    pub async fn node_request(&self, request: NodeRequest) -> Result<NodeResponse, WriteError> {
+        let name = request.name.clone();
+        let ends_session = request.ends_session;
+        match self.write(Command::Node(request)).await? {
+            Output::Node(response) => {
+                if matches!(response, NodeResponse::Accepted(_)) {
+                    self.heard(name, ends_session);
                 }
-                Ok(reply)
+                Ok(response)
             }
-            _ => Err(Unled::By(None)),
+            _ => Err(WriteError::NotLeader { leader: None }),
         }
     }
 
-    /// What an operator orders.
+    /// Applies an operator's request.
     ///
     /// # Errors
-    /// Another keeper leads, or none.
-    pub async fn order(&self, order: AdminRequest) -> Result<AdminResponse, Unled> {
-        match self.write(Command::Admin(order)).await? {
-            Output::Admin(outcome) => Ok(outcome),
-            _ => Err(Unled::By(None)),
+    /// Another coordinator leads, or none.
+    pub async fn admin_request(&self, request: AdminRequest) -> Result<AdminResponse, WriteError> {
+        match self.write(Command::Admin(request)).await? {
+            Output::Admin(response) => Ok(response),
+            _ => Err(WriteError::NotLeader { leader: None }),
         }
     }
 
-    fn with_fleet<T>(&self, with: impl FnOnce(&mut Option<Membership>) -> T) -> T {
-        with(&mut self.fleet.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_suspicion<T>(&self, with: impl FnOnce(&mut Option<SuspicionTracker>) -> T) -> T {
+        // What a panicking thread left is still a whole tracker.
+        with(&mut self.suspicion.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn hear(&self, name: String, leaving: bool) {
-        let address = SocketAddr::from(([0, 0, 0, 0], 0));
-        let observation =
-            Observation { name, address, source: Source::Report, capacity: 1.0, zone: 0, draining: leaving };
-        self.with_fleet(|fleet| {
-            if let Some(fleet) = fleet {
-                fleet.observe(clock::now(), observation);
+    fn heard(&self, name: String, ends_session: bool) {
+        self.with_suspicion(|suspicion| {
+            if let Some(suspicion) = suspicion {
+                suspicion.heard(clock::now(), name, ends_session);
             }
         });
     }
 
-    /// Ticks for as long as the program runs, while this keeper leads.
-    pub async fn lead(self, tick: Duration) {
-        let mut every = tokio::time::interval(tick);
-        every.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        let (mut led, mut ticks) = (false, 0_u64);
+    /// Writes ticks for as long as the program runs, while this replica leads.
+    pub async fn tick_while_leading(self, tick_interval: Duration) {
+        let mut interval = tokio::time::interval(tick_interval);
+        interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut led = false;
+        let mut ticks = 0_u64;
         loop {
-            every.tick().await;
-            let leads = self.term().is_some();
+            interval.tick().await;
+            let leads = self.leading_term().is_some();
             if leads != led {
                 led = leads;
-                info!(leads, "who leads has changed");
-                let now = clock::now();
-                // A new leader has heard nobody yet, and suspects nobody for that.
-                self.with_fleet(|fleet| *fleet = leads.then(|| Membership::new(self.limits(), now)));
+                info!(leads, "leadership of this coordinator has changed");
+                self.reset_suspicion(leads);
             }
-            if !leads || !self.shared.look(|register| register.needs_ticks()) {
+            if !leads || !self.state.read(|state| state.needs_ticks()) {
                 continue;
             }
             ticks += 1;
-            if let Err(why) = self.one_tick(ticks).await {
-                warn!(%why, "a tick was not written");
+            if let Err(error) = self.tick(ticks).await {
+                warn!(%error, "a tick was not written");
             }
         }
     }
 
-    async fn one_tick(&self, ticks: u64) -> Result<(), Unled> {
-        let metrics = self.raft.metrics();
-        let had: BTreeMap<u64, u64> =
-            metrics.borrow().replication.as_ref().map_or_else(BTreeMap::new, |all| {
-                all.iter().map(|(id, at)| (*id, at.map_or(0, |at| at.index))).collect()
-            });
-        self.write(Command::Tick { acknowledged_indexes: had }).await?;
-        for (incarnation, suspect) in self.suspicions(clock::now()) {
-            self.write(Command::Suspect { incarnation, suspected: suspect }).await?;
+    /// A new leader has heard nobody yet, and suspects nobody for that.
+    fn reset_suspicion(&self, leads: bool) {
+        let shortest_lease =
+            self.state.read(|state| state.budgets().map(|(_, budget)| budget.terms.lease_duration_us).min());
+        let shortest_lease = shortest_lease.map(Span::from_micros);
+        let tracker = leads.then(|| SuspicionTracker::new(clock::now(), shortest_lease, self.tick_interval));
+        self.with_suspicion(|suspicion| *suspicion = tracker);
+    }
+
+    async fn tick(&self, ticks: u64) -> Result<(), WriteError> {
+        let acknowledged_indexes = self.acknowledged_indexes();
+        self.write(Command::Tick { acknowledged_indexes }).await?;
+        for (incarnation, suspected) in self.changed_suspicions() {
+            self.write(Command::Suspect { incarnation, suspected }).await?;
         }
-        if ticks.is_multiple_of(COMPARE) {
-            if let Output::Checkpoint(Checkpoint { index, digest }) =
-                self.write(Command::TakeCheckpoint).await?
-            {
-                self.write(Command::CompareCheckpoint { index, digest }).await?;
-            }
+        if ticks.is_multiple_of(TICKS_PER_CHECKPOINT) {
+            self.compare_states().await?;
         }
         Ok(())
     }
 
-    /// The processes of which the register's opinion is not what is heard here.
-    fn suspicions(&self, now: Instant) -> Vec<(u64, bool)> {
-        let members: Vec<(u64, String, bool)> = self
-            .shared
-            .look(|register| register.members().map(|(n, at)| (n, at.name.clone(), at.suspected)).collect());
-        self.with_fleet(|fleet| {
-            let Some(fleet) = fleet else { return Vec::new() };
-            fleet.tick(now);
-            let differs = |(incarnation, name, told): (u64, String, bool)| {
-                let suspect = match fleet.explain(&name).map(|why| (why.state, why.kept)) {
-                    Some((MemberState::Suspect, None) | (MemberState::Removed, _)) => true,
-                    Some(_) => false,
-                    // Never heard by this leader: it is listed from now on, and its silence counts.
-                    None => {
-                        let address = SocketAddr::from(([0, 0, 0, 0], 0));
-                        let source = Source::Report;
-                        fleet.observe(
-                            now,
-                            Observation { name, address, source, capacity: 1.0, zone: 0, draining: false },
-                        );
-                        told
-                    }
-                };
-                (suspect != told).then_some((incarnation, suspect))
-            };
-            members.into_iter().filter_map(differs).collect()
-        })
+    async fn compare_states(&self) -> Result<(), WriteError> {
+        if let Output::Checkpoint(checkpoint) = self.write(Command::TakeCheckpoint).await? {
+            let Checkpoint { index, digest } = checkpoint;
+            self.write(Command::CompareCheckpoint { index, digest }).await?;
+        }
+        Ok(())
     }
 
-    /// What members are held to, as ratios to how often they speak: a third of the shortest span.
-    fn limits(&self) -> MembershipLimits {
-        let span =
-            self.shared.look(|register| register.budgets().map(|(_, at)| at.terms.lease_duration_us).min());
-        let usual = span.map_or(self.tick * 4.0, |span| Span::from_micros(span) * (1.0 / 3.0));
-        MembershipLimits {
-            phi_threshold: 8.0,
-            min_deviation: usual * 0.5,
-            warmup_time: usual,
-            max_ejected_fraction: 1.0,
-            observer_fault_fraction: 0.5,
-            observer_fault_window: usual * 2.0,
-            recovery_time: usual * 2.0,
-            removal_time: usual * 1000.0,
-            tick_interval: self.tick,
-        }
+    /// The incarnations of which the state says other than what is heard here, with what is heard.
+    fn changed_suspicions(&self) -> BTreeMap<u64, bool> {
+        let members = self.state.read(|state| {
+            let members = state.members();
+            members.map(|(incarnation, member)| ListedMember::new(incarnation, member)).collect::<Vec<_>>()
+        });
+        self.with_suspicion(|suspicion| match suspicion {
+            Some(suspicion) => suspicion.changes(clock::now(), &members),
+            None => BTreeMap::new(),
+        })
     }
 }
--- a/crates/lynxtally-coordinator/src/main.rs
+++ b/crates/lynxtally-coordinator/src/main.rs
@@ -1,6 +1,6 @@
-//! `lynxtally-coordinator`: one keeper of the register of shares.
+//! `lynxtally-coordinator`: one replica of the coordination state.
 
-use lynxtally_coordinator::{keeper, settings};
+use lynxtally_coordinator::{coordinator, settings};
 use std::path::Path;
 use std::process::ExitCode;
 use tokio::signal::unix::{signal, SignalKind};
@@ -11,8 +11,8 @@
 
 const USAGE: &str = "usage: lynxtally-coordinator SETTINGS
 
-Keeps the register of shares with the other keepers that SETTINGS names, a Jsonnet template such as
-deploy/shares/keeper.jsonnet. LYNXTALLY_LOG sets what is logged: error, warn, info (the default), debug, trace
+Agrees with the other coordinators that SETTINGS names on leases and quotas. SETTINGS is a Jsonnet template such as
+deploy/shares/coordinator.jsonnet. LYNXTALLY_LOG sets what is logged: error, warn, info (the default), debug, trace
 or off. SIGTERM ends it; it may be started again at any time.";
 
 fn main() -> ExitCode {
@@ -60,7 +60,7 @@
         let end = async move {
             leave.recv().await;
         };
-        keeper::keep(settings, end).await?;
+        coordinator::run(settings, end).await?;
         Ok(())
     })
 }
--- a/crates/lynxtally-coordinator/src/net/client.rs
+++ b/crates/lynxtally-coordinator/src/net/client.rs
@@ -1,6 +1,6 @@
-//! Asking another keeper.
+//! Requests to another coordinator.
 
-use super::PEER_MOST;
+use super::MAX_PEER_MESSAGE_BYTES;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
 use hyper::{Method, Request, StatusCode};
@@ -11,56 +11,74 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// Why there was no answer.
+/// Why there was no response.
 #[derive(Debug)]
-pub enum Unheard {
-    /// Nobody is there, or the connection ended.
-    Lost(String),
+pub enum RequestError {
+    /// Nobody listens there, or the connection broke.
+    Unreachable(String),
     /// Nothing came in time.
-    Late,
-    /// It was refused.
-    Refused(StatusCode, String),
+    TimedOut,
+    /// The request was rejected.
+    Rejected {
+        /// The response's status.
+        status: StatusCode,
+        /// Its body.
+        body: String,
+    },
 }
 
-impl fmt::Display for Unheard {
+impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Lost(why) => f.write_str(why),
-            Self::Late => f.write_str("no answer in time"),
-            Self::Refused(status, why) => write!(f, "{status}: {why}"),
+            Self::Unreachable(reason) => f.write_str(reason),
+            Self::TimedOut => f.write_str("no response in time"),
+            Self::Rejected { status, body } => write!(f, "{status}: {body}"),
         }
     }
 }
 
-impl std::error::Error for Unheard {}
+impl std::error::Error for RequestError {}
 
-/// Posts a body and returns the answer's.
+/// Posts a body and returns the body of the response.
 ///
 /// # Errors
-/// There was none, or it says that the body was refused.
-pub async fn post(to: SocketAddr, path: &str, body: Vec<u8>, patience: Duration) -> Result<Bytes, Unheard> {
+/// There was no response, or it says that the request was rejected.
+pub async fn post(
+    address: SocketAddr,
+    path: &str,
+    body: Vec<u8>,
+    timeout: Duration,
+) -> Result<Bytes, RequestError> {
+    let exchange = post_without_timeout(address, path, body);
+    tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(RequestError::TimedOut))
+}
+
+async fn post_without_timeout(address: SocketAddr, path: &str, body: Vec<u8>) -> Result<Bytes, RequestError> {
+    let request = Request::builder()
+        .method(Method::POST)
+        .uri(format!("http://{address}{path}"))
+        .body(Full::new(Bytes::from(body)))
+        .map_err(|error| unreachable(&error))?;
+    let response = client().request(request).await.map_err(|error| unreachable(&error))?;
+    let status = response.status();
+    let limited = Limited::new(response.into_body(), MAX_PEER_MESSAGE_BYTES);
+    let body = limited.collect().await.map_err(|error| unreachable(&error))?.to_bytes();
+    if status == StatusCode::OK {
+        return Ok(body);
+    }
+    Err(RequestError::Rejected { status, body: String::from_utf8_lossy(&body).into_owned() })
+}
+
+fn unreachable(error: &dyn fmt::Display) -> RequestError {
+    RequestError::Unreachable(error.to_string())
+}
+
+/// One client for the program, which keeps connections open.
+fn client() -> &'static Client<HttpConnector, Full<Bytes>> {
     static CLIENT: OnceLock<Client<HttpConnector, Full<Bytes>>> = OnceLock::new();
-    let client = CLIENT.get_or_init(|| {
+    CLIENT.get_or_init(|| {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         Client::builder(TokioExecutor::new()).build(connector)
-    });
-    let lost = |why: &dyn fmt::Display| Unheard::Lost(why.to_string());
-    let ask = async {
-        let message = Request::builder()
-            .method(Method::POST)
-            .uri(format!("http://{to}{path}"))
-            .body(Full::new(Bytes::from(body)))
-            .map_err(|why| lost(&why))?;
-        let answer = client.request(message).await.map_err(|why| lost(&why))?;
-        let status = answer.status();
-        let body = Limited::new(answer.into_body(), PEER_MOST).collect().await.map_err(|why| lost(&why))?;
-        let body = body.to_bytes();
-        if status == StatusCode::OK {
-            Ok(body)
-        } else {
-            Err(Unheard::Refused(status, String::from_utf8_lossy(&body).into_owned()))
-        }
-    };
-    tokio::time::timeout(patience, ask).await.unwrap_or(Err(Unheard::Late))
+    })
 }
--- a/crates/lynxtally-coordinator/src/net/mod.rs
+++ b/crates/lynxtally-coordinator/src/net/mod.rs
@@ -1,30 +1,32 @@
-//! How keepers hear of nodes, operators and each other: HTTP/1.1 with JSON bodies, by libraries.
+//! How coordinators hear of nodes, operators and each other: HTTP/1.1 with JSON bodies.
 
 mod client;
 mod peers;
 mod server;
+mod state_report;
 
-pub use client::{post, Unheard};
+pub use client::{post, RequestError};
 pub use peers::Peers;
-pub use server::{serve, Doors};
+pub use server::{serve, RunningReplica, ServerState};
 
 use serde::{Deserialize, Serialize};
 
-/// Messages between keepers are no longer than this, in octets.
-pub(crate) const PEER_MOST: usize = 32 << 20;
+/// The longest message between coordinators, in bytes.
+pub(crate) const MAX_PEER_MESSAGE_BYTES: usize = 32 << 20;
 
-/// A keeper that starts asks the others what they know of its log, before it takes part.
+/// A coordinator that starts asks the others how much of its log it acknowledged.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
-pub struct Check {
-    /// Which it is.
+pub struct StartupCheck {
+    /// Its number.
     pub id: u64,
 }
 
-/// What another keeper knows of it.
+/// What another coordinator knows of it.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
-pub struct Checked {
-    /// It has told a leader that it has the log up to this number, at least.
-    pub had: u64,
+pub struct AcknowledgedIndex {
+    /// It has acknowledged the log to a leader up to this index, at least.
+    #[serde(rename = "had")]
+    pub index: u64,
 }
--- a/crates/lynxtally-coordinator/src/net/peers.rs
+++ b/crates/lynxtally-coordinator/src/net/peers.rs
@@ -1,6 +1,6 @@
-//! The other keepers, as the library reaches them.
+//! The other coordinators, as the Raft library reaches them.
 
-use super::client::{post, Unheard};
+use super::client::{post, RequestError};
 use crate::Types;
 use openraft::error::{InstallSnapshotError, NetworkError, RPCError, RaftError, RemoteError, Unreachable};
 use openraft::network::{RPCOption, RaftNetwork, RaftNetworkFactory};
@@ -11,74 +11,77 @@
 use openraft::BasicNode;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
+use std::io;
 use std::net::SocketAddr;
 
-type Failed<E = openraft::error::Infallible> = RPCError<u64, BasicNode, RaftError<u64, E>>;
+type PeerError<E = openraft::error::Infallible> = RPCError<u64, BasicNode, RaftError<u64, E>>;
 
-/// Makes ways to other keepers, by their numbers: where they are is in this keeper's settings.
+/// Connects to other coordinators by their numbers: their addresses are in this coordinator's settings.
 pub struct Peers(pub Vec<SocketAddr>);
 
-/// A way to one.
+/// Another coordinator.
 pub struct Peer {
     id: u64,
-    at: Option<SocketAddr>,
+    /// None where the settings name no coordinator of this number.
+    address: Option<SocketAddr>,
 }
 
 impl RaftNetworkFactory<Types> for Peers {
     type Network = Peer;
 
     async fn new_client(&mut self, id: u64, _: &BasicNode) -> Peer {
-        let at = usize::try_from(id).ok().and_then(|id| self.0.get(id.checked_sub(1)?).copied());
-        Peer { id, at }
+        let address = usize::try_from(id).ok().and_then(|id| self.0.get(id.checked_sub(1)?).copied());
+        Peer { id, address }
     }
 }
 
 impl Peer {
-    async fn ask<T, A, E>(&self, path: &str, message: &T, option: &RPCOption) -> Result<A, Failed<E>>
+    async fn request<T, R, E>(&self, path: &str, message: &T, option: &RPCOption) -> Result<R, PeerError<E>>
     where
         T: Serialize,
-        A: DeserializeOwned,
+        R: DeserializeOwned,
         E: std::error::Error + DeserializeOwned,
     {
-        let network = |why: &(dyn std::error::Error + 'static)| {
-            Failed::<E>::Network(NetworkError::new(&std::io::Error::other(why.to_string())))
-        };
-        let unknown = || std::io::Error::other(format!("the settings name no keeper {}", self.id));
-        let to = self.at.ok_or_else(|| network(&unknown()))?;
-        let body = serde_json::to_vec(message).map_err(|why| network(&why))?;
-        let answer = post(to, path, body, option.hard_ttl()).await.map_err(|why| match why {
-            // Nobody is there: it is tried again after a while, not at once.
-            Unheard::Lost(_) => Failed::<E>::Unreachable(Unreachable::new(&why)),
-            _ => network(&why),
+        let unknown = || io::Error::other(format!("the settings name no coordinator {}", self.id));
+        let address = self.address.ok_or_else(|| network_error(&unknown()))?;
+        let body = serde_json::to_vec(message).map_err(|error| network_error(&error))?;
+        let response = post(address, path, body, option.hard_ttl()).await.map_err(|error| match error {
+            // Nobody is there: the library tries again after a while, not at once.
+            RequestError::Unreachable(_) => PeerError::<E>::Unreachable(Unreachable::new(&error)),
+            _ => network_error(&error),
         })?;
-        let answer: Result<A, RaftError<u64, E>> =
-            serde_json::from_slice(&answer).map_err(|why| network(&why))?;
-        answer.map_err(|why| Failed::<E>::RemoteError(RemoteError::new(self.id, why)))
+        let response: Result<R, RaftError<u64, E>> =
+            serde_json::from_slice(&response).map_err(|error| network_error(&error))?;
+        response.map_err(|error| PeerError::<E>::RemoteError(RemoteError::new(self.id, error)))
     }
 }
 
+fn network_error<E: std::error::Error>(error: &dyn std::error::Error) -> PeerError<E> {
+    PeerError::<E>::Network(NetworkError::new(&io::Error::other(error.to_string())))
+}
+
 impl RaftNetwork<Types> for Peer {
     async fn append_entries(
         &mut self,
         message: AppendEntriesRequest<Types>,
         option: RPCOption,
-    ) -> Result<AppendEntriesResponse<u64>, Failed> {
-        self.ask("/v1/raft/append", &message, &option).await
+    ) -> Result<AppendEntriesResponse<u64>, PeerError> {
+        self.request("/v1/raft/append", &message, &option).await
     }
 
     async fn install_snapshot(
         &mut self,
         message: InstallSnapshotRequest<Types>,
         option: RPCOption,
-    ) -> Result<InstallSnapshotResponse<u64>, Failed<InstallSnapshotError>> {
-        self.ask("/v1/raft/snapshot", &message, &option).await
+    ) -> Result<InstallSnapshotResponse<u64>, PeerError<InstallSnapshotError>> {
+        self.request("/v1/raft/snapshot", &message, &option).await
     }
 
     async fn vote(
         &mut self,
         message: VoteRequest<u64>,
         option: RPCOption,
-    ) -> Result<VoteResponse<u64>, Failed> {
-        self.ask("/v1/raft/vote", &message, &option).await
+    ) -> Result<VoteResponse<u64>, PeerError> {
+        self.request("/v1/raft/vote", &message, &option).await
     }
 }
--- a/crates/lynxtally-coordinator/src/net/server.rs
+++ b/crates/lynxtally-coordinator/src/net/server.rs
@@ -1,8 +1,9 @@
-//! What a keeper is asked.
+//! What a coordinator is asked: by nodes (`/v1/say`), operators (`/v1/order`, `/v1/state`) and other coordinators
+//! (`/v1/check`, `/v1/raft`).
 
-use super::{Check, Checked, PEER_MOST};
-use crate::leader::{Leader, Unled};
-use crate::store::Shared;
+use super::{state_report, AcknowledgedIndex, StartupCheck, MAX_PEER_MESSAGE_BYTES};
+use crate::leader::{Leader, WriteError};
+use crate::store::SharedState;
 use crate::Raft;
 use axum::body::Bytes;
 use axum::extract::{DefaultBodyLimit, State};
@@ -10,30 +11,41 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::{get, post};
 use axum::{Json, Router};
-use lynxtally_messages::{decode, encode, AdminRequest, AdminResponse, NodeRequest, NodeResponse, Rejection};
+use lynxtally_messages::{
+    decode, encode, AdminRequest, AdminResponse, NodeRequest, NodeResponse, Rejection, MAX_MESSAGE_BYTES,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
-use serde_json::json;
+use std::fmt;
 use std::future::Future;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// What the server hands on to.
+/// A replica that takes part.
 #[derive(Clone)]
-pub struct Doors {
-    /// The register, as it is here.
-    pub shared: Shared,
-    /// The replication; none before this keeper takes part.
-    pub raft: watch::Receiver<Option<(Raft, Leader)>>,
+pub struct RunningReplica {
+    /// The replication.
+    pub raft: Raft,
+    /// Writes commands where this replica leads.
+    pub leader: Leader,
 }
 
-impl Doors {
+/// What the server passes requests on to.
+#[derive(Clone)]
+pub struct ServerState {
+    /// The replicated state as it is here.
+    pub state: SharedState,
+    /// The replica; none before it takes part.
+    pub replica: watch::Receiver<Option<RunningReplica>>,
+}
+
+impl ServerState {
     fn leader(&self) -> Option<Leader> {
-        self.raft.borrow().as_ref().map(|(_, leader)| leader.clone())
+        self.replica.borrow().as_ref().map(|replica| replica.leader.clone())
     }
 
     fn raft(&self) -> Option<Raft> {
-        self.raft.borrow().as_ref().map(|(raft, _)| raft.clone())
+        self.replica.borrow().as_ref().map(|replica| replica.raft.clone())
     }
 }
 
@@ -43,127 +55,110 @@
 /// The listener failed.
 pub async fn serve(
     listener: TcpListener,
-    doors: Doors,
+    state: ServerState,
     end: impl Future<Output = ()> + Send + 'static,
 ) -> std::io::Result<()> {
-    let peers = Router::new()
-        .route("/v1/raft/append", post(append))
+    let raft_routes = Router::new()
+        .route("/v1/raft/append", post(append_entries))
         .route("/v1/raft/vote", post(vote))
-        .route("/v1/raft/snapshot", post(snapshot))
-        .layer(DefaultBodyLimit::max(PEER_MOST));
-    let all = Router::new()
-        .route("/v1/say", post(say))
-        .route("/v1/order", post(order))
-        .route("/v1/state", get(state))
-        .route("/v1/check", post(check))
-        .layer(DefaultBodyLimit::max(lynxtally_messages::MAX_MESSAGE_BYTES))
-        .merge(peers)
-        .with_state(doors);
-    axum::serve(listener, all).with_graceful_shutdown(end).await
-}
-
-fn bad(why: impl ToString) -> Response {
-    (StatusCode::BAD_REQUEST, why.to_string()).into_response()
+        .route("/v1/raft/snapshot", post(install_snapshot))
+        .layer(DefaultBodyLimit::max(MAX_PEER_MESSAGE_BYTES));
+    let routes = Router::new()
+        .route("/v1/say", post(node_request))
+        .route("/v1/order", post(admin_request))
+        .route("/v1/state", get(report_state))
+        .route("/v1/check", post(startup_check))
+        .layer(DefaultBodyLimit::max(MAX_MESSAGE_BYTES))
+        .merge(raft_routes)
+        .with_state(state);
+    axum::serve(listener, routes).with_graceful_shutdown(end).await
 }
 
-fn not_led(unled: Unled) -> Rejection {
-    match unled {
-        Unled::By(leader) => Rejection::NotLeader { leader },
-        Unled::Failed(why) => Rejection::Invalid { reason: why },
+impl From<WriteError> for Rejection {
+    fn from(error: WriteError) -> Self {
+        match error {
+            WriteError::NotLeader { leader } => Self::NotLeader { leader },
+            WriteError::Replication(reason) => Self::Invalid { reason },
+        }
     }
 }
 
-async fn say(State(doors): State<Doors>, body: Bytes) -> Response {
-    let reply = match decode::<NodeRequest>(&body) {
-        Err(why) => NodeResponse::Rejected(Rejection::Undecodable { reason: why.to_string() }),
-        Ok(say) => match doors.leader() {
-            None => NodeResponse::Rejected(Rejection::NotLeader { leader: None }),
-            Some(leader) => {
-                leader.say(say).await.unwrap_or_else(|unled| NodeResponse::Rejected(not_led(unled)))
-            }
-        },
+/// This replica does not take part yet.
+const NO_LEADER: Rejection = Rejection::NotLeader { leader: None };
+
+async fn node_request(State(server): State<ServerState>, body: Bytes) -> Response {
+    let response = match (decode::<NodeRequest>(&body), server.leader()) {
+        (Err(error), _) => NodeResponse::Rejected(Rejection::Undecodable { reason: error.to_string() }),
+        (Ok(_), None) => NodeResponse::Rejected(NO_LEADER),
+        (Ok(request), Some(leader)) => {
+            leader.node_request(request).await.unwrap_or_else(|error| NodeResponse::Rejected(error.into()))
+        }
     };
-    encode(&reply).into_response()
+    encode(&response).into_response()
 }
 
-async fn order(State(doors): State<Doors>, body: Bytes) -> Response {
-    let outcome = match decode::<AdminRequest>(&body) {
-        Err(why) => AdminResponse::Rejected(Rejection::Undecodable { reason: why.to_string() }),
-        Ok(order) => match doors.leader() {
-            None => AdminResponse::Rejected(Rejection::NotLeader { leader: None }),
-            Some(leader) => {
-                leader.order(order).await.unwrap_or_else(|unled| AdminResponse::Rejected(not_led(unled)))
-            }
-        },
+async fn admin_request(State(server): State<ServerState>, body: Bytes) -> Response {
+    let response = match (decode::<AdminRequest>(&body), server.leader()) {
+        (Err(error), _) => AdminResponse::Rejected(Rejection::Undecodable { reason: error.to_string() }),
+        (Ok(_), None) => AdminResponse::Rejected(NO_LEADER),
+        (Ok(request), Some(leader)) => {
+            leader.admin_request(request).await.unwrap_or_else(|error| AdminResponse::Rejected(error.into()))
+        }
     };
-    encode(&outcome).into_response()
+    encode(&response).into_response()
 }
 
-async fn state(State(doors): State<Doors>) -> Response {
-    let leader = doors.leader().and_then(|leader| leader.known());
-    let register = doors.shared.look(|register| {
-        let budgets: serde_json::Map<_, _> = register
-            .budgets()
-            .map(|(name, at)| {
-                let state = json!({"whole": at.terms.capacity, "counted": at.outstanding, "free": at.free,
-                    "in_force": at.capacity_in_force, "holders": at.holders});
-                (name.to_owned(), state)
-            })
-            .collect();
-        let members: Vec<_> = register
-            .members()
-            .map(|(incarnation, at)| {
-                json!({"incarnation": incarnation, "name": at.name, "program": at.program_version, "suspect": at.suspected})
-            })
-            .collect();
-        let wallets: serde_json::Map<_, _> = register
-            .wallets()
-            .map(|(name, books)| (name.to_owned(), serde_json::to_value(books).unwrap_or_default()))
-            .collect();
-        let routes = register.route_status();
-        let routes = json!({"versions": routes.schema_versions, "document": routes.document_index,
-            "waits": routes.waiting});
-        let digest = register.digest().to_string();
-        json!({"number": register.applied_index(), "digest": digest, "budgets": budgets,
-            "wallets": wallets, "routes": routes, "members": members})
-    });
-    Json(json!({"leader": leader, "register": register})).into_response()
+async fn report_state(State(server): State<ServerState>) -> Response {
+    let leader = server.leader().and_then(|leader| leader.current_leader());
+    Json(server.state.read(|state| state_report::report(leader, state))).into_response()
 }
 
-async fn check(State(doors): State<Doors>, body: Bytes) -> Response {
-    match serde_json::from_slice::<Check>(&body) {
-        Err(why) => bad(why),
-        Ok(check) => {
-            let told = doors.shared.look(|register| register.acknowledged_index(check.id));
-            let seen = doors.leader().map_or(0, |leader| leader.matched(check.id));
-            Json(Checked { had: told.max(seen) }).into_response()
+/// Another coordinator starts and asks how much of its log it acknowledged: as the log of this one has it, and as it
+/// told this one since, where this one leads.
+async fn startup_check(State(server): State<ServerState>, body: Bytes) -> Response {
+    match serde_json::from_slice::<StartupCheck>(&body) {
+        Err(error) => bad_request(&error),
+        Ok(StartupCheck { id }) => {
+            let in_state = server.state.read(|state| state.acknowledged_index(id));
+            let since = server.leader().map_or(0, |leader| leader.acknowledged_index(id));
+            Json(AcknowledgedIndex { index: in_state.max(since) }).into_response()
         }
     }
 }
 
-async fn hand_on<T, A, F>(doors: &Doors, body: &[u8], to: impl FnOnce(Raft, T) -> F) -> Response
+async fn append_entries(State(server): State<ServerState>, body: Bytes) -> Response {
+    pass_to_raft(&server, &body, |raft, message| async move { raft.append_entries(message).await }).await
+}
+
+async fn vote(State(server): State<ServerState>, body: Bytes) -> Response {
+    pass_to_raft(&server, &body, |raft, message| async move { raft.vote(message).await }).await
+}
+
+async fn install_snapshot(State(server): State<ServerState>, body: Bytes) -> Response {
+    pass_to_raft(&server, &body, |raft, message| async move { raft.install_snapshot(message).await }).await
+}
+
+/// Passes another coordinator's message on to the Raft library, and its answer back.
+async fn pass_to_raft<T, A, F>(
+    server: &ServerState,
+    body: &[u8],
+    handle: impl FnOnce(Raft, T) -> F,
+) -> Response
 where
     T: DeserializeOwned,
     A: Serialize,
     F: Future<Output = A>,
 {
-    let Some(raft) = doors.raft() else {
-        return (StatusCode::SERVICE_UNAVAILABLE, "this keeper takes no part yet").into_response();
+    let Some(raft) = server.raft() else {
+        let reason = "this coordinator does not take part yet";
+        return (StatusCode::SERVICE_UNAVAILABLE, reason).into_response();
     };
     match serde_json::from_slice(body) {
-        Ok(message) => Json(to(raft, message).await).into_response(),
-        Err(why) => bad(why),
+        Ok(message) => Json(handle(raft, message).await).into_response(),
+        Err(error) => bad_request(&error),
     }
 }
 
-async fn append(State(doors): State<Doors>, body: Bytes) -> Response {
-    hand_on(&doors, &body, |raft, message| async move { raft.append_entries(message).await }).await
-}
-
-async fn vote(State(doors): State<Doors>, body: Bytes) -> Response {
-    hand_on(&doors, &body, |raft, message| async move { raft.vote(message).await }).await
-}
-
-async fn snapshot(State(doors): State<Doors>, body: Bytes) -> Response {
-    hand_on(&doors, &body, |raft, message| async move { raft.install_snapshot(message).await }).await
+fn bad_request(error: &dyn fmt::Display) -> Response {
+    (StatusCode::BAD_REQUEST, error.to_string()).into_response()
 }
