--- a/crates/lynxtally-coordinator/tests/stored_formats.rs
+++ b/crates/lynxtally-coordinator/tests/stored_formats.rs
@@ -7,7 +7,7 @@
 use lynxtally_coordinator::settings;
 use lynxtally_coordinator::store::{self, RaftLog, StateMachine};
 use lynxtally_coordinator::Types;
-use lynxtally_fault_injection::process::Folder as TestFolder;
+use lynxtally_fault_injection::process::TempFolder as TestFolder;
 use lynxtally_messages::{AdminAction, AdminRequest, IdempotencyKey};
 use lynxtally_net::directory::DirectoryStorage;
 use openraft::storage::{RaftLogStorage, RaftLogStorageExt, RaftStateMachine};
--- a/crates/testing/fault-injection/src/process.rs
+++ b/crates/testing/fault-injection/src/process.rs
@@ -5,10 +5,10 @@
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A folder that goes when it is dropped.
-pub struct Folder(pub PathBuf);
+/// A temporary folder that is removed when it is dropped.
+pub struct TempFolder(pub PathBuf);
 
-impl Folder {
+impl TempFolder {
     /// A new one.
     ///
     /// # Panics
@@ -22,7 +22,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -66,11 +66,11 @@
         }
     }
 
-    /// Waits for its end; whether it ended well.
+    /// Waits for its end; whether it ended with success.
     ///
     /// # Panics
     /// It was waited for before.
-    pub fn end(&mut self) -> bool {
+    pub fn wait_success(&mut self) -> bool {
         let mut child = self.0.take().expect("it runs");
         child.wait().expect("it ends").success()
     }
@@ -82,13 +82,19 @@
     }
 }
 
-/// The settings of keepers, each with its own way to the others; `ways[a][b]` is where keeper `a` reaches `b`.
-pub fn keeper_settings(ways: &[Vec<SocketAddr>], at: usize, folder: &Path, rest: &str) -> String {
-    let all: Vec<String> = ways[at].iter().map(|way| format!("'{way}'")).collect();
+/// The settings of a coordinator. `addresses[a][b]` is where coordinator `a` reaches `b`, so that faults can be put
+/// between them; `extra` is further keys.
+pub fn coordinator_settings(
+    addresses: &[Vec<SocketAddr>],
+    coordinator: usize,
+    folder: &Path,
+    extra: &str,
+) -> String {
+    let quoted: Vec<String> = addresses[coordinator].iter().map(|address| format!("'{address}'")).collect();
     format!(
-        "{{ id: {}, keepers: [{}], folder: '{}', election_ms: 150, tick_ms: 25{rest} }}",
-        at + 1,
-        all.join(", "),
+        "{{ id: {}, keepers: [{}], folder: '{}', election_ms: 150, tick_ms: 25{extra} }}",
+        coordinator + 1,
+        quoted.join(", "),
         folder.display()
     )
 }
