--- a/crates/testing/benchmarks/src/lab.rs
+++ b/crates/testing/benchmarks/src/lab.rs
@@ -2,7 +2,7 @@
 
 use lynxtally::Pcg;
 use lynxtally_experiment::spec::{Cell, Spec};
-use lynxtally_simulator::queue::Queue;
+use lynxtally_simulator::event_queue::EventQueue;
 use serde_json::json;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -16,7 +16,7 @@
     const STEPS: usize = 2_000_000;
     let mut chance = Pcg::new(5);
     let mut wait = || (-chance.unit().max(1e-12).ln() * 10_000.0) as u64;
-    let (mut queue, mut heap) = (Queue::default(), BinaryHeap::new());
+    let (mut queue, mut heap) = (EventQueue::default(), BinaryHeap::new());
     for n in 0..count as u32 {
         let at = wait();
         match radix {
--- a/crates/testing/simulator/src/lib.rs
+++ b/crates/testing/simulator/src/lib.rs
@@ -1,14 +1,17 @@
-//! A fleet in simulated time. Nodes are the real [`lynxtally_engine::Engine`] with the module, or a baseline, inside; round
-//! them are models, each with its source named: cores ([`cores`]), work ([`work`]), sidecars ([`sidecar`]), links and
-//! faults ([`world`]). Rules are checked on every run ([`rules`]); the same seed gives the same run.
+//! A fleet in simulated time. Nodes are the real [`lynxtally_engine::Engine`] with lynxtally's policy, or a baseline,
+//! inside; round them are models, each with its source named: cores ([`cores`]), work ([`work_distribution`]), sidecars
+//! ([`sidecar`]), the dependency ([`dependency`]), links and faults ([`world`]). A run is described by a [`scenario`] and
+//! ends in an [`outcome`]. Invariants are checked on every run ([`violations`]); the same seed gives the same run.
 
 #![forbid(unsafe_code)]
 
-pub mod below;
 pub mod cores;
-pub mod queue;
-pub mod rules;
+pub mod dependency;
+pub mod event_queue;
+pub mod outcome;
+pub mod scenario;
 pub mod shares;
 pub mod sidecar;
-pub mod work;
+pub mod violations;
+pub mod work_distribution;
 pub mod world;
