--- a/crates/testing/benchmarks/src/names.rs
+++ b/crates/testing/benchmarks/src/names.rs
@@ -225,7 +225,7 @@
     for batch in [1, 8, 32, 64, 256] {
         let module =
             deciding(server::module(&served.settings, lynxtally::Instant::from_micros(1_000_000)), batch);
-        let alone = deciding(PlainQueue::straight(), batch);
+        let alone = deciding(PlainQueue::unlimited(), batch);
         let _ = writeln!(out, "| {batch} | {module:.0} | {alone:.0} |");
     }
     served.leave()?;
@@ -484,7 +484,7 @@
     for turn in 1..=9 {
         let one = |straight: bool| -> io::Result<(f64, f64)> {
             let served = match straight {
-                true => Served::start(text, |_, _| PlainQueue::straight())?,
+                true => Served::start(text, |_, _| PlainQueue::unlimited())?,
                 false => Served::start(text, server::module)?,
             };
             let before = owner_ran();
