--- a/crates/testing/simulator/src/scenario.rs
+++ b/crates/testing/simulator/src/scenario.rs
@@ -4,7 +4,7 @@
 use crate::dependency::DependencyModel;
 use crate::sidecar::{LoadBalancing, RetryPolicy};
 use crate::work_distribution::WorkDistribution;
-use lynxtally::{Instant, RequestClass, Settings, Span};
+use lynxtally::{CapacityFormat, Downstream, Instant, RequestClass, Settings, Span};
 use lynxtally_engine::Scheduler;
 use lynxtally_retry::OutlierLimits;
 
@@ -94,3 +94,38 @@
     /// What happens to the fleet.
     pub faults: Vec<FaultStep>,
 }
+
+/// The settings of a simulated node that nothing limits but its cores: warm from the start, without quotas, downstream
+/// calls and capacity advertisement. Scenarios set what they are about over it.
+pub fn unconstrained_settings(
+    cores: u32,
+    classes: Vec<RequestClass>,
+    backends: usize,
+    callers: usize,
+) -> Settings {
+    Settings {
+        cores,
+        memory_kb: 1e9,
+        running_memory_factor: 1.0,
+        idempotency_key_kb: 0.0,
+        cold_start: false,
+        cold_capacity_fraction: 1.0,
+        warmup_time: Span::from_millis(1),
+        max_running_per_core: 1e9,
+        drain_grace: Span::from_millis(1000),
+        classes,
+        tenant_quotas: Vec::new(),
+        over_quota_utility_fraction: 1.0,
+        utility_per_work: false,
+        backends: backends as u32,
+        callers: callers as u32,
+        tier_depth: 0,
+        downstream: Downstream::None,
+        stoppable: false,
+        capacity_format: CapacityFormat::None,
+        capacity_ttl: Span::ZERO,
+        client_idle_timeout: Span::ZERO,
+        coalescing_window: Span::ZERO,
+        max_retry_after: Span::ZERO,
+    }
+}
