--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -4,6 +4,7 @@
 
 mod lab;
 mod names;
+mod output;
 mod streams;
 mod updates;
 
--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -1,24 +1,23 @@
 //! `lynxtally names`.
 
+use crate::output::{print_answer, print_change};
 use crate::{updates, Failed, Format};
 use clap::{Args, Subcommand};
 use lynxtally_dns::client::{query, Client};
-use lynxtally_dns::codec::{Answered, Code};
 use lynxtally_dns::control::{self, Verb as Control};
 use lynxtally_dns::server;
 use lynxtally_dns::settings::{self, Checked};
 use lynxtally_dns::tsig::Key;
 use lynxtally_wal::WriteAheadLog;
-use lynxtally_zones::change::{between, Change};
+use lynxtally_zones::change::between;
 use lynxtally_zones::file;
 use lynxtally_zones::follow::Brought;
 use lynxtally_zones::keeper::{decode, Entry, Snapshot};
-use lynxtally_zones::zone::Record;
+use lynxtally_zones::Record;
 use lynxtally_zones::{Kind, Name, Zone};
 use rand::Rng;
 use serde_json::json;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -186,7 +185,7 @@
             let question = query(rand::rng().random(), &name, kind);
             let answered = if tcp { client.ask(&question) } else { client.ask_by_datagram(&question) };
             let answered = answered.map_err(|fault| wrong(format!("{}: {fault}", server.server)))?;
-            show(&answered, format);
+            print_answer(&answered, format);
             if answered.code == 0 {
                 Ok(())
             } else {
@@ -200,7 +199,7 @@
         Verb::Diff { old, new, apex } => {
             let read = |path: &Path| zone_of(path, apex.as_ref());
             let change = between(&read(&old)?, &read(&new)?);
-            show_change(&change);
+            print_change(&change);
             if change.is_empty() {
                 Ok(())
             } else {
@@ -312,50 +311,6 @@
     }
 }
 
-fn record_json(record: &Record) -> serde_json::Value {
-    json!({
-        "name": record.name.to_string(), "ttl": record.ttl, "kind": record.kind.to_string(),
-        "data": record.kind.write(&record.data),
-    })
-}
-
-/// Writes an answer.
-pub fn show(answered: &Answered, format: Format) {
-    let names = ["answer", "authority", "additional"];
-    if format == Format::Json {
-        let sections: BTreeMap<&str, Vec<_>> = names
-            .into_iter()
-            .zip(&answered.sections)
-            .map(|(n, all)| (n, all.iter().map(record_json).collect()))
-            .collect();
-        let reason = answered.reason.as_ref().map(|(code, text)| json!({"code": code, "text": text}));
-        let said = json!({
-            "code": Code(answered.code).to_string(), "authoritative": answered.authoritative, "reason": reason,
-            "lease": answered.lease, "sections": sections,
-        });
-        return println!("{said}");
-    }
-    let kind = if answered.authoritative { "authoritative" } else { "not authoritative" };
-    println!("; {}, {kind}", Code(answered.code));
-    if let Some((code, text)) = &answered.reason {
-        println!("; reason {code}: {text}");
-    }
-    if let Some(lease) = answered.lease {
-        println!("; held for {lease} s");
-    }
-    for (name, records) in names.into_iter().zip(&answered.sections) {
-        if !records.is_empty() {
-            println!("; {name}");
-        }
-        records.iter().for_each(|record| println!("{record}"));
-    }
-}
-
-fn show_change(change: &Change) {
-    change.removed.iter().for_each(|record| println!("- {record}"));
-    change.added.iter().for_each(|record| println!("+ {record}"));
-}
-
 fn transfer(client: &Client, zone: &Name, since: Option<u32>) -> Result<(), Failed> {
     let soa = since.map(|serial| {
         let mut data = vec![0, 0];
@@ -368,7 +323,7 @@
         .map_err(|fault| wrong(format!("{}: {fault}", client.server)))?;
     match brought {
         Brought::Nothing(serial) => println!("; nothing is newer than {serial}"),
-        Brought::Changes(changes) => changes.iter().for_each(show_change),
+        Brought::Changes(changes) => changes.iter().for_each(print_change),
         Brought::Whole(records) => {
             let version = lynxtally_zones::follow::version(zone, None, &records).map_err(wrong)?;
             print!("{}", file::write(&version));
@@ -435,7 +390,7 @@
         Entry::Changed { change, lease, .. } => {
             let held = if *lease > 0 { format!(", held for {lease} s") } else { String::new() };
             println!("; {} to {}{held}", change.from, change.to);
-            show_change(change);
+            print_change(change);
         }
         Entry::Kept(records) => {
             for (name, kind, data) in records {
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -1,6 +1,6 @@
 //! Steps of an update as an operator writes them.
 
-use crate::names::show;
+use crate::output::print_answer;
 use crate::{Failed, Format};
 use lynxtally_dns::client::Client;
 use lynxtally_dns::codec::Question;
@@ -114,7 +114,7 @@
         ..lynxtally_dns::client::query(rand::rng().random(), zone, Kind::SOA)
     };
     let answered = client.ask(&question).map_err(|fault| format!("{}: {fault}", client.server))?;
-    show(&answered, format);
+    print_answer(&answered, format);
     if answered.code == 0 {
         Ok(())
     } else {
