--- a/crates/core/zones/src/change.rs
+++ b/crates/core/zones/src/change.rs
@@ -3,8 +3,10 @@
 
 use crate::kind::Kind;
 use crate::name::Name;
+use crate::record::{Record, Set};
 use crate::serial::Serial;
-use crate::zone::{Node, Record, Set, Zone};
+use crate::tree::Node;
+use crate::zone::Zone;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
--- a/crates/core/zones/src/file.rs
+++ b/crates/core/zones/src/file.rs
@@ -4,7 +4,9 @@
 
 use crate::kind::{read_time, Kind, Word};
 use crate::name::Name;
-use crate::zone::{Record, Soa, Unfit, Zone};
+use crate::record::Record;
+use crate::soa::Soa;
+use crate::zone::{Unfit, Zone};
 use std::fmt;
 use std::sync::Arc;
 
--- a/crates/core/zones/src/follow.rs
+++ b/crates/core/zones/src/follow.rs
@@ -4,8 +4,10 @@
 use crate::change::Change;
 use crate::kind::Kind;
 use crate::name::Name;
+use crate::record::Record;
 use crate::serial::Serial;
-use crate::zone::{Record, Soa, Zone};
+use crate::soa::Soa;
+use crate::zone::Zone;
 use lynxtally::{Instant, Pcg, Span};
 use std::fmt;
 
--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -4,7 +4,8 @@
 
 use crate::kind::Kind;
 use crate::name::Name;
-use crate::zone::{Record, Zone};
+use crate::record::Record;
+use crate::zone::Zone;
 use lynxtally::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/zones/src/lib.rs
+++ b/crates/core/zones/src/lib.rs
@@ -12,12 +12,16 @@
 pub mod lease;
 pub mod lookup;
 pub mod name;
+pub mod record;
 pub mod serial;
+pub mod soa;
 pub mod tree;
 pub mod update;
 pub mod zone;
 
 pub use kind::Kind;
 pub use name::Name;
+pub use record::{Record, Set};
 pub use serial::Serial;
-pub use zone::{Record, Set, Soa, Zone};
+pub use soa::Soa;
+pub use zone::Zone;
--- a/crates/core/zones/src/lookup.rs
+++ b/crates/core/zones/src/lookup.rs
@@ -3,7 +3,9 @@
 
 use crate::kind::{replace_end, Kind};
 use crate::name::Starts;
-use crate::zone::{unpack, Node, Set, Zone};
+use crate::record::{unpack, Set};
+use crate::tree::Node;
+use crate::zone::Zone;
 use smallvec::SmallVec;
 use std::borrow::Cow;
 
@@ -135,7 +137,7 @@
                     found.outcome = Outcome::TooLong;
                     return found;
                 };
-                let packed = crate::zone::pack([&next[..]]);
+                let packed = crate::record::pack([&next[..]]);
                 let (kind, ttl) = (Kind::CNAME, set.ttl);
                 found.answer.push(Entry { owner: at, kind, ttl, packed: Cow::Owned(packed) });
                 at = Cow::Owned(next);
--- a/crates/core/zones/src/tree.rs
+++ b/crates/core/zones/src/tree.rs
@@ -5,8 +5,11 @@
 //! Source: P. Bagwell, "Ideal Hash Trees" (2001); the sharing is path copying. Labels are spread by
 //! SipHash-1-3 under a fixed key: the same names always make the same tree, in the same order.
 
-use crate::zone::Node;
+use crate::kind::Kind;
+use crate::name::Name;
+use crate::record::Set;
 use siphasher::sip::SipHasher13;
+use smallvec::SmallVec;
 use std::hash::Hasher;
 use std::sync::Arc;
 
@@ -14,6 +17,49 @@
 const BITS: u32 = 5;
 const LEVELS: u32 = 60 / BITS;
 
+/// What stands at one name.
+#[derive(Clone, Debug)]
+pub struct Node {
+    label: Box<[u8]>,
+    sets: SmallVec<[Set; 1]>,
+    below: Children,
+}
+
+impl Node {
+    pub(crate) fn new(label: &[u8]) -> Self {
+        Self { label: label.into(), sets: SmallVec::new(), below: Children::default() }
+    }
+
+    /// The leftmost label of its name.
+    pub fn label(&self) -> &[u8] {
+        &self.label
+    }
+
+    /// Its records, by kind.
+    pub fn sets(&self) -> &[Set] {
+        &self.sets
+    }
+
+    /// The same, to be changed; they stay in ascending order of their kinds.
+    pub(crate) fn sets_mut(&mut self) -> &mut SmallVec<[Set; 1]> {
+        &mut self.sets
+    }
+
+    /// Those of one kind.
+    pub fn set(&self, kind: Kind) -> Option<&Set> {
+        self.sets.iter().find(|set| set.kind == kind)
+    }
+
+    /// The names directly below.
+    pub fn below(&self) -> &Children {
+        &self.below
+    }
+
+    fn is_hollow(&self) -> bool {
+        self.sets.is_empty() && self.below.is_empty()
+    }
+}
+
 #[derive(Clone, Debug)]
 enum Slot {
     Leaf(Arc<Node>),
@@ -297,3 +343,45 @@
         }
     }
 }
+
+/// Changes the node at the end of a path, outermost label first; nodes on the way that are not there are made, and
+/// those that hold nothing afterwards are taken out.
+pub(crate) fn edit<R>(
+    node: &mut Arc<Node>,
+    path: &[&[u8]],
+    before: &mut dyn FnMut(&Node),
+    change: impl FnOnce(&mut Node) -> R,
+) -> R {
+    let own = Arc::make_mut(node);
+    let Some((label, rest)) = path.split_first() else {
+        before(own);
+        return change(own);
+    };
+    if own.below.get(label).is_none() {
+        own.below.insert(Arc::new(Node::new(label)));
+    }
+    // It was there, or was inserted in the line above.
+    let child = own.below.get_mut(label).expect("the child was just inserted");
+    let changed = edit(child, rest, before, change);
+    if child.is_hollow() {
+        own.below.remove(label);
+    }
+    changed
+}
+
+/// Visits a node and all below it that have records, in an order that the names alone decide.
+pub(crate) fn each<'a>(node: &'a Node, name: &Name, visit: &mut impl FnMut(&Name, &'a [Set])) {
+    if !node.sets.is_empty() {
+        visit(name, &node.sets);
+    }
+    node.below.each(|child| {
+        // A node's label and all above it made a name once.
+        if let Ok(below) = name.child(child.label()) {
+            each_dyn(child, &below, visit);
+        }
+    });
+}
+
+fn each_dyn<'a>(node: &'a Node, name: &Name, visit: &mut dyn FnMut(&Name, &'a [Set])) {
+    each(node, name, &mut |name: &Name, sets: &'a [Set]| visit(name, sets));
+}
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -3,8 +3,10 @@
 use crate::change::{between, Change};
 use crate::kind::Kind;
 use crate::name::Name;
+use crate::record::Record;
 use crate::serial::Serial;
-use crate::zone::{Record, Soa, Zone};
+use crate::soa::Soa;
+use crate::zone::Zone;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -204,7 +206,7 @@
                     let mut all: Vec<&[u8]> = all.iter().map(|data| &data[..]).collect();
                     all.sort_unstable();
                     all.dedup();
-                    let same = |set: &crate::zone::Set| set.records().eq(all.iter().copied());
+                    let same = |set: &crate::record::Set| set.records().eq(all.iter().copied());
                     if !zone.set(name, *kind).is_some_and(same) {
                         return Err(Refusal::SetMissing);
                     }
--- a/crates/core/zones/tests/stored_formats.rs
+++ b/crates/core/zones/tests/stored_formats.rs
@@ -10,8 +10,7 @@
     decode, decode_base, encode, encode_base, Entry, Keeper, Limits, Snapshot, FORM,
 };
 use lynxtally_zones::update::Refusal;
-use lynxtally_zones::zone::{Record, Zone};
-use lynxtally_zones::{Kind, Name, Serial};
+use lynxtally_zones::{Kind, Name, Record, Serial, Zone};
 
 /// The lines of a fixture: each is the octets of one value, in hexadecimal digits.
 fn fixture(file: &str) -> Vec<Vec<u8>> {
--- a/crates/frontends/dns/src/client.rs
+++ b/crates/frontends/dns/src/client.rs
@@ -3,7 +3,7 @@
 use crate::codec::{Answered, Question};
 use crate::tsig::{Key, Signer};
 use lynxtally_zones::follow::{Brought, Incoming};
-use lynxtally_zones::zone::Record;
+use lynxtally_zones::Record;
 use lynxtally_zones::{Kind, Name, Serial};
 use std::fmt;
 use std::io::{self, Read, Write};
