--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -10,9 +10,9 @@
 use lynxtally_dns::tsig::Key;
 use lynxtally_wal::WriteAheadLog;
 use lynxtally_zones::change::between;
-use lynxtally_zones::file;
-use lynxtally_zones::follow::Brought;
-use lynxtally_zones::keeper::{decode, Entry, Snapshot};
+use lynxtally_zones::secondary::Brought;
+use lynxtally_zones::zone_file;
+use lynxtally_zones::zone_store::{decode, Entry, Snapshot};
 use lynxtally_zones::Record;
 use lynxtally_zones::{Kind, Name, Zone};
 use rand::Rng;
@@ -231,12 +231,12 @@
     }
 }
 
-fn read_file(path: &Path, apex: Option<&Name>, refused: usize) -> Result<file::Read, Failed> {
+fn read_file(path: &Path, apex: Option<&Name>, refused: usize) -> Result<zone_file::Read, Failed> {
     let shown = path.display().to_string();
     let text = std::fs::read(path).map_err(|fault| wrong(format!("{shown}: {fault}")))?;
     let folder = path.parent().map(Path::to_owned).unwrap_or_default();
-    let limits = file::Limits { refused, ..file::Limits::default() };
-    Ok(file::read(&shown, &text, apex, limits, &mut |name| server::include(&folder, name)))
+    let limits = zone_file::Limits { refused, ..zone_file::Limits::default() };
+    Ok(zone_file::read(&shown, &text, apex, limits, &mut |name| server::include(&folder, name)))
 }
 
 fn zone_of(path: &Path, apex: Option<&Name>) -> Result<Zone, Failed> {
@@ -325,8 +325,8 @@
         Brought::Nothing(serial) => println!("; nothing is newer than {serial}"),
         Brought::Changes(changes) => changes.iter().for_each(print_change),
         Brought::Whole(records) => {
-            let version = lynxtally_zones::follow::version(zone, None, &records).map_err(wrong)?;
-            print!("{}", file::write(&version));
+            let version = lynxtally_zones::secondary::version(zone, None, &records).map_err(wrong)?;
+            print!("{}", zone_file::write(&version));
         }
     }
     Ok(())
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -4,7 +4,7 @@
 use crate::{Failed, Format};
 use lynxtally_dns::client::Client;
 use lynxtally_dns::codec::Question;
-use lynxtally_zones::kind::{read_time, Word};
+use lynxtally_zones::record_type::{read_time, Word};
 use lynxtally_zones::update::{Raw, Sense};
 use lynxtally_zones::{Kind, Name};
 use rand::Rng;
--- a/crates/core/zones/src/change.rs
+++ b/crates/core/zones/src/change.rs
@@ -1,11 +1,11 @@
 //! What changed from one version to another, as records; a bounded log of it for those who follow by changes
 //! (RFC 1995).
 
-use crate::kind::Kind;
 use crate::name::Name;
+use crate::name_tree::Node;
 use crate::record::{Record, Set};
+use crate::record_type::Kind;
 use crate::serial::Serial;
-use crate::tree::Node;
 use crate::zone::Zone;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeSet, VecDeque};
--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -2,9 +2,9 @@
 //! share of a name's addresses at once and never the last one. When many stop renewing together, it is the path
 //! to them that is suspect and not they: nothing goes until renewals come again.
 
-use crate::kind::Kind;
 use crate::name::Name;
 use crate::record::Record;
+use crate::record_type::Kind;
 use crate::zone::Zone;
 use lynxtally::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/core/zones/src/lib.rs
+++ b/crates/core/zones/src/lib.rs
@@ -4,24 +4,24 @@
 #![forbid(unsafe_code)]
 
 pub mod change;
-pub mod file;
-pub mod flood;
-pub mod follow;
-pub mod keeper;
-pub mod kind;
 pub mod lease;
 pub mod lookup;
 pub mod name;
+pub mod name_tree;
+pub mod rate_limit;
 pub mod record;
+pub mod record_type;
+pub mod secondary;
 pub mod serial;
 pub mod soa;
-pub mod tree;
 pub mod update;
 pub mod zone;
+pub mod zone_file;
+pub mod zone_store;
 
-pub use kind::Kind;
 pub use name::Name;
 pub use record::{Record, Set};
+pub use record_type::Kind;
 pub use serial::Serial;
 pub use soa::Soa;
 pub use zone::Zone;
--- a/crates/core/zones/src/lookup.rs
+++ b/crates/core/zones/src/lookup.rs
@@ -1,10 +1,10 @@
 //! What a version answers to a question: RFC 1034 section 4.3.2, wildcards by RFC 4592, DNAME by RFC 6672,
 //! names that are not there by RFC 2308. All of an answer comes from one version.
 
-use crate::kind::{replace_end, Kind};
 use crate::name::Starts;
+use crate::name_tree::Node;
 use crate::record::{unpack, Set};
-use crate::tree::Node;
+use crate::record_type::{replace_end, Kind};
 use crate::zone::Zone;
 use smallvec::SmallVec;
 use std::borrow::Cow;
--- a/crates/core/zones/src/tree.rs
+++ b/crates/core/zones/src/name_tree.rs
@@ -5,9 +5,9 @@
 //! Source: P. Bagwell, "Ideal Hash Trees" (2001); the sharing is path copying. Labels are spread by
 //! SipHash-1-3 under a fixed key: the same names always make the same tree, in the same order.
 
-use crate::kind::Kind;
 use crate::name::Name;
 use crate::record::Set;
+use crate::record_type::Kind;
 use siphasher::sip::SipHasher13;
 use smallvec::SmallVec;
 use std::hash::Hasher;
--- a/crates/core/zones/src/record.rs
+++ b/crates/core/zones/src/record.rs
@@ -1,7 +1,7 @@
 //! Resource records, and the sets of all records of one owner and type.
 
-use crate::kind::Kind;
 use crate::name::Name;
+use crate::record_type::Kind;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
--- a/crates/core/zones/src/follow.rs
+++ b/crates/core/zones/src/secondary.rs
@@ -2,9 +2,9 @@
 //! the records that a transfer brings. It never goes back to an older version.
 
 use crate::change::Change;
-use crate::kind::Kind;
 use crate::name::Name;
 use crate::record::Record;
+use crate::record_type::Kind;
 use crate::serial::Serial;
 use crate::soa::Soa;
 use crate::zone::Zone;
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -1,9 +1,9 @@
 //! Updates by RFC 2136: what must hold before one, what it changes, all or nothing; and who may change what.
 
 use crate::change::{between, Change};
-use crate::kind::Kind;
 use crate::name::Name;
 use crate::record::Record;
+use crate::record_type::Kind;
 use crate::serial::Serial;
 use crate::soa::Soa;
 use crate::zone::Zone;
--- a/crates/core/zones/src/zone.rs
+++ b/crates/core/zones/src/zone.rs
@@ -1,11 +1,11 @@
 //! A zone is an immutable version. A change makes the next one, which shares with it all that did not change.
 
-use crate::kind::Kind;
 use crate::name::{within, Name, Starts};
+use crate::name_tree::{each, edit, Cursor, Node};
 use crate::record::{Record, Set};
+use crate::record_type::Kind;
 use crate::serial::Serial;
 use crate::soa::{with_serial, Soa};
-use crate::tree::{each, edit, Cursor, Node};
 use smallvec::SmallVec;
 use std::fmt;
 use std::sync::Arc;
--- a/crates/core/zones/src/file.rs
+++ b/crates/core/zones/src/zone_file.rs
@@ -2,9 +2,9 @@
 //! is refused by itself with its place and reason, all of it in one pass, and reading goes on at the next
 //! record. Whether the file as a whole can be used is judged at the end.
 
-use crate::kind::{read_time, Kind, Word};
 use crate::name::Name;
 use crate::record::Record;
+use crate::record_type::{read_time, Kind, Word};
 use crate::soa::Soa;
 use crate::zone::{Unfit, Zone};
 use std::fmt;
--- a/crates/core/zones/src/keeper.rs
+++ b/crates/core/zones/src/zone_store.rs
@@ -6,10 +6,10 @@
 //! changes on it. Reading the file again puts the same changes on the new base.
 
 use crate::change::{between, between_at, Change, History};
-use crate::kind::Kind;
 use crate::lease::{Lapse, Leases, Limits as LeaseLimits};
 use crate::name::Name;
 use crate::record::Record;
+use crate::record_type::Kind;
 use crate::serial::Serial;
 use crate::update::{serial_after, Edit, Grant, Refusal, Update};
 use crate::zone::Zone;
--- a/crates/core/zones/tests/stored_formats.rs
+++ b/crates/core/zones/tests/stored_formats.rs
@@ -6,10 +6,10 @@
 
 use lynxtally::{Instant, Span};
 use lynxtally_zones::change::Change;
-use lynxtally_zones::keeper::{
+use lynxtally_zones::update::Refusal;
+use lynxtally_zones::zone_store::{
     decode, decode_base, encode, encode_base, Entry, Keeper, Limits, Snapshot, FORM,
 };
-use lynxtally_zones::update::Refusal;
 use lynxtally_zones::{Kind, Name, Record, Serial, Zone};
 
 /// The lines of a fixture: each is the octets of one value, in hexadecimal digits.
--- a/crates/frontends/dns/src/client.rs
+++ b/crates/frontends/dns/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::codec::{Answered, Question};
 use crate::tsig::{Key, Signer};
-use lynxtally_zones::follow::{Brought, Incoming};
+use lynxtally_zones::secondary::{Brought, Incoming};
 use lynxtally_zones::Record;
 use lynxtally_zones::{Kind, Name, Serial};
 use std::fmt;
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -20,10 +20,10 @@
 use lynxtally_net::timer::Timer;
 use lynxtally_wal::{Rotation, Storage, WriteAheadLog};
 use lynxtally_zones::change::{between, Change};
-use lynxtally_zones::file;
-use lynxtally_zones::flood::{prefix, Shares};
-use lynxtally_zones::follow::{version, Brought, Follower, Notices, Step};
-use lynxtally_zones::keeper::{
+use lynxtally_zones::rate_limit::{prefix, Shares};
+use lynxtally_zones::secondary::{version, Brought, Follower, Notices, Step};
+use lynxtally_zones::zone_file;
+use lynxtally_zones::zone_store::{
     decode, decode_base, encode, encode_base, Frozen, Keeper, Outline, Ready, Snapshot,
 };
 use lynxtally_zones::{Serial, Zone};
@@ -395,7 +395,7 @@
     let text = std::fs::read(path).map_err(|fault| format!("{shown}: {fault}"))?;
     let folder = path.parent().map(Path::to_owned).unwrap_or_default();
     let mut include = |name: &str| -> Result<Vec<u8>, String> { include(&folder, name) };
-    let read = file::read(&shown, &text, Some(&zone.apex), zone.file_limits, &mut include);
+    let read = zone_file::read(&shown, &text, Some(&zone.apex), zone.file_limits, &mut include);
     for fault in &read.faults {
         warn!("{fault}");
     }
--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -2,11 +2,11 @@
 
 use crate::tsig::Key;
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
-use lynxtally_zones::file;
-use lynxtally_zones::flood::{Shares, Sketch};
-use lynxtally_zones::follow::Times;
-use lynxtally_zones::keeper;
+use lynxtally_zones::rate_limit::{Shares, Sketch};
+use lynxtally_zones::secondary::Times;
 use lynxtally_zones::update::{Grant, Scope};
+use lynxtally_zones::zone_file;
+use lynxtally_zones::zone_store;
 use lynxtally_zones::{Kind, Name};
 use serde::Deserialize;
 use std::fmt;
@@ -263,7 +263,7 @@
     /// Who may change what.
     pub grants: Vec<Grant>,
     /// What its file is held to.
-    pub file_limits: file::Limits,
+    pub file_limits: zone_file::Limits,
 }
 
 /// All settings, checked.
@@ -432,12 +432,12 @@
     }
 
     /// What a zone's keeper is held to.
-    pub fn keeper(&self) -> keeper::Limits {
-        let mut limits = keeper::Limits {
+    pub fn keeper(&self) -> zone_store::Limits {
+        let mut limits = zone_store::Limits {
             history: self.history,
             marks_for: Span::from_secs(self.repeats_s as f64),
             records: self.records,
-            ..keeper::Limits::default()
+            ..zone_store::Limits::default()
         };
         limits.leases.least = Span::from_secs(self.lease_least_s as f64);
         limits.leases.most = limits.leases.most.max(limits.leases.least);
@@ -519,7 +519,7 @@
             transfer_keys,
             transfer_anyone: self.transfer.anyone,
             grants,
-            file_limits: file::Limits { refused: self.refused_most, ..file::Limits::default() },
+            file_limits: zone_file::Limits { refused: self.refused_most, ..zone_file::Limits::default() },
         })
     }
 }
--- a/crates/frontends/dns/tests/stories.rs
+++ b/crates/frontends/dns/tests/stories.rs
@@ -14,7 +14,7 @@
 use lynxtally_dns::control::Verb;
 use lynxtally_dns::tsig::{BadSignature, Keys, Signer};
 use lynxtally_test_doubles::names::{add, drop_set, Resolver};
-use lynxtally_zones::follow::Brought;
+use lynxtally_zones::secondary::Brought;
 use lynxtally_zones::{Kind, Name, Serial};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
--- a/crates/testing/benchmarks/src/names.rs
+++ b/crates/testing/benchmarks/src/names.rs
@@ -12,9 +12,9 @@
 use lynxtally_dns::udp;
 use lynxtally_engine::Scheduler;
 use lynxtally_test_doubles::names::{add, drop_set, Updater};
-use lynxtally_zones::file;
-use lynxtally_zones::flood::Sketch;
 use lynxtally_zones::lookup::lookup;
+use lynxtally_zones::rate_limit::Sketch;
+use lynxtally_zones::zone_file;
 use lynxtally_zones::{Kind, Name, Zone};
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -49,7 +49,9 @@
 
 fn read(text: &str) -> Zone {
     let read =
-        file::read("z", text.as_bytes(), Some(&apex()), file::Limits::default(), &mut |_| Err("none".into()));
+        zone_file::read("z", text.as_bytes(), Some(&apex()), zone_file::Limits::default(), &mut |_| {
+            Err("none".into())
+        });
     assert!(read.faults.is_empty() && read.unusable.is_none());
     read.zone
 }
