--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -1,10 +1,10 @@
 //! Steps of an update as an operator writes them.
 
-use crate::names::show;
+use crate::output::print_answer;
 use crate::{Failed, Format};
 use lynxtally_dns::client::Client;
 use lynxtally_dns::codec::Question;
-use lynxtally_zones::kind::{read_time, Word};
+use lynxtally_zones::record_type::{read_time, Word};
 use lynxtally_zones::update::{Raw, Sense};
 use lynxtally_zones::{Kind, Name};
 use rand::Rng;
@@ -114,7 +114,7 @@
         ..lynxtally_dns::client::query(rand::rng().random(), zone, Kind::SOA)
     };
     let answered = client.ask(&question).map_err(|fault| format!("{}: {fault}", client.server))?;
-    show(&answered, format);
+    print_answer(&answered, format);
     if answered.code == 0 {
         Ok(())
     } else {
--- a/crates/core/zones/src/lookup.rs
+++ b/crates/core/zones/src/lookup.rs
@@ -1,9 +1,11 @@
 //! What a version answers to a question: RFC 1034 section 4.3.2, wildcards by RFC 4592, DNAME by RFC 6672,
 //! names that are not there by RFC 2308. All of an answer comes from one version.
 
-use crate::kind::{replace_end, Kind};
 use crate::name::Starts;
-use crate::zone::{unpack, Node, Set, Zone};
+use crate::name_tree::Node;
+use crate::record::{unpack, Set};
+use crate::record_type::{replace_end, Kind};
+use crate::zone::Zone;
 use smallvec::SmallVec;
 use std::borrow::Cow;
 
@@ -135,7 +137,7 @@
                     found.outcome = Outcome::TooLong;
                     return found;
                 };
-                let packed = crate::zone::pack([&next[..]]);
+                let packed = crate::record::pack([&next[..]]);
                 let (kind, ttl) = (Kind::CNAME, set.ttl);
                 found.answer.push(Entry { owner: at, kind, ttl, packed: Cow::Owned(packed) });
                 at = Cow::Owned(next);
--- a/crates/core/zones/src/follow.rs
+++ b/crates/core/zones/src/secondary.rs
@@ -2,10 +2,12 @@
 //! the records that a transfer brings. It never goes back to an older version.
 
 use crate::change::Change;
-use crate::kind::Kind;
 use crate::name::Name;
+use crate::record::Record;
+use crate::record_type::Kind;
 use crate::serial::Serial;
-use crate::zone::{Record, Soa, Zone};
+use crate::soa::Soa;
+use crate::zone::Zone;
 use lynxtally::{Instant, Pcg, Span};
 use std::fmt;
 
