--- a/crates/frontends/stream/src/way.rs
+++ b/crates/frontends/stream/src/body_pipe.rs
@@ -2,7 +2,7 @@
 //! holds what its receiver has not taken yet, and asks for no more than there is room for.
 
 use crate::body::{Decoder, Encoder};
-use crate::coder::Coder;
+use crate::content_coder::Coder;
 use crate::http::{Bad, Field, Framing};
 
 /// Octets that wait for their receiver.
--- a/crates/frontends/stream/src/lib.rs
+++ b/crates/frontends/stream/src/lib.rs
@@ -1,12 +1,13 @@
 //! Long bodies both ways: HTTP/1.1 streams between clients and upstreams, behind the decision module, in flat memory,
-//! with one final outcome each. The codec ([`http`], [`body`], [`coder`]) and the relay ([`way`], [`relay`]) are state
+//! with one final outcome each. The codec ([`http`], [`body`], [`content_coder`]) and the relay ([`body_pipe`], [`relay`]) are state
 //! machines fed octets; [`front`] is the driver; what is chosen is chosen in `lynxtally-flow` and in the module.
 
 #![forbid(unsafe_code)]
 
 pub mod archive;
 pub mod body;
-pub mod coder;
+pub mod body_pipe;
+pub mod content_coder;
 pub mod front;
 pub mod http;
 pub mod owner;
@@ -14,4 +15,3 @@
 pub mod server;
 pub mod settings;
 pub mod uploading;
-pub mod way;
--- a/crates/frontends/stream/src/relay.rs
+++ b/crates/frontends/stream/src/relay.rs
@@ -1,9 +1,9 @@
 //! One stream: what a client sends goes up, what the upstream answers comes down, both as they arrive. It is fed octets
 //! and tells which are to go where; it knows no socket.
 
-use crate::coder::Coder;
+use crate::body_pipe::{Waiting, Way};
+use crate::content_coder::Coder;
 use crate::http::{Asked, Bad, Framing, Own, Reply, GO_ON, HEAD_MOST};
-use crate::way::{Waiting, Way};
 use lynxtally_flow::coding::{Coding, Growth};
 use lynxtally_flow::resume::{Changed, Piece};
 
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -2,12 +2,12 @@
 //! what is whole goes up to an upstream from there. A connection that drops leaves the upload where it stands.
 
 use crate::archive::{unix_now, Archive, Awaited};
-use crate::coder::Coder;
+use crate::body_pipe::Way;
+use crate::content_coder::Coder;
 use crate::front::{caller, Front, Next, Source};
 use crate::http::{Asked, Bad, Framing, Own};
 use crate::owner::{Entering, Moved, Ticket};
 use crate::relay::Relay;
-use crate::way::Way;
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::{Refused, Upload, UploadId};
 use lynxtally_net::close_reason::CloseReason;
--- a/crates/frontends/stream/tests/codec.rs
+++ b/crates/frontends/stream/tests/codec.rs
@@ -2,10 +2,10 @@
 
 use lynxtally_flow::coding::{Coding, Growth};
 use lynxtally_stream::body::{Decoder, Encoder};
-use lynxtally_stream::coder::Coder;
+use lynxtally_stream::body_pipe::Way;
+use lynxtally_stream::content_coder::Coder;
 use lynxtally_stream::http::{Asked, Bad, Framing, Reply};
 use lynxtally_stream::relay::{Fault, Plan, Relay};
-use lynxtally_stream::way::Way;
 use lynxtally_test_doubles::stream::piece;
 use proptest::prelude::*;
 
