--- a/crates/frontends/stream/src/body_pipe.rs
+++ b/crates/frontends/stream/src/body_pipe.rs
@@ -1,280 +1,256 @@
-//! One direction of a stream: octets come framed in one way and go framed in another, decoded or coded between. It
-//! holds what its receiver has not taken yet, and asks for no more than there is room for.
+//! One direction of a proxied body: bytes arrive in one framing and leave in another, with their content coding changed
+//! between where that is wanted.
+//!
+//! The pipe holds what its receiver has not taken yet. Its caller reads no more from the sender than there is room for,
+//! so a slow receiver slows the sender down.
 
 use crate::body::{Decoder, Encoder};
-use crate::content_coder::Coder;
+use crate::content_coder::ContentCoder;
 use crate::http::{Bad, Field, Framing};
+use crate::output_buffer::OutputBuffer;
 
-/// Octets that wait for their receiver.
-#[derive(Clone, Debug, Default)]
-pub struct Waiting {
-    octets: Vec<u8>,
-    taken: usize,
-}
-
-/// With less than this there is nothing to be gained by giving memory back.
-const KEPT: usize = 4096;
-
-impl Waiting {
-    /// What is to go next.
-    pub fn front(&self) -> &[u8] {
-        &self.octets[self.taken..]
-    }
-
-    /// How many there are.
-    pub fn len(&self) -> usize {
-        self.octets.len() - self.taken
-    }
-
-    /// Whether there are none.
-    pub fn is_empty(&self) -> bool {
-        self.len() == 0
-    }
-
-    /// So many went.
-    pub fn took(&mut self, octets: usize) {
-        self.taken += octets;
-        if self.taken == self.octets.len() {
-            self.taken = 0;
-            self.octets.clear();
-            if self.octets.capacity() > KEPT {
-                // What flows needs no memory of its own.
-                self.octets = Vec::new();
-            }
-        } else if self.taken > KEPT && self.taken > self.octets.len() / 2 {
-            self.octets.drain(..self.taken);
-            self.octets.shrink_to(KEPT);
-            self.taken = 0;
-        }
-    }
-
-    /// Where more is added.
-    pub fn add(&mut self) -> &mut Vec<u8> {
-        &mut self.octets
-    }
-}
-
-/// One direction.
-pub struct Way {
+/// One direction of a proxied body.
+pub struct BodyPipe {
     decoder: Decoder,
-    coder: Coder,
+    coder: ContentCoder,
     encoder: Encoder,
-    /// What came and could not be decoded yet, for want of room.
-    pending: Vec<u8>,
-    /// What is to go out.
-    pub out: Waiting,
-    /// A copy of what went into the encoder, while it is kept.
-    spool: Option<Vec<u8>>,
-    /// The fields after the body.
-    after: Vec<Field>,
-    /// Octets of the body that came, and that went into the encoder.
-    came: u64,
-    gave: u64,
-    /// Whether the body is whole, and its end is among what is to go out.
-    whole: bool,
+    /// Input that could not be decoded yet for want of room.
+    undecoded: Vec<u8>,
+    /// What is to be written to the receiver.
+    pub out: OutputBuffer,
+    /// A copy of the body as it went into the encoder, for a retry, while it is kept.
+    replay_copy: Option<Vec<u8>>,
+    trailers: Vec<Field>,
+    /// Bytes of the body received, without framing.
+    received_bytes: u64,
+    /// Bytes of the body that went into the encoder.
+    encoded_bytes: u64,
+    /// Whether the whole body was received and its end is in `out`.
+    complete: bool,
 }
 
-impl Way {
-    /// A body framed so as it comes, and so as it goes.
-    pub fn new(from: Framing, to: Framing, coder: Coder) -> Self {
+impl BodyPipe {
+    /// A body that arrives in the framing `from` and leaves in the framing `to`.
+    pub fn new(from: Framing, to: Framing, coder: ContentCoder) -> Self {
         Self {
             decoder: Decoder::new(from),
             coder,
             encoder: Encoder::new(to),
-            pending: Vec::new(),
-            out: Waiting::default(),
-            spool: None,
-            after: Vec::new(),
-            came: 0,
-            gave: 0,
-            whole: false,
+            undecoded: Vec::new(),
+            out: OutputBuffer::default(),
+            replay_copy: None,
+            trailers: Vec::new(),
+            received_bytes: 0,
+            encoded_bytes: 0,
+            complete: false,
         }
     }
 
-    /// From now on a copy is kept.
-    pub fn keep(&mut self) {
-        self.spool = Some(Vec::new());
+    /// Keeps a copy of the body from now on, so that it can be sent again.
+    pub fn keep_copy(&mut self) {
+        self.replay_copy = Some(Vec::new());
     }
 
-    /// The copy; none where it is not whole.
-    pub fn kept(&self) -> Option<&[u8]> {
-        self.spool.as_deref()
+    /// The copy of the body so far, or none if it is not kept.
+    pub fn kept_copy(&self) -> Option<&[u8]> {
+        self.replay_copy.as_deref()
     }
 
-    /// The copy is not kept any more.
-    pub fn forget(&mut self) {
-        self.spool = None;
+    /// Drops the copy: the body cannot be sent again.
+    pub fn drop_copy(&mut self) {
+        self.replay_copy = None;
     }
 
-    /// Octets of the body that came.
-    pub fn came(&self) -> u64 {
-        self.came
+    /// Bytes of the body received, without framing.
+    pub fn received_bytes(&self) -> u64 {
+        self.received_bytes
     }
 
-    /// Octets of the body that go out, before they are framed.
-    pub fn gave(&self) -> u64 {
-        self.gave
+    /// Bytes of the body on their way out, after content coding and before framing.
+    pub fn encoded_bytes(&self) -> u64 {
+        self.encoded_bytes
     }
 
-    /// Whether the body is whole.
-    pub fn whole(&self) -> bool {
-        self.whole
+    /// Whether the whole body was received.
+    pub fn is_complete(&self) -> bool {
+        self.complete
     }
 
-    /// Whether all is out.
-    pub fn done(&self) -> bool {
-        self.whole && self.out.is_empty()
+    /// Whether the whole body was received and written to its receiver.
+    pub fn is_done(&self) -> bool {
+        self.complete && self.out.is_empty()
     }
 
-    /// What is held here.
-    pub fn held(&self) -> u64 {
-        (self.out.len() + self.pending.len()) as u64
+    /// Bytes held here, decoded or not; the copy for a retry is not among them.
+    pub fn buffered_bytes(&self) -> u64 {
+        (self.out.len() + self.undecoded.len()) as u64
     }
 
-    /// Whether octets wait to be decoded; none can be taken before.
-    pub fn stuck(&self) -> bool {
-        !self.pending.is_empty()
+    /// Whether input waits to be decoded. Until then no more may be received.
+    pub fn has_undecoded(&self) -> bool {
+        !self.undecoded.is_empty()
     }
 
-    /// How many of so many octets may go to the receiver just as they came.
-    pub fn straight(&self, length: usize) -> usize {
-        let plain = self.coder.is_plain() && self.spool.is_none();
-        let bare = self.decoder.bare() && self.encoder.bare();
-        let first = self.out.is_empty() && self.pending.is_empty();
-        if plain && bare && first {
+    /// How many of the next `length` bytes of input may go to the receiver as they are, without being copied here.
+    pub fn passthrough_length(&self, length: usize) -> usize {
+        let unchanged = self.coder.is_identity() && self.replay_copy.is_none();
+        let unframed = self.decoder.bare() && self.encoder.bare();
+        let nothing_before = self.out.is_empty() && self.undecoded.is_empty();
+        if unchanged && unframed && nothing_before {
             self.decoder.available(length)
         } else {
             0
         }
     }
 
-    /// So many went so.
-    pub fn passed(&mut self, octets: usize) -> Result<(), Bad> {
-        self.decoder.took(octets);
-        self.encoder.passed(octets);
-        (self.came, self.gave) = (self.came + octets as u64, self.gave + octets as u64);
-        self.finish_if_done()
+    /// Counts bytes that went to the receiver as they were.
+    ///
+    /// # Errors
+    /// [`Bad::Length`] if the body ends here and is shorter than its framing said.
+    pub fn record_passthrough(&mut self, count: usize) -> Result<(), Bad> {
+        self.decoder.took(count);
+        self.encoder.passed(count);
+        self.received_bytes += count as u64;
+        self.encoded_bytes += count as u64;
+        self.finish_at_end()
     }
 
-    /// Takes octets that came, as long as no more than `room` waits; tells how many: fewer than all only past the body's
-    /// end, as what can't be decoded yet is kept.
-    pub fn take(&mut self, input: &[u8], room: usize) -> Result<usize, Bad> {
-        debug_assert!(self.pending.is_empty(), "taken out of order");
-        let used = self.work(input, room)?;
+    /// Receives input while no more than `room` bytes wait, and returns how many bytes of it are used. These are fewer
+    /// than all only past the end of the body: input that cannot be decoded yet is kept.
+    ///
+    /// # Errors
+    /// What is wrong with the framing or the content coding of the body.
+    pub fn receive(&mut self, input: &[u8], room: usize) -> Result<usize, Bad> {
+        debug_assert!(self.undecoded.is_empty(), "input received before earlier input was decoded");
+        let used = self.decode(input, room)?;
         if used < input.len() && !self.decoder.done() {
-            self.pending.extend_from_slice(&input[used..]);
+            self.undecoded.extend_from_slice(&input[used..]);
             return Ok(input.len());
         }
         Ok(used)
     }
 
-    /// Goes on with what could not be decoded before.
-    pub fn go_on(&mut self, room: usize) -> Result<(), Bad> {
-        let mut input = std::mem::take(&mut self.pending);
-        let used = self.work(&input, room)?;
+    /// Decodes more of the input that waits.
+    ///
+    /// # Errors
+    /// As for [`Self::receive`].
+    pub fn decode_more(&mut self, room: usize) -> Result<(), Bad> {
+        let mut input = std::mem::take(&mut self.undecoded);
+        let used = self.decode(&input, room)?;
         input.drain(..used);
         if !self.decoder.done() {
-            self.pending = input;
+            self.undecoded = input;
         }
         Ok(())
     }
 
-    fn work(&mut self, input: &[u8], room: usize) -> Result<usize, Bad> {
+    fn decode(&mut self, input: &[u8], room: usize) -> Result<usize, Bad> {
         let mut used = 0;
         loop {
             used += self.decoder.skip(&input[used..])?;
-            let data = &input[used..used + self.decoder.available(input.len() - used)];
+            let data_length = self.decoder.available(input.len() - used);
+            let data = &input[used..used + data_length];
             if data.is_empty() {
                 break;
             }
-            let mut took = 0;
-            while took < data.len() && (self.out.len() < room || self.coder.is_plain()) {
-                took += self.step(&data[took..])?;
-            }
-            self.decoder.took(took);
-            self.came += took as u64;
-            used += took;
-            if took < data.len() {
+            let taken = self.code(data, room)?;
+            self.decoder.took(taken);
+            self.received_bytes += taken as u64;
+            used += taken;
+            if taken < data.len() {
                 break;
             }
         }
-        self.finish_if_done()?;
+        self.finish_at_end()?;
         Ok(used)
     }
 
-    fn step(&mut self, data: &[u8]) -> Result<usize, Bad> {
-        if self.coder.is_plain() {
-            self.give(data);
+    /// Takes as much of the body as there is room for; all of it where its size does not change.
+    fn code(&mut self, data: &[u8], room: usize) -> Result<usize, Bad> {
+        if self.coder.is_identity() {
+            self.encode(data);
             return Ok(data.len());
         }
-        let mut made = Vec::new();
-        let took = self.coder.step(data, &mut made)?;
-        self.give(&made);
-        Ok(took)
+        let mut taken = 0;
+        while taken < data.len() && self.out.len() < room {
+            let mut coded = Vec::new();
+            taken += self.coder.step(&data[taken..], &mut coded)?;
+            self.encode(&coded);
+        }
+        Ok(taken)
     }
 
-    fn give(&mut self, data: &[u8]) {
-        self.gave += data.len() as u64;
-        if let Some(spool) = &mut self.spool {
-            spool.extend_from_slice(data);
+    fn encode(&mut self, data: &[u8]) {
+        self.encoded_bytes += data.len() as u64;
+        if let Some(copy) = &mut self.replay_copy {
+            copy.extend_from_slice(data);
         }
-        self.encoder.put(data, self.out.add());
+        self.encoder.put(data, self.out.append_to());
     }
 
-    fn finish_if_done(&mut self) -> Result<(), Bad> {
-        if !self.decoder.done() || self.whole {
+    /// Ends the outgoing body where the incoming one has ended.
+    fn finish_at_end(&mut self) -> Result<(), Bad> {
+        if !self.decoder.done() || self.complete {
             return Ok(());
         }
-        let mut made = Vec::new();
-        self.coder.finish(&mut made)?;
-        self.give(&made);
-        self.after = self.decoder.trailers();
-        if !self.encoder.finish(&self.after, self.out.add()) {
+        let mut coded = Vec::new();
+        self.coder.finish(&mut coded)?;
+        self.encode(&coded);
+        self.trailers = self.decoder.trailers();
+        if !self.encoder.finish(&self.trailers, self.out.append_to()) {
             return Err(Bad::Length);
         }
-        self.whole = true;
+        self.complete = true;
         Ok(())
     }
 
-    /// Nothing more is there for now: what the coder holds back goes out.
+    /// Sends out what the content coding holds back, when no input is there for now.
+    ///
+    /// # Errors
+    /// [`Bad::Coded`] if the body so far is not in its coding.
     pub fn flush(&mut self) -> Result<(), Bad> {
-        if self.whole || self.coder.is_plain() {
+        if self.complete || self.coder.is_identity() {
             return Ok(());
         }
-        let mut made = Vec::new();
-        self.coder.flush(&mut made)?;
-        self.give(&made);
+        let mut coded = Vec::new();
+        self.coder.flush(&mut coded)?;
+        self.encode(&coded);
         Ok(())
     }
 
-    /// The sender sends no more; whether the body is whole.
-    pub fn ended(&mut self) -> Result<bool, Bad> {
+    /// Notes that the sender sends no more, and returns whether the body is complete.
+    ///
+    /// # Errors
+    /// What is wrong with the end of the body.
+    pub fn end_of_input(&mut self) -> Result<bool, Bad> {
         if self.decoder.ended() {
-            self.finish_if_done()?;
+            self.finish_at_end()?;
         }
-        Ok(self.whole)
+        Ok(self.complete)
     }
 
-    /// A body without anything in it goes out whole at once.
-    pub fn begin(&mut self) -> Result<(), Bad> {
-        self.finish_if_done()
+    /// Starts the body: an empty one is complete at once.
+    ///
+    /// # Errors
+    /// [`Bad::Length`] if the outgoing framing promised bytes that an empty body does not have.
+    pub fn start(&mut self) -> Result<(), Bad> {
+        self.finish_at_end()
     }
 
-    /// The rest of the body comes framed so, from another sender.
-    pub fn goes_on(&mut self, from: Framing) {
+    /// Takes the rest of the body from another sender, in the framing `from`.
+    pub fn resume_from(&mut self, from: Framing) {
         self.decoder = Decoder::new(from);
     }
 
-    /// What waited is taken back, and the copy goes out anew behind this head.
-    pub fn again(&mut self, head: &[u8], to: Framing) {
-        self.out = Waiting::default();
-        self.out.add().extend_from_slice(head);
+    /// Sends the body again: what waited is dropped, and the copy goes out behind `head`, in the framing `to`.
+    pub fn replay(&mut self, head: &[u8], to: Framing) {
+        self.out = OutputBuffer::default();
+        self.out.append_to().extend_from_slice(head);
         self.encoder = Encoder::new(to);
-        let (spool, whole) = (self.spool.take(), std::mem::take(&mut self.whole));
-        self.encoder.put(spool.as_deref().unwrap_or(&[]), self.out.add());
-        self.spool = spool;
-        if whole {
-            self.whole = self.encoder.finish(&self.after, self.out.add());
+        let copy = self.replay_copy.as_deref().unwrap_or(&[]);
+        self.encoder.put(copy, self.out.append_to());
+        if self.complete {
+            self.complete = self.encoder.finish(&self.trailers, self.out.append_to());
         }
     }
 }
--- a/crates/frontends/stream/src/content_coder.rs
+++ b/crates/frontends/stream/src/content_coder.rs
@@ -1,176 +1,165 @@
-//! Bodies coded and decoded as they pass (RFC 1952, RFC 8878), with bounded windows, a bounded step, and a bound on what
-//! a small body may become.
+//! Content coding of a body as it passes: gzip (RFC 1952) and zstd (RFC 8878), encoded or decoded a step at a time.
+//!
+//! Memory is bounded three ways: by the window of the coding, by the most that one step may produce, and by a limit on
+//! how far a body may grow when it is decoded, so that a small body cannot expand without end (a decompression bomb).
 
 use crate::http::Bad;
 use flate2::write::{GzDecoder, GzEncoder};
 use flate2::Compression;
 use lynxtally_flow::coding::{Coding, Growth};
 use std::io::Write;
-use zstd::stream::raw::{Decoder as Unzstd, InBuffer, Operation, OutBuffer};
-use zstd::stream::write::Encoder as Zstd;
-
-/// What one step of decoding gives at most, in octets.
-const STEP: usize = 32 * 1024;
-/// Windows, as powers of two: what we code with, and the most that we decode with (RFC 9659 section 3 lets coders take
-/// 23; we bound memory at a quarter of that).
-const WINDOW: u32 = 17;
-const WINDOW_MOST: u32 = 21;
-/// Speed counts here, not the last octet.
+use zstd::stream::raw::{DParameter, Decoder as RawZstdDecoder, InBuffer, Operation, OutBuffer};
+use zstd::stream::write::Encoder as ZstdEncoder;
+
+/// The most that one step of zstd decoding produces.
+const MAX_STEP_BYTES: usize = 32 * 1024;
+
+/// Window of the bodies that are encoded here, as a power of two.
+const ENCODE_WINDOW_LOG: u32 = 17;
+
+/// The largest window that is decoded, as a power of two. RFC 9659 section 3 lets encoders use 23; memory is bounded
+/// at a quarter of that.
+const MAX_DECODE_WINDOW_LOG: u32 = 21;
+
+/// The fastest level: the time to encode matters more here than the last byte saved.
 const ZSTD_LEVEL: i32 = 1;
 
-enum Inside {
-    Plain,
-    Gzip(Box<GzEncoder<Vec<u8>>>),
-    Zstd(Box<Zstd<'static, Vec<u8>>>),
-    Gunzip(Box<GzDecoder<Vec<u8>>>),
-    Unzstd { decoder: Box<Unzstd<'static>>, whole: bool },
-}
+/// A growth limit that allows everything.
+const UNLIMITED_GROWTH: Growth = Growth { ratio: f64::INFINITY, slack: u64::MAX };
 
-/// Codes or decodes one body.
-pub struct Coder {
-    inside: Inside,
-    growth: Growth,
-    came: u64,
-    became: u64,
-    /// Whether something was taken in since the last flush.
-    pending: bool,
+enum Transform {
+    Identity,
+    GzipEncode(Box<GzEncoder<Vec<u8>>>),
+    ZstdEncode(Box<ZstdEncoder<'static, Vec<u8>>>),
+    GzipDecode(Box<GzDecoder<Vec<u8>>>),
+    ZstdDecode(ZstdDecoder),
 }
 
-impl Coder {
-    /// Passes octets on as they are.
-    pub fn plain() -> Self {
-        Self::of(Inside::Plain, Growth { ratio: f64::INFINITY, slack: u64::MAX })
-    }
+/// Encodes or decodes the content coding of one body.
+pub struct ContentCoder {
+    transform: Transform,
+    growth_limit: Growth,
+    input_bytes: u64,
+    output_bytes: u64,
+    /// Whether input was taken since the last flush.
+    needs_flush: bool,
+}
 
-    fn of(inside: Inside, growth: Growth) -> Self {
-        Self { inside, growth, came: 0, became: 0, pending: false }
+impl ContentCoder {
+    /// Passes bytes on unchanged.
+    pub fn identity() -> Self {
+        Self::new(Transform::Identity, UNLIMITED_GROWTH)
     }
 
-    /// Codes.
-    pub fn code(coding: Coding) -> Result<Self, Bad> {
-        let inside = match coding {
-            Coding::Identity => Inside::Plain,
-            Coding::Gzip => Inside::Gzip(Box::new(GzEncoder::new(Vec::new(), Compression::fast()))),
+    /// Encodes a body.
+    ///
+    /// # Errors
+    /// [`Bad::Coding`] if the library refuses its parameters.
+    pub fn encoder(coding: Coding) -> Result<Self, Bad> {
+        let transform = match coding {
+            Coding::Identity => Transform::Identity,
+            Coding::Gzip => Transform::GzipEncode(Box::new(GzEncoder::new(Vec::new(), Compression::fast()))),
             Coding::Zstd => {
-                let mut encoder = Zstd::new(Vec::new(), ZSTD_LEVEL).map_err(|_| Bad::Coding)?;
-                encoder.window_log(WINDOW).map_err(|_| Bad::Coding)?;
-                Inside::Zstd(Box::new(encoder))
+                let mut encoder = ZstdEncoder::new(Vec::new(), ZSTD_LEVEL).map_err(|_| Bad::Coding)?;
+                encoder.window_log(ENCODE_WINDOW_LOG).map_err(|_| Bad::Coding)?;
+                Transform::ZstdEncode(Box::new(encoder))
             }
         };
-        Ok(Self { inside, ..Self::plain() })
+        Ok(Self::new(transform, UNLIMITED_GROWTH))
     }
 
-    /// Decodes; what comes of it is bounded.
-    pub fn decode(coding: Coding, growth: Growth) -> Result<Self, Bad> {
-        let inside = match coding {
-            Coding::Identity => Inside::Plain,
-            Coding::Gzip => Inside::Gunzip(Box::new(GzDecoder::new(Vec::new()))),
-            Coding::Zstd => {
-                let mut decoder = Unzstd::new().map_err(|_| Bad::Coding)?;
-                let bound = zstd::stream::raw::DParameter::WindowLogMax(WINDOW_MOST);
-                decoder.set_parameter(bound).map_err(|_| Bad::Coding)?;
-                Inside::Unzstd { decoder: Box::new(decoder), whole: true }
-            }
+    /// Decodes a body, which may grow only as far as `growth_limit` allows.
+    ///
+    /// # Errors
+    /// [`Bad::Coding`] if the library refuses its parameters.
+    pub fn decoder(coding: Coding, growth_limit: Growth) -> Result<Self, Bad> {
+        let transform = match coding {
+            Coding::Identity => Transform::Identity,
+            Coding::Gzip => Transform::GzipDecode(Box::new(GzDecoder::new(Vec::new()))),
+            Coding::Zstd => Transform::ZstdDecode(ZstdDecoder::new()?),
         };
-        Ok(Self::of(inside, growth))
+        Ok(Self::new(transform, growth_limit))
     }
 
-    /// Whether octets pass as they are.
-    pub fn is_plain(&self) -> bool {
-        matches!(self.inside, Inside::Plain)
+    fn new(transform: Transform, growth_limit: Growth) -> Self {
+        Self { transform, growth_limit, input_bytes: 0, output_bytes: 0, needs_flush: false }
     }
 
-    /// One step: takes some of the octets and adds what came of them; tells how many it took.
+    /// Whether bytes pass unchanged.
+    pub fn is_identity(&self) -> bool {
+        matches!(self.transform, Transform::Identity)
+    }
+
+    /// Takes some of `data`, appends what it becomes to `out`, and returns how many bytes it took.
+    ///
+    /// # Errors
+    /// [`Bad::Coded`] if the data is not in its coding, [`Bad::Bomb`] if the body grows past its limit.
     pub fn step(&mut self, data: &[u8], out: &mut Vec<u8>) -> Result<usize, Bad> {
-        let before = out.len();
-        let took = match &mut self.inside {
-            Inside::Plain => {
-                out.extend_from_slice(data);
-                data.len()
-            }
-            Inside::Gzip(coder) => {
-                coder.write_all(data).map_err(|_| Bad::Coded)?;
-                out.append(coder.get_mut());
-                data.len()
-            }
-            Inside::Zstd(coder) => {
-                coder.write_all(data).map_err(|_| Bad::Coded)?;
-                out.append(coder.get_mut());
-                data.len()
-            }
-            Inside::Gunzip(decoder) => {
-                let took = decoder.write(data).map_err(|_| Bad::Coded)?;
-                out.append(decoder.get_mut());
-                took
-            }
-            Inside::Unzstd { decoder, whole } => {
-                out.resize(before + STEP, 0);
-                let mut input = InBuffer::around(data);
-                let mut output = OutBuffer::around(&mut out[before..]);
-                let done = decoder.run(&mut input, &mut output);
-                let (took, gave) = (input.pos(), output.pos());
-                out.truncate(before + gave);
-                let left = done.map_err(|_| Bad::Coded)?;
-                *whole = left == 0;
-                if *whole && took < data.len() {
-                    // A further frame follows (RFC 8878 section 3.1).
-                    decoder.reinit().map_err(|_| Bad::Coded)?;
-                }
-                took
-            }
-        };
-        if took == 0 && out.len() == before && !data.is_empty() {
+        let length_before = out.len();
+        let taken = self.transform.step(data, out)?;
+        let produced = out.len() - length_before;
+        // A decoder that neither takes nor produces anything would be called for ever.
+        if taken == 0 && produced == 0 && !data.is_empty() {
             return Err(Bad::Coded);
         }
-        self.pending = true;
-        (self.came, self.became) = (self.came + took as u64, self.became + (out.len() - before) as u64);
-        match self.growth.allows(self.came, self.became) {
-            true => Ok(took),
-            false => Err(Bad::Bomb),
+        self.needs_flush = true;
+        self.input_bytes += taken as u64;
+        self.output_bytes += produced as u64;
+        if self.growth_limit.allows(self.input_bytes, self.output_bytes) {
+            Ok(taken)
+        } else {
+            Err(Bad::Bomb)
         }
     }
 
-    /// Adds what it holds back, so that a slow trickle goes on.
+    /// Appends what the coding holds back, so that a slow body reaches its receiver without waiting for its end.
+    ///
+    /// # Errors
+    /// [`Bad::Coded`] if the data so far is not in its coding.
     pub fn flush(&mut self, out: &mut Vec<u8>) -> Result<(), Bad> {
-        if !std::mem::take(&mut self.pending) {
+        if !self.needs_flush {
             return Ok(());
         }
-        match &mut self.inside {
-            Inside::Gzip(coder) => {
-                coder.flush().map_err(|_| Bad::Coded)?;
-                out.append(coder.get_mut());
+        self.needs_flush = false;
+        match &mut self.transform {
+            Transform::GzipEncode(encoder) => {
+                encoder.flush().map_err(|_| Bad::Coded)?;
+                out.append(encoder.get_mut());
             }
-            Inside::Zstd(coder) => {
-                coder.flush().map_err(|_| Bad::Coded)?;
-                out.append(coder.get_mut());
+            Transform::ZstdEncode(encoder) => {
+                encoder.flush().map_err(|_| Bad::Coded)?;
+                out.append(encoder.get_mut());
             }
-            Inside::Gunzip(decoder) => {
+            Transform::GzipDecode(decoder) => {
                 decoder.flush().map_err(|_| Bad::Coded)?;
                 out.append(decoder.get_mut());
             }
-            Inside::Unzstd { .. } | Inside::Plain => {}
+            Transform::ZstdDecode(_) | Transform::Identity => {}
         }
         Ok(())
     }
 
-    /// The body is whole: adds the rest. An error where its coding says that it is not.
+    /// Appends the rest, at the end of the body.
+    ///
+    /// # Errors
+    /// [`Bad::Coded`] if the coding says that the body is not complete.
     pub fn finish(&mut self, out: &mut Vec<u8>) -> Result<(), Bad> {
-        match &mut self.inside {
-            Inside::Plain => {}
-            Inside::Gzip(coder) => {
-                coder.try_finish().map_err(|_| Bad::Coded)?;
-                out.append(coder.get_mut());
+        match &mut self.transform {
+            Transform::Identity => {}
+            Transform::GzipEncode(encoder) => {
+                encoder.try_finish().map_err(|_| Bad::Coded)?;
+                out.append(encoder.get_mut());
             }
-            Inside::Zstd(coder) => {
-                coder.do_finish().map_err(|_| Bad::Coded)?;
-                out.append(coder.get_mut());
+            Transform::ZstdEncode(encoder) => {
+                encoder.do_finish().map_err(|_| Bad::Coded)?;
+                out.append(encoder.get_mut());
             }
-            Inside::Gunzip(decoder) => {
+            Transform::GzipDecode(decoder) => {
                 decoder.try_finish().map_err(|_| Bad::Coded)?;
                 out.append(decoder.get_mut());
             }
-            Inside::Unzstd { whole, .. } => {
-                if !*whole {
+            Transform::ZstdDecode(decoder) => {
+                if !decoder.at_frame_end {
                     return Err(Bad::Coded);
                 }
             }
@@ -178,3 +167,64 @@
         Ok(())
     }
 }
+
+impl Transform {
+    fn step(&mut self, data: &[u8], out: &mut Vec<u8>) -> Result<usize, Bad> {
+        match self {
+            Self::Identity => {
+                out.extend_from_slice(data);
+                Ok(data.len())
+            }
+            Self::GzipEncode(encoder) => {
+                encoder.write_all(data).map_err(|_| Bad::Coded)?;
+                out.append(encoder.get_mut());
+                Ok(data.len())
+            }
+            Self::ZstdEncode(encoder) => {
+                encoder.write_all(data).map_err(|_| Bad::Coded)?;
+                out.append(encoder.get_mut());
+                Ok(data.len())
+            }
+            Self::GzipDecode(decoder) => {
+                let taken = decoder.write(data).map_err(|_| Bad::Coded)?;
+                out.append(decoder.get_mut());
+                Ok(taken)
+            }
+            Self::ZstdDecode(decoder) => decoder.step(data, out),
+        }
+    }
+}
+
+/// A zstd decoder whose window and step are bounded.
+struct ZstdDecoder {
+    decoder: Box<RawZstdDecoder<'static>>,
+    /// Whether the input so far ends with a complete frame, or is empty.
+    at_frame_end: bool,
+}
+
+impl ZstdDecoder {
+    fn new() -> Result<Self, Bad> {
+        let mut decoder = RawZstdDecoder::new().map_err(|_| Bad::Coding)?;
+        let max_window = DParameter::WindowLogMax(MAX_DECODE_WINDOW_LOG);
+        decoder.set_parameter(max_window).map_err(|_| Bad::Coding)?;
+        Ok(Self { decoder: Box::new(decoder), at_frame_end: true })
+    }
+
+    fn step(&mut self, data: &[u8], out: &mut Vec<u8>) -> Result<usize, Bad> {
+        let length_before = out.len();
+        out.resize(length_before + MAX_STEP_BYTES, 0);
+        let mut input = InBuffer::around(data);
+        let mut output = OutBuffer::around(&mut out[length_before..]);
+        let result = self.decoder.run(&mut input, &mut output);
+        let taken = input.pos();
+        let produced = output.pos();
+        out.truncate(length_before + produced);
+        let expected_bytes = result.map_err(|_| Bad::Coded)?;
+        self.at_frame_end = expected_bytes == 0;
+        if self.at_frame_end && taken < data.len() {
+            // Another frame follows (RFC 8878 section 3.1).
+            self.decoder.reinit().map_err(|_| Bad::Coded)?;
+        }
+        Ok(taken)
+    }
+}
--- a/crates/frontends/stream/src/front.rs
+++ b/crates/frontends/stream/src/front.rs
@@ -456,7 +456,7 @@
     /// A stream is over for its client: the owner hears of it, and the upstream is let go.
     fn close(&self, exchange: &Arc<Exchange>, over: Over, came: &mut Vec<u8>) -> Next {
         let mut inner = lock(&exchange.inner);
-        let (last, whole) = (inner.relay.last(), inner.relay.up.whole());
+        let (last, whole) = (inner.relay.last(), inner.relay.up.is_complete());
         let ticket = &exchange.ticket;
         if let Some(upstream) = inner.upstream.take().filter(|_| !whole || !inner.relay.answer_whole()) {
             // What is cut must not look whole.
@@ -589,7 +589,7 @@
         if inner.over.is_none() && inner.relay.done() {
             inner.over = Some(Over::Answered);
         }
-        moved.up_held = inner.relay.up.held() + inner.left.len() as u64;
+        moved.up_held = inner.relay.up.buffered_bytes() + inner.left.len() as u64;
         moved.down_held = inner.relay.held_down();
         moved.waits_client = inner.relay.wants_client() && moved.up_held < rooms.up && !inner.client_ended;
         let credit = rooms.credit.is_none_or(|credit| credit > moved.down_took);
@@ -597,12 +597,12 @@
         let mut owner = lock(&self.owner);
         let now = self.clock.now();
         owner.moved(now, &exchange.ticket, moved);
-        if inner.relay.up.kept().is_some_and(|kept| kept.len() as u64 > inner.kept) {
-            let kept = inner.relay.up.kept().map_or(0, <[u8]>::len) as u64;
+        if inner.relay.up.kept_copy().is_some_and(|kept| kept.len() as u64 > inner.kept) {
+            let kept = inner.relay.up.kept_copy().map_or(0, <[u8]>::len) as u64;
             if owner.keep(&exchange.ticket, kept - inner.kept) {
                 inner.kept = kept;
             } else {
-                inner.relay.up.forget();
+                inner.relay.up.drop_copy();
             }
         }
         drop(owner);
@@ -639,7 +639,7 @@
         if let Some(upstream) = &upstream {
             match upstream.write(inner.relay.up.out.front()) {
                 Ok(octets) => {
-                    inner.relay.up.out.took(octets);
+                    inner.relay.up.out.consume(octets);
                     inner.sent(octets);
                     moved.up_took += octets as u64;
                     step += octets;
@@ -654,19 +654,19 @@
         let dumb = deaf || inner.relay.refused();
         if dumb && !inner.relay.up.out.is_empty() {
             let octets = inner.relay.up.out.len();
-            inner.relay.up.out.took(octets);
+            inner.relay.up.out.consume(octets);
         }
-        let held = inner.relay.up.held();
+        let held = inner.relay.up.buffered_bytes();
         let room = if inner.relay.refused() { WATCH as u64 } else { rooms.up.saturating_sub(held + FRAMING) }
             as usize;
         if inner.client_ended || exchange.ticket.answered() {
             return step;
         }
-        if inner.relay.up.stuck() {
+        if inner.relay.up.has_undecoded() {
             if room > 0 {
-                let before = inner.relay.up.held();
+                let before = inner.relay.up.buffered_bytes();
                 match inner.relay.go_on_up(room) {
-                    Ok(()) => step += usize::from(inner.relay.up.held() != before),
+                    Ok(()) => step += usize::from(inner.relay.up.buffered_bytes() != before),
                     Err(fault) => self.fault(inner, fault),
                 }
             }
@@ -702,7 +702,7 @@
             moved.came += octets as u64;
             step += octets;
             let mut at = 0;
-            let straight = inner.relay.up.straight(octets);
+            let straight = inner.relay.up.passthrough_length(octets);
             if let Some(upstream) = upstream.filter(|_| straight > 0 && !dumb) {
                 match upstream.write(&scratch[..straight]) {
                     Ok(written) => {
--- a/crates/frontends/stream/src/lib.rs
+++ b/crates/frontends/stream/src/lib.rs
@@ -1,6 +1,8 @@
 //! Long bodies both ways: HTTP/1.1 streams between clients and upstreams, behind the decision module, in flat memory,
-//! with one final outcome each. The codec ([`http`], [`body`], [`content_coder`]) and the relay ([`body_pipe`], [`relay`]) are state
-//! machines fed octets; [`front`] is the driver; what is chosen is chosen in `lynxtally-flow` and in the module.
+//! with one final outcome each.
+//!
+//! The codec ([`http`], [`body`], [`content_coder`]) and the proxy's state ([`body_pipe`], [`relay`]) are state machines
+//! fed bytes; [`front`] is the driver; what is chosen is chosen in `lynxtally-flow` and in the module.
 
 #![forbid(unsafe_code)]
 
@@ -10,6 +12,7 @@
 pub mod content_coder;
 pub mod front;
 pub mod http;
+pub mod output_buffer;
 pub mod owner;
 pub mod relay;
 pub mod server;
--- a/crates/frontends/stream/src/relay.rs
+++ b/crates/frontends/stream/src/relay.rs
@@ -1,9 +1,10 @@
 //! One stream: what a client sends goes up, what the upstream answers comes down, both as they arrive. It is fed octets
 //! and tells which are to go where; it knows no socket.
 
-use crate::body_pipe::{Waiting, Way};
-use crate::content_coder::Coder;
+use crate::body_pipe::BodyPipe;
+use crate::content_coder::ContentCoder;
 use crate::http::{Asked, Bad, Framing, Own, Reply, GO_ON, HEAD_MOST};
+use crate::output_buffer::OutputBuffer;
 use lynxtally_flow::coding::{Coding, Growth};
 use lynxtally_flow::resume::{Changed, Piece};
 
@@ -40,15 +41,15 @@
     asked: Asked,
     plan: Plan,
     /// What goes up; its head is the first in it.
-    pub up: Way,
+    pub up: BodyPipe,
     up_framing: Framing,
     /// What goes to the client before the upstream's answer, or instead of it.
-    first: Waiting,
+    first: OutputBuffer,
     /// The head of the answer, as it comes.
     head: Vec<u8>,
     reply: Option<Reply>,
     /// The upstream's answer as it goes down.
-    down: Option<Way>,
+    down: Option<BodyPipe>,
     /// Whether what comes after a cut is the rest of the answer, not another.
     rest: Option<Piece>,
     /// The upstream refused before it had all: the rest of the body goes nowhere.
@@ -70,23 +71,23 @@
         let decodes =
             asked.framing != Framing::Empty && !seen.coded_otherwise && !plan.takes.contains(&seen.coding);
         let coder = match decodes {
-            true if seen.coding != Coding::Identity => Coder::decode(seen.coding, plan.growth)?,
-            _ => Coder::plain(),
+            true if seen.coding != Coding::Identity => ContentCoder::decoder(seen.coding, plan.growth)?,
+            _ => ContentCoder::identity(),
         };
-        let up_framing = if coder.is_plain() { asked.framing } else { Framing::Chunked };
-        let mut up = Way::new(asked.framing, up_framing, coder);
+        let up_framing = if coder.is_identity() { asked.framing } else { Framing::Chunked };
+        let mut up = BodyPipe::new(asked.framing, up_framing, coder);
         if plan.keep {
-            up.keep();
+            up.keep_copy();
         }
-        asked.write(up.out.add(), up_framing, up_framing != asked.framing, None);
-        up.begin()?;
+        asked.write(up.out.append_to(), up_framing, up_framing != asked.framing, None);
+        up.start()?;
         let (last, copy) = (asked.last(), (plan.copy_most > 0).then(Vec::new));
         Ok(Self {
             asked,
             plan,
             up,
             up_framing,
-            first: Waiting::default(),
+            first: OutputBuffer::default(),
             head: Vec::new(),
             reply: None,
             down: None,
@@ -110,14 +111,14 @@
 
     /// The stream is let in: a client that waits for a word sends its body now.
     pub fn let_in(&mut self) {
-        if self.asked.seen.expects && !self.up.whole() && self.up.came() == 0 {
-            self.first.add().extend_from_slice(GO_ON);
+        if self.asked.seen.expects && !self.up.is_complete() && self.up.received_bytes() == 0 {
+            self.first.append_to().extend_from_slice(GO_ON);
         }
     }
 
     /// Whether more of the client's body is to come.
     pub fn wants_client(&self) -> bool {
-        !self.up.whole()
+        !self.up.is_complete()
     }
 
     /// Whether the upstream has refused what is still coming.
@@ -128,30 +129,31 @@
     /// Takes octets of the client's body, as long as no more than `room` waits; tells how many it used: fewer than all
     /// only past the body's end.
     pub fn from_client(&mut self, octets: &[u8], room: usize) -> Result<usize, Fault> {
-        let used = self.up.take(octets, room).map_err(Fault::Client)?;
+        let used = self.up.receive(octets, room).map_err(Fault::Client)?;
         self.check_size()?;
         if self.refused || self.own {
             // It is read only so that its end is found.
-            self.up.out.took(self.up.out.len());
+            self.up.out.discard();
         }
         Ok(used)
     }
 
     /// Goes on with what of it could not be decoded before, for want of room.
     pub fn go_on_up(&mut self, room: usize) -> Result<(), Fault> {
-        self.up.go_on(room).map_err(Fault::Client)?;
+        self.up.decode_more(room).map_err(Fault::Client)?;
         self.check_size()
     }
 
     /// So many octets went up just as they came.
     pub fn passed_up(&mut self, octets: usize) -> Result<(), Fault> {
-        self.up.passed(octets).map_err(Fault::Client)?;
+        self.up.record_passthrough(octets).map_err(Fault::Client)?;
         self.check_size()
     }
 
     fn check_size(&self) -> Result<(), Fault> {
         let most = self.plan.body_most;
-        let large = self.up.came() > most || (self.up_framing != self.asked.framing && self.up.gave() > most);
+        let large = self.up.received_bytes() > most
+            || (self.up_framing != self.asked.framing && self.up.encoded_bytes() > most);
         if large {
             Err(Fault::Client(Bad::BodyLarge))
         } else {
@@ -162,9 +164,9 @@
     /// Takes octets of the answer, as long as no more than `room` waits.
     pub fn from_upstream(&mut self, octets: &[u8], room: usize) -> Result<(), Fault> {
         if let Some(down) = self.down.as_mut().filter(|_| self.rest.is_none()) {
-            let used = down.take(octets, room).map_err(Fault::Upstream)?;
+            let used = down.receive(octets, room).map_err(Fault::Upstream)?;
             // What comes past the answer's end is nobody's.
-            return if used < octets.len() && !down.whole() {
+            return if used < octets.len() && !down.is_complete() {
                 Err(Fault::Upstream(Bad::Length))
             } else {
                 Ok(())
@@ -184,7 +186,7 @@
                 101 => return Err(Fault::Upstream(Bad::Head)),
                 100 | 102 | 104 => {}
                 ..=199 if self.asked.old || self.rest.is_some() => {}
-                ..=199 => reply.write(self.first.add(), Framing::Empty, None, false),
+                ..=199 => reply.write(self.first.append_to(), Framing::Empty, None, false),
                 _ => {
                     let body = std::mem::take(&mut self.head);
                     return self.answered(reply, &body, room);
@@ -198,7 +200,7 @@
             let down = self.down.as_mut().ok_or(Fault::Upstream(Bad::Head))?;
             let told = reply.fields.iter().find(|(name, _)| name.eq_ignore_ascii_case("Content-Range"));
             let told = told.and_then(|(_, value)| std::str::from_utf8(value).ok());
-            let passed = down.came();
+            let passed = down.received_bytes();
             piece
                 .goes_on(passed, reply.status, reply.seen.validator.as_deref(), told)
                 .map_err(Fault::Changed)?;
@@ -208,13 +210,13 @@
             {
                 return Err(Fault::Changed(Changed::Part));
             }
-            down.goes_on(reply.framing);
-            return down.take(body, room).map(|_| ()).map_err(Fault::Upstream);
+            down.resume_from(reply.framing);
+            return down.receive(body, room).map(|_| ()).map_err(Fault::Upstream);
         }
         // One that refuses before it has all: the answer goes down at once, the rest of the body nowhere.
-        if reply.status >= 400 && !self.up.whole() {
+        if reply.status >= 400 && !self.up.is_complete() {
             (self.refused, self.last) = (true, true);
-            self.up.out.took(self.up.out.len());
+            self.up.out.discard();
         }
         let coding = self.coding(&reply);
         let framing = match reply.framing {
@@ -224,11 +226,13 @@
             _ => Framing::Chunked,
         };
         self.last |= framing == Framing::Close;
-        let coder = coding.map_or_else(|| Ok(Coder::plain()), Coder::code).map_err(Fault::Upstream)?;
-        let mut down = Way::new(reply.framing, framing, coder);
-        reply.write(down.out.add(), framing, coding, self.last);
-        down.begin().map_err(Fault::Upstream)?;
-        down.take(body, room).map_err(Fault::Upstream)?;
+        let coder = coding
+            .map_or_else(|| Ok(ContentCoder::identity()), ContentCoder::encoder)
+            .map_err(Fault::Upstream)?;
+        let mut down = BodyPipe::new(reply.framing, framing, coder);
+        reply.write(down.out.append_to(), framing, coding, self.last);
+        down.start().map_err(Fault::Upstream)?;
+        down.receive(body, room).map_err(Fault::Upstream)?;
         (self.reply, self.down) = (Some(reply), Some(down));
         Ok(())
     }
@@ -253,17 +257,17 @@
     /// How many of so many octets of the answer may go to the client just as they came.
     pub fn straight_down(&self, length: usize) -> usize {
         let first = self.first.is_empty() && self.rest.is_none() && self.copy.is_none();
-        self.down.as_ref().filter(|_| first).map_or(0, |down| down.straight(length))
+        self.down.as_ref().filter(|_| first).map_or(0, |down| down.passthrough_length(length))
     }
 
     /// So many went so.
     pub fn passed_down(&mut self, octets: usize) -> Result<(), Fault> {
-        self.down.as_mut().map_or(Ok(()), |down| down.passed(octets)).map_err(Fault::Upstream)
+        self.down.as_mut().map_or(Ok(()), |down| down.record_passthrough(octets)).map_err(Fault::Upstream)
     }
 
     /// Goes on with what of the answer could not be decoded before; adds what is held back where nothing comes.
     pub fn flush_down(&mut self) -> Result<(), Fault> {
-        self.down.as_mut().map_or(Ok(()), Way::flush).map_err(Fault::Upstream)
+        self.down.as_mut().map_or(Ok(()), BodyPipe::flush).map_err(Fault::Upstream)
     }
 
     /// The upstream sends no more; whether the answer is whole.
@@ -271,7 +275,7 @@
         if self.rest.is_some() {
             return Ok(false);
         }
-        self.down.as_mut().map_or(Ok(false), Way::ended).map_err(Fault::Upstream)
+        self.down.as_mut().map_or(Ok(false), BodyPipe::end_of_input).map_err(Fault::Upstream)
     }
 
     /// What goes to the client next.
@@ -293,29 +297,29 @@
             }
         }
         match &mut self.down {
-            Some(down) if self.first.is_empty() => down.out.took(octets),
-            _ => self.first.took(octets),
+            Some(down) if self.first.is_empty() => down.out.consume(octets),
+            _ => self.first.consume(octets),
         }
     }
 
     /// What is held for the client.
     pub fn held_down(&self) -> u64 {
-        (self.first.len() + self.head.len()) as u64 + self.down.as_ref().map_or(0, Way::held)
+        (self.first.len() + self.head.len()) as u64 + self.down.as_ref().map_or(0, BodyPipe::buffered_bytes)
     }
 
     /// Octets of the answer's body that came.
     pub fn came_down(&self) -> u64 {
-        self.down.as_ref().map_or(0, Way::came)
+        self.down.as_ref().map_or(0, BodyPipe::received_bytes)
     }
 
     /// Whether the whole answer is out.
     pub fn done(&self) -> bool {
-        self.first.is_empty() && (self.own || self.down.as_ref().is_some_and(Way::done))
+        self.first.is_empty() && (self.own || self.down.as_ref().is_some_and(BodyPipe::is_done))
     }
 
     /// Whether the whole answer came, though some may still wait to go out.
     pub fn answer_whole(&self) -> bool {
-        self.own || self.down.as_ref().is_some_and(Way::whole)
+        self.own || self.down.as_ref().is_some_and(BodyPipe::is_complete)
     }
 
     /// Whether any of the answer has begun.
@@ -325,7 +329,7 @@
 
     /// Whether the connection ends with this answer.
     pub fn last(&self) -> bool {
-        self.last || !self.up.whole()
+        self.last || !self.up.is_complete()
     }
 
     /// The connection ends with this answer, if that can still be said.
@@ -340,7 +344,7 @@
         }
         let last = self.last();
         (self.own, self.last) = (true, last);
-        own.write(self.first.add(), last, self.asked.method == "HEAD");
+        own.write(self.first.append_to(), last, self.asked.method == "HEAD");
         true
     }
 
@@ -352,12 +356,12 @@
     /// The answer of what this one repeats, as it went out then.
     pub fn replay(&mut self, octets: &[u8]) {
         (self.own, self.last) = (true, true);
-        self.first.add().extend_from_slice(octets);
+        self.first.append_to().extend_from_slice(octets);
     }
 
     /// Whether nothing of the body that was sent is lost to us.
     pub fn held(&self) -> bool {
-        self.up.kept().is_some() || self.up.came() == 0
+        self.up.kept_copy().is_some() || self.up.received_bytes() == 0
     }
 
     /// Sends all of it again, to another upstream.
@@ -365,7 +369,7 @@
         let mut head = Vec::new();
         let plain = self.up_framing != self.asked.framing;
         self.asked.write(&mut head, self.up_framing, plain, None);
-        self.up.again(&head, self.up_framing);
+        self.up.replay(&head, self.up_framing);
         self.head.clear();
     }
 
@@ -382,8 +386,8 @@
             }
             _ => return None,
         };
-        let passed = down.came();
-        (self.asked.method == "GET" && !coded && !down.whole() && piece.rest(passed).is_some())
+        let passed = down.received_bytes();
+        (self.asked.method == "GET" && !coded && !down.is_complete() && piece.rest(passed).is_some())
             .then_some((piece, passed))
     }
 
@@ -393,8 +397,8 @@
         let Some((first, end)) = piece.rest(passed) else { return };
         let mut head = Vec::new();
         self.asked.write(&mut head, Framing::Empty, false, Some((first, end, &piece.validator)));
-        self.up.forget();
-        self.up.again(&head, Framing::Empty);
+        self.up.drop_copy();
+        self.up.replay(&head, Framing::Empty);
         self.head.clear();
         self.rest = Some(piece);
     }
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -2,8 +2,8 @@
 //! what is whole goes up to an upstream from there. A connection that drops leaves the upload where it stands.
 
 use crate::archive::{unix_now, Archive, Awaited};
-use crate::body_pipe::Way;
-use crate::content_coder::Coder;
+use crate::body_pipe::BodyPipe;
+use crate::content_coder::ContentCoder;
 use crate::front::{caller, Front, Next, Source};
 use crate::http::{Asked, Bad, Framing, Own};
 use crate::owner::{Entering, Moved, Ticket};
@@ -294,8 +294,8 @@
     /// Archives what one message brings; then answers how far the upload is or, where it is whole, passes it on.
     fn store(self: &Arc<Self>, mut doing: Doing, asked: &Asked, came: &mut Vec<u8>, status: u16) -> Next {
         let (archive, socket, ticket, id) = (doing.archive, doing.socket, doing.ticket, doing.id);
-        let mut way = Way::new(asked.framing, Framing::Close, Coder::plain());
-        let mut stored = self.take_in(&mut doing, &mut way, asked, came);
+        let mut pipe = BodyPipe::new(asked.framing, Framing::Close, ContentCoder::identity());
+        let mut stored = self.take_in(&mut doing, &mut pipe, asked, came);
         if let (Stored::Whole, Some(true)) = (&stored, asked.seen.upload.complete) {
             match lock(&archive.uploads).complete(id, doing.holder) {
                 Ok(true) => {}
@@ -325,10 +325,10 @@
             }
         };
         self.with(|owner, now| owner.ended(now, ticket, RunEnd::Failed));
-        self.say(socket, asked, &own, way.whole())
+        self.say(socket, asked, &own, pipe.is_complete())
     }
 
-    fn take_in(&self, doing: &mut Doing, way: &mut Way, asked: &Asked, came: &mut Vec<u8>) -> Stored {
+    fn take_in(&self, doing: &mut Doing, pipe: &mut BodyPipe, asked: &Asked, came: &mut Vec<u8>) -> Stored {
         let (archive, socket, ticket, id) = (doing.archive, doing.socket, doing.ticket, doing.id);
         let mut on_its_way: Option<(usize, Awaited)> = None;
         if asked.seen.expects && asked.framing != Framing::Empty && came.is_empty() {
@@ -336,7 +336,7 @@
                 return Stored::Gone(end);
             }
         }
-        if let Err(bad) = way.begin() {
+        if let Err(bad) = pipe.start() {
             return Stored::Own(Own::bad(bad));
         }
         loop {
@@ -356,8 +356,8 @@
             }
             let rooms = lock(&self.owner).rooms(ticket);
             let flying = on_its_way.as_ref().map_or(0, |(octets, _)| *octets as u64);
-            let room = rooms.up.saturating_sub(way.held() + flying + FRAMING) as usize;
-            if !way.whole() && room > 0 {
+            let room = rooms.up.saturating_sub(pipe.buffered_bytes() + flying + FRAMING) as usize;
+            if !pipe.is_complete() && room > 0 {
                 let octets = if came.is_empty() {
                     let mut scratch = lock(&self.scratch);
                     let most = room.min(scratch.len());
@@ -365,9 +365,9 @@
                         Ok(ReadOutcome::Bytes(octets)) => scratch[..octets].to_vec(),
                         Ok(ReadOutcome::WouldBlock) => Vec::new(),
                         Ok(ReadOutcome::EndOfStream) => {
-                            return self.leave_off(doing, way, on_its_way, CloseReason::Truncated)
+                            return self.leave_off(doing, pipe, on_its_way, CloseReason::Truncated)
                         }
-                        Err(end) => return self.leave_off(doing, way, on_its_way, end),
+                        Err(end) => return self.leave_off(doing, pipe, on_its_way, end),
                     }
                 } else {
                     came.drain(..came.len().min(room)).collect()
@@ -375,23 +375,24 @@
                 if !octets.is_empty() {
                     step = true;
                     moved.came = octets.len() as u64;
-                    match way.take(&octets, room) {
+                    match pipe.receive(&octets, room) {
                         Ok(used) => drop(came.splice(..0, octets[used..].iter().copied())),
                         Err(bad) => return Stored::Own(Own { stands: stands(archive, id), ..Own::bad(bad) }),
                     }
                 }
             }
-            if on_its_way.is_none() && !way.out.is_empty() {
-                match self.archive_some(doing, way) {
+            if on_its_way.is_none() && !pipe.out.is_empty() {
+                match self.archive_some(doing, pipe) {
                     Ok(sent) => on_its_way = Some(sent),
                     Err(what) => return Stored::Own(refused(what, stands(archive, id))),
                 }
                 step = true;
             }
-            moved.up_held = way.held() + on_its_way.as_ref().map_or(0, |(octets, _)| *octets as u64);
-            moved.waits_client = !way.whole() && moved.up_held == 0;
+            moved.up_held =
+                pipe.buffered_bytes() + on_its_way.as_ref().map_or(0, |(octets, _)| *octets as u64);
+            moved.waits_client = !pipe.is_complete() && moved.up_held == 0;
             self.with(|owner, now| owner.moved(now, ticket, moved));
-            if way.whole() && way.out.is_empty() && on_its_way.is_none() {
+            if pipe.is_complete() && pipe.out.is_empty() && on_its_way.is_none() {
                 return Stored::Whole;
             }
             if !step {
@@ -401,13 +402,13 @@
     }
 
     /// Hands what waits to the archive.
-    fn archive_some(&self, doing: &mut Doing, way: &mut Way) -> Result<(usize, Awaited), Refused> {
-        let octets = way.out.front().to_vec();
+    fn archive_some(&self, doing: &mut Doing, pipe: &mut BodyPipe) -> Result<(usize, Awaited), Refused> {
+        let octets = pipe.out.front().to_vec();
         let sum = crc32c::crc32c_append(doing.sum, &octets);
         let length = octets.len();
         lock(&doing.archive.uploads).grow(doing.id, doing.holder, length as u64, sum, unix_now())?;
         doing.sum = sum;
-        way.out.took(length);
+        pipe.out.consume(length);
         let waker = doing.socket.waker();
         Ok((length, doing.archive.append(doing.id, octets, move || waker.wakeup())))
     }
@@ -416,14 +417,14 @@
     fn leave_off(
         &self,
         doing: &mut Doing,
-        way: &mut Way,
+        pipe: &mut BodyPipe,
         on_its_way: Option<(usize, Awaited)>,
         end: CloseReason,
     ) -> Stored {
         let mut last = on_its_way.map(|(_, awaited)| awaited);
-        if !way.out.is_empty() {
+        if !pipe.out.is_empty() {
             // Another may hold it by now: then it is that one's to bring them.
-            last = self.archive_some(doing, way).ok().map(|(_, awaited)| awaited).or(last);
+            last = self.archive_some(doing, pipe).ok().map(|(_, awaited)| awaited).or(last);
         }
         if let Some(last) = last {
             // A disk that fails is seen when the rest is noted.
