--- a/crates/frontends/stream/src/front.rs
+++ b/crates/frontends/stream/src/front.rs
@@ -1,11 +1,11 @@
 //! The thin driver: a coroutine for each client's connection, one for each connection to an upstream. Either of the two
 //! carries on a stream, both ways, as far as it goes, and then waits on its own socket; what is decided is the owner's.
 
-use crate::archive::{Archive, Awaited};
 use crate::http::{Asked, Bad, Framing, Own, HEAD_MOST};
 use crate::owner::{Entering, Moved, Owner, Rooms, Ticket};
 use crate::relay::{Fault, Relay};
 use crate::settings::Checked;
+use crate::upload_archive::{Archive, Awaited};
 use lynxtally::Span;
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::UploadId;
--- a/crates/frontends/stream/src/lib.rs
+++ b/crates/frontends/stream/src/lib.rs
@@ -6,7 +6,6 @@
 
 #![forbid(unsafe_code)]
 
-pub mod archive;
 pub mod body;
 pub mod body_pipe;
 pub mod content_coder;
@@ -17,4 +16,5 @@
 pub mod relay;
 pub mod server;
 pub mod settings;
+pub mod upload_archive;
 pub mod uploading;
--- a/crates/frontends/stream/src/server.rs
+++ b/crates/frontends/stream/src/server.rs
@@ -1,9 +1,9 @@
 //! A server: listeners, the front behind them, and how it leaves.
 
-use crate::archive::Archive;
 use crate::front::Front;
 use crate::owner::Owner;
 use crate::settings::Checked;
+use crate::upload_archive::Archive;
 use lynxtally::{Instant, Policy, Span};
 use lynxtally_engine::Scheduler;
 use lynxtally_net::clock::Clock;
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -1,13 +1,13 @@
 //! Uploads that can be gone on with (draft-ietf-httpbis-resumable-upload-05): what comes is archived as it arrives, and
 //! what is whole goes up to an upstream from there. A connection that drops leaves the upload where it stands.
 
-use crate::archive::{unix_now, Archive, Awaited};
 use crate::body_pipe::BodyPipe;
 use crate::content_coder::ContentCoder;
 use crate::front::{caller, Front, Next, Source};
 use crate::http::{Asked, Bad, Framing, Own};
 use crate::owner::{Entering, Moved, Ticket};
 use crate::relay::Relay;
+use crate::upload_archive::{unix_now, Archive, Awaited};
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::{Refused, Upload, UploadId};
 use lynxtally_net::close_reason::CloseReason;
--- a/crates/frontends/stream/tests/stored_formats.rs
+++ b/crates/frontends/stream/tests/stored_formats.rs
@@ -5,7 +5,7 @@
 
 use lynxtally_flow::uploads::{Entry, Upload, UploadId, UploadLimits};
 use lynxtally_net::sync::lock;
-use lynxtally_stream::archive::{Archive, Awaited};
+use lynxtally_stream::upload_archive::{Archive, Awaited};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
