--- a/crates/frontends/stream/src/front.rs
+++ b/crates/frontends/stream/src/front.rs
@@ -5,7 +5,7 @@
 use crate::owner::{Entering, Moved, Owner, Rooms, Ticket};
 use crate::relay::{Fault, Relay};
 use crate::settings::Checked;
-use crate::upload_archive::{Archive, Awaited};
+use crate::upload_archive::{PendingOperation, UploadArchive};
 use lynxtally::Span;
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::UploadId;
@@ -57,7 +57,7 @@
     turnstile: FairYield,
     pub(crate) scratch: Mutex<Vec<u8>>,
     /// Uploads that can be gone on with.
-    pub archive: Option<Arc<Archive>>,
+    pub archive: Option<Arc<UploadArchive>>,
     own: Weak<Self>,
 }
 
@@ -90,12 +90,12 @@
 
 /// A body that comes from the archive, not from the client.
 pub(crate) struct Source {
-    pub archive: Arc<Archive>,
+    pub archive: Arc<UploadArchive>,
     pub id: UploadId,
     pub at: u64,
     pub end: u64,
     pub ready: Vec<u8>,
-    pub awaited: Option<Awaited>,
+    pub awaited: Option<PendingOperation>,
 }
 
 struct Inner {
@@ -159,7 +159,7 @@
         owner: Owner<P>,
         alarm: Timer,
         turnstile: FairYield,
-        archive: Option<Arc<Archive>>,
+        archive: Option<Arc<UploadArchive>>,
     ) -> Arc<Self> {
         Arc::new_cyclic(|own| Self {
             owner: Mutex::new(owner),
@@ -483,7 +483,7 @@
             // Sent up in part and not answered, only what may be done again is kept.
             let again = effect == lynxtally::Effect::Idempotent || inner.sent_up == 0;
             if !again || (answered && well == Some(true)) {
-                source.archive.forget(source.id);
+                source.archive.remove(source.id);
             }
         }
         drop(inner);
@@ -757,7 +757,7 @@
         let Some(source) = inner.source.as_mut().filter(|_| room > 0 && inner.relay.wants_client()) else {
             return 0;
         };
-        if let Some(done) = source.awaited.as_ref().and_then(Awaited::take) {
+        if let Some(done) = source.awaited.as_ref().and_then(PendingOperation::take) {
             source.awaited = None;
             match done {
                 Ok(octets) if !octets.is_empty() => {
--- a/crates/frontends/stream/src/server.rs
+++ b/crates/frontends/stream/src/server.rs
@@ -3,7 +3,7 @@
 use crate::front::Front;
 use crate::owner::Owner;
 use crate::settings::Checked;
-use crate::upload_archive::Archive;
+use crate::upload_archive::UploadArchive;
 use lynxtally::{Instant, Policy, Span};
 use lynxtally_engine::Scheduler;
 use lynxtally_net::clock::Clock;
@@ -71,7 +71,12 @@
     let turnstile = FairYield::start().map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
     let owner = Owner::new(&settings, now, decide(&settings, now), rand::rng().random());
     let (stop, at) = (settings.stop, settings.listen.clone());
-    let archive = settings.state.as_ref().map(|path| Archive::open(path, settings.uploads)).transpose()?;
+    let archive = settings
+        .state
+        .as_ref()
+        .map(|path| UploadArchive::open(path, settings.uploads))
+        .transpose()
+        .map_err(|error| error.to_string())?;
     let front = Front::new(settings, owner, alarm, turnstile, archive);
     let mut listening = Vec::new();
     for at in at {
@@ -124,7 +129,7 @@
         front.sweep(kill.is_some());
         turns += 1;
         if let Some(archive) = front.archive.as_ref().filter(|_| turns % AGED == 0) {
-            archive.sweep();
+            archive.remove_expired();
         }
         if let Some(kill) = kill {
             wait = LEAVING;
--- /dev/null
+++ b/crates/frontends/stream/src/upload_archive/worker.rs
@@ -0,0 +1,122 @@
+//! The thread of the archive: it carries out operations in the order in which they were sent.
+
+use super::error::ArchiveError;
+use super::{encode, file_name, OperationResult, LOG_NAME};
+use lynxtally_flow::uploads::{Entry, UploadId, Uploads};
+use lynxtally_net::directory::DirectoryStorage;
+use lynxtally_wal::{Storage, StorageError, WriteAheadLog};
+use std::sync::mpsc::Receiver;
+use tracing::warn;
+
+/// A log longer than this since its last snapshot is shortened by a new one.
+const MAX_LOG_BYTES: u64 = 4 << 20;
+
+/// Called with the result of an operation, on the archive's thread.
+pub(super) type Completion = Box<dyn FnOnce(OperationResult) + Send>;
+
+/// What the thread is asked to do.
+pub(super) enum Operation {
+    /// Appends bytes to the file of an upload.
+    Append { id: UploadId, bytes: Vec<u8>, completion: Completion },
+    /// Reads at most so many bytes of the file of an upload.
+    Read { id: UploadId, offset: u64, max_bytes: usize, completion: Completion },
+    /// Makes the bytes of an upload durable, and then the entry that records them.
+    Record { entry: Entry, completion: Completion },
+    /// Removes the file of an upload.
+    Remove { id: UploadId },
+}
+
+impl Operation {
+    /// Answers an operation that will not be carried out.
+    pub(super) fn fail(self, error: ArchiveError) {
+        match self {
+            Self::Append { completion, .. }
+            | Self::Read { completion, .. }
+            | Self::Record { completion, .. } => completion(Err(error)),
+            Self::Remove { .. } => {}
+        }
+    }
+}
+
+/// What the thread owns.
+pub(super) struct Worker {
+    storage: DirectoryStorage,
+    log: WriteAheadLog,
+    /// The uploads as the log records them; what is not durable yet is not in here.
+    recorded: Uploads,
+    /// The first failure to record an entry. After a failed sync it is unknown what is on the disk, so no later entry
+    /// is reported as durable.
+    failure: Option<ArchiveError>,
+}
+
+impl Worker {
+    pub(super) fn new(storage: DirectoryStorage, log: WriteAheadLog, recorded: Uploads) -> Self {
+        Self { storage, log, recorded, failure: None }
+    }
+
+    /// Carries out operations until the archive is dropped.
+    pub(super) fn run(mut self, operations: &Receiver<Operation>) {
+        for operation in operations {
+            self.execute(operation);
+        }
+    }
+
+    fn execute(&mut self, operation: Operation) {
+        match operation {
+            Operation::Append { id, bytes, completion } => {
+                let result = self.storage.append(&file_name(id), &bytes);
+                completion(result.map(|()| Vec::new()).map_err(ArchiveError::from));
+            }
+            Operation::Read { id, offset, max_bytes, completion } => {
+                let result = self.storage.read_at(&file_name(id), offset, max_bytes);
+                completion(result.map_err(ArchiveError::from));
+            }
+            Operation::Record { entry, completion } => {
+                let result = self.record_unless_failed(entry);
+                completion(result.map(|()| Vec::new()));
+            }
+            Operation::Remove { id } => {
+                // An upload that never received a byte has no file.
+                let _ = self.storage.remove(&file_name(id));
+            }
+        }
+    }
+
+    fn record_unless_failed(&mut self, entry: Entry) -> Result<(), ArchiveError> {
+        if let Some(error) = &self.failure {
+            return Err(error.clone());
+        }
+        let result = self.record(entry);
+        if let Err(error) = &result {
+            warn!(%error, "the log of uploads failed: no upload is reported as durable any more");
+            self.failure = Some(error.clone());
+        }
+        result
+    }
+
+    fn record(&mut self, entry: Entry) -> Result<(), ArchiveError> {
+        // The bytes are made durable before the entry that records them: an entry without its bytes would lose the
+        // upload at the next start.
+        if let Entry::Moved { id, offset: 1.., .. } = entry {
+            self.storage.sync(&file_name(id))?;
+        }
+        self.log.append(&encode(&entry));
+        self.log.commit(&mut self.storage)?;
+        self.recorded.replay(entry);
+        if self.log.bytes_since_snapshot() > MAX_LOG_BYTES {
+            write_snapshot(&mut self.storage, &mut self.log, &self.recorded)?;
+        }
+        Ok(())
+    }
+}
+
+/// Begins a new generation of the log, whose snapshot holds these uploads.
+pub(super) fn write_snapshot(
+    storage: &mut DirectoryStorage,
+    log: &mut WriteAheadLog,
+    uploads: &Uploads,
+) -> Result<(), StorageError> {
+    let rotation = log.rotate();
+    let snapshot = encode(&uploads.snapshot());
+    WriteAheadLog::write_snapshot(storage, LOG_NAME, rotation, &snapshot)
+}
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -7,7 +7,7 @@
 use crate::http::{Asked, Bad, Framing, Own};
 use crate::owner::{Entering, Moved, Ticket};
 use crate::relay::Relay;
-use crate::upload_archive::{unix_now, Archive, Awaited};
+use crate::upload_archive::{unix_seconds, ArchiveError, OperationResult, PendingOperation, UploadArchive};
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::{Refused, Upload, UploadId};
 use lynxtally_net::close_reason::CloseReason;
@@ -45,7 +45,7 @@
 
 /// What is done with an upload by one message.
 struct Doing<'a> {
-    archive: &'a Arc<Archive>,
+    archive: &'a Arc<UploadArchive>,
     socket: &'a Arc<Socket>,
     ticket: &'a Arc<Ticket>,
     id: UploadId,
@@ -100,7 +100,7 @@
     /// Takes a message about an upload.
     pub(crate) fn upload(
         self: &Arc<Self>,
-        archive: &Arc<Archive>,
+        archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
         from: IpAddr,
         asked: Asked,
@@ -160,7 +160,7 @@
                         Err(what) => Some(refused(what, None)),
                     },
                     "DELETE" if lock(&archive.uploads).get(id).is_some() => {
-                        archive.forget(id);
+                        archive.remove(id);
                         Some(Own::new(204, ""))
                     }
                     "DELETE" => Some(Own::bad(Bad::Upload)),
@@ -168,7 +168,7 @@
                 };
                 let own = own.unwrap_or_else(|| match self.durable(archive, socket, id) {
                     Ok(()) => Own { stands: stands(archive, id), ..Own::new(204, "") },
-                    Err(what) => Own::new(500, what),
+                    Err(what) => Own::new(500, what.to_string()),
                 });
                 self.with(|owner, now| owner.ended(now, &ticket, RunEnd::Completed(Vec::new())));
                 self.say(socket, &asked, &own, whole)
@@ -180,7 +180,7 @@
     /// One begins.
     fn begin(
         self: &Arc<Self>,
-        archive: &Arc<Archive>,
+        archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
         ticket: &Arc<Ticket>,
         asked: &Asked,
@@ -200,7 +200,7 @@
             length,
             offset: 0,
             sum: 0,
-            touched: unix_now(),
+            touched: unix_seconds(),
             whole: false,
         };
         let begun = lock(&archive.uploads).begin(id, upload);
@@ -211,9 +211,9 @@
             }
         };
         let waker = socket.waker();
-        if let Err(what) = self.await_it(socket, &archive.note(entry, move || waker.wakeup())) {
+        if let Err(what) = self.await_it(socket, &archive.record(entry, move || waker.wakeup())) {
             lock(&archive.uploads).gone(id);
-            return self.end(socket, ticket, asked, &Own::new(500, what), RunEnd::Failed);
+            return self.end(socket, ticket, asked, &Own::new(500, what.to_string()), RunEnd::Failed);
         }
         let mut out = Vec::new();
         if !asked.old {
@@ -230,7 +230,7 @@
     /// One is gone on with.
     fn go_on(
         self: &Arc<Self>,
-        archive: &Arc<Archive>,
+        archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
         ticket: &Arc<Ticket>,
         id: UploadId,
@@ -275,7 +275,7 @@
     }
 
     /// Waits for the archive.
-    fn await_it(&self, socket: &Arc<Socket>, awaited: &Awaited) -> Result<Vec<u8>, String> {
+    fn await_it(&self, socket: &Arc<Socket>, awaited: &PendingOperation) -> OperationResult {
         loop {
             match awaited.take() {
                 Some(done) => return done,
@@ -285,10 +285,15 @@
     }
 
     /// Waits until what is told of an upload lasts.
-    fn durable(&self, archive: &Arc<Archive>, socket: &Arc<Socket>, id: UploadId) -> Result<(), String> {
+    fn durable(
+        &self,
+        archive: &Arc<UploadArchive>,
+        socket: &Arc<Socket>,
+        id: UploadId,
+    ) -> Result<(), ArchiveError> {
         let Some(entry) = lock(&archive.uploads).moved(id) else { return Ok(()) };
         let waker = socket.waker();
-        self.await_it(socket, &archive.note(entry, move || waker.wakeup())).map(drop)
+        self.await_it(socket, &archive.record(entry, move || waker.wakeup())).map(drop)
     }
 
     /// Archives what one message brings; then answers how far the upload is or, where it is whole, passes it on.
@@ -312,7 +317,7 @@
                 self.with(|owner, now| owner.gone(now, ticket));
                 return Next::Close(end);
             }
-            (_, Err(what)) => Own::new(500, what),
+            (_, Err(what)) => Own::new(500, what.to_string()),
             (Stored::Own(own), _) => own,
             (Stored::Whole, Ok(())) if asked.seen.upload.complete == Some(true) => {
                 return self.pass_on(archive, socket, ticket, id, came);
@@ -330,7 +335,7 @@
 
     fn take_in(&self, doing: &mut Doing, pipe: &mut BodyPipe, asked: &Asked, came: &mut Vec<u8>) -> Stored {
         let (archive, socket, ticket, id) = (doing.archive, doing.socket, doing.ticket, doing.id);
-        let mut on_its_way: Option<(usize, Awaited)> = None;
+        let mut on_its_way: Option<(usize, PendingOperation)> = None;
         if asked.seen.expects && asked.framing != Framing::Empty && came.is_empty() {
             if let Err(end) = self.put(socket, crate::http::GO_ON) {
                 return Stored::Gone(end);
@@ -351,7 +356,7 @@
                 on_its_way = None;
                 moved.up_took = octets as u64;
                 if let Err(what) = done {
-                    return Stored::Own(Own::new(500, what));
+                    return Stored::Own(Own::new(500, what.to_string()));
                 }
             }
             let rooms = lock(&self.owner).rooms(ticket);
@@ -402,11 +407,15 @@
     }
 
     /// Hands what waits to the archive.
-    fn archive_some(&self, doing: &mut Doing, pipe: &mut BodyPipe) -> Result<(usize, Awaited), Refused> {
+    fn archive_some(
+        &self,
+        doing: &mut Doing,
+        pipe: &mut BodyPipe,
+    ) -> Result<(usize, PendingOperation), Refused> {
         let octets = pipe.out.front().to_vec();
         let sum = crc32c::crc32c_append(doing.sum, &octets);
         let length = octets.len();
-        lock(&doing.archive.uploads).grow(doing.id, doing.holder, length as u64, sum, unix_now())?;
+        lock(&doing.archive.uploads).grow(doing.id, doing.holder, length as u64, sum, unix_seconds())?;
         doing.sum = sum;
         pipe.out.consume(length);
         let waker = doing.socket.waker();
@@ -418,7 +427,7 @@
         &self,
         doing: &mut Doing,
         pipe: &mut BodyPipe,
-        on_its_way: Option<(usize, Awaited)>,
+        on_its_way: Option<(usize, PendingOperation)>,
         end: CloseReason,
     ) -> Stored {
         let mut last = on_its_way.map(|(_, awaited)| awaited);
@@ -436,7 +445,7 @@
     /// A whole upload goes up, from the archive.
     fn pass_on(
         self: &Arc<Self>,
-        archive: &Arc<Archive>,
+        archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
         ticket: &Arc<Ticket>,
         id: UploadId,
@@ -460,7 +469,7 @@
                 self.exchange(socket, ticket, relay, Some(source), Some(end), came)
             }
             Err(bad) => {
-                archive.forget(id);
+                archive.remove(id);
                 self.with(|owner, now| owner.ended(now, ticket, RunEnd::Failed));
                 let mut out = Vec::new();
                 Own::bad(bad).write(&mut out, true, false);
@@ -473,7 +482,7 @@
 /// When one that was refused for what it is may come again.
 const HOLD_OFF: lynxtally::Span = lynxtally::Span::from_millis(1000);
 
-fn stands(archive: &Archive, id: UploadId) -> Option<(u64, bool)> {
+fn stands(archive: &UploadArchive, id: UploadId) -> Option<(u64, bool)> {
     lock(&archive.uploads).get(id).map(|upload| (upload.offset, upload.whole))
 }
 
