--- /dev/null
+++ b/crates/frontends/stream/src/body_pipe.rs
@@ -0,0 +1,256 @@
+//! One direction of a proxied body: bytes arrive in one framing and leave in another, with their content coding changed
+//! between where that is wanted.
+//!
+//! The pipe holds what its receiver has not taken yet. Its caller reads no more from the sender than there is room for,
+//! so a slow receiver slows the sender down.
+
+use crate::body::{Decoder, Encoder};
+use crate::content_coder::ContentCoder;
+use crate::http::{Bad, Field, Framing};
+use crate::output_buffer::OutputBuffer;
+
+/// One direction of a proxied body.
+pub struct BodyPipe {
+    decoder: Decoder,
+    coder: ContentCoder,
+    encoder: Encoder,
+    /// Input that could not be decoded yet for want of room.
+    undecoded: Vec<u8>,
+    /// What is to be written to the receiver.
+    pub out: OutputBuffer,
+    /// A copy of the body as it went into the encoder, for a retry, while it is kept.
+    replay_copy: Option<Vec<u8>>,
+    trailers: Vec<Field>,
+    /// Bytes of the body received, without framing.
+    received_bytes: u64,
+    /// Bytes of the body that went into the encoder.
+    encoded_bytes: u64,
+    /// Whether the whole body was received and its end is in `out`.
+    complete: bool,
+}
+
+impl BodyPipe {
+    /// A body that arrives in the framing `from` and leaves in the framing `to`.
+    pub fn new(from: Framing, to: Framing, coder: ContentCoder) -> Self {
+        Self {
+            decoder: Decoder::new(from),
+            coder,
+            encoder: Encoder::new(to),
+            undecoded: Vec::new(),
+            out: OutputBuffer::default(),
+            replay_copy: None,
+            trailers: Vec::new(),
+            received_bytes: 0,
+            encoded_bytes: 0,
+            complete: false,
+        }
+    }
+
+    /// Keeps a copy of the body from now on, so that it can be sent again.
+    pub fn keep_copy(&mut self) {
+        self.replay_copy = Some(Vec::new());
+    }
+
+    /// The copy of the body so far, or none if it is not kept.
+    pub fn kept_copy(&self) -> Option<&[u8]> {
+        self.replay_copy.as_deref()
+    }
+
+    /// Drops the copy: the body cannot be sent again.
+    pub fn drop_copy(&mut self) {
+        self.replay_copy = None;
+    }
+
+    /// Bytes of the body received, without framing.
+    pub fn received_bytes(&self) -> u64 {
+        self.received_bytes
+    }
+
+    /// Bytes of the body on their way out, after content coding and before framing.
+    pub fn encoded_bytes(&self) -> u64 {
+        self.encoded_bytes
+    }
+
+    /// Whether the whole body was received.
+    pub fn is_complete(&self) -> bool {
+        self.complete
+    }
+
+    /// Whether the whole body was received and written to its receiver.
+    pub fn is_done(&self) -> bool {
+        self.complete && self.out.is_empty()
+    }
+
+    /// Bytes held here, decoded or not; the copy for a retry is not among them.
+    pub fn buffered_bytes(&self) -> u64 {
+        (self.out.len() + self.undecoded.len()) as u64
+    }
+
+    /// Whether input waits to be decoded. Until then no more may be received.
+    pub fn has_undecoded(&self) -> bool {
+        !self.undecoded.is_empty()
+    }
+
+    /// How many of the next `length` bytes of input may go to the receiver as they are, without being copied here.
+    pub fn passthrough_length(&self, length: usize) -> usize {
+        let unchanged = self.coder.is_identity() && self.replay_copy.is_none();
+        let unframed = self.decoder.bare() && self.encoder.bare();
+        let nothing_before = self.out.is_empty() && self.undecoded.is_empty();
+        if unchanged && unframed && nothing_before {
+            self.decoder.available(length)
+        } else {
+            0
+        }
+    }
+
+    /// Counts bytes that went to the receiver as they were.
+    ///
+    /// # Errors
+    /// [`Bad::Length`] if the body ends here and is shorter than its framing said.
+    pub fn record_passthrough(&mut self, count: usize) -> Result<(), Bad> {
+        self.decoder.took(count);
+        self.encoder.passed(count);
+        self.received_bytes += count as u64;
+        self.encoded_bytes += count as u64;
+        self.finish_at_end()
+    }
+
+    /// Receives input while no more than `room` bytes wait, and returns how many bytes of it are used. These are fewer
+    /// than all only past the end of the body: input that cannot be decoded yet is kept.
+    ///
+    /// # Errors
+    /// What is wrong with the framing or the content coding of the body.
+    pub fn receive(&mut self, input: &[u8], room: usize) -> Result<usize, Bad> {
+        debug_assert!(self.undecoded.is_empty(), "input received before earlier input was decoded");
+        let used = self.decode(input, room)?;
+        if used < input.len() && !self.decoder.done() {
+            self.undecoded.extend_from_slice(&input[used..]);
+            return Ok(input.len());
+        }
+        Ok(used)
+    }
+
+    /// Decodes more of the input that waits.
+    ///
+    /// # Errors
+    /// As for [`Self::receive`].
+    pub fn decode_more(&mut self, room: usize) -> Result<(), Bad> {
+        let mut input = std::mem::take(&mut self.undecoded);
+        let used = self.decode(&input, room)?;
+        input.drain(..used);
+        if !self.decoder.done() {
+            self.undecoded = input;
+        }
+        Ok(())
+    }
+
+    fn decode(&mut self, input: &[u8], room: usize) -> Result<usize, Bad> {
+        let mut used = 0;
+        loop {
+            used += self.decoder.skip(&input[used..])?;
+            let data_length = self.decoder.available(input.len() - used);
+            let data = &input[used..used + data_length];
+            if data.is_empty() {
+                break;
+            }
+            let taken = self.code(data, room)?;
+            self.decoder.took(taken);
+            self.received_bytes += taken as u64;
+            used += taken;
+            if taken < data.len() {
+                break;
+            }
+        }
+        self.finish_at_end()?;
+        Ok(used)
+    }
+
+    /// Takes as much of the body as there is room for; all of it where its size does not change.
+    fn code(&mut self, data: &[u8], room: usize) -> Result<usize, Bad> {
+        if self.coder.is_identity() {
+            self.encode(data);
+            return Ok(data.len());
+        }
+        let mut taken = 0;
+        while taken < data.len() && self.out.len() < room {
+            let mut coded = Vec::new();
+            taken += self.coder.step(&data[taken..], &mut coded)?;
+            self.encode(&coded);
+        }
+        Ok(taken)
+    }
+
+    fn encode(&mut self, data: &[u8]) {
+        self.encoded_bytes += data.len() as u64;
+        if let Some(copy) = &mut self.replay_copy {
+            copy.extend_from_slice(data);
+        }
+        self.encoder.put(data, self.out.append_to());
+    }
+
+    /// Ends the outgoing body where the incoming one has ended.
+    fn finish_at_end(&mut self) -> Result<(), Bad> {
+        if !self.decoder.done() || self.complete {
+            return Ok(());
+        }
+        let mut coded = Vec::new();
+        self.coder.finish(&mut coded)?;
+        self.encode(&coded);
+        self.trailers = self.decoder.trailers();
+        if !self.encoder.finish(&self.trailers, self.out.append_to()) {
+            return Err(Bad::Length);
+        }
+        self.complete = true;
+        Ok(())
+    }
+
+    /// Sends out what the content coding holds back, when no input is there for now.
+    ///
+    /// # Errors
+    /// [`Bad::Coded`] if the body so far is not in its coding.
+    pub fn flush(&mut self) -> Result<(), Bad> {
+        if self.complete || self.coder.is_identity() {
+            return Ok(());
+        }
+        let mut coded = Vec::new();
+        self.coder.flush(&mut coded)?;
+        self.encode(&coded);
+        Ok(())
+    }
+
+    /// Notes that the sender sends no more, and returns whether the body is complete.
+    ///
+    /// # Errors
+    /// What is wrong with the end of the body.
+    pub fn end_of_input(&mut self) -> Result<bool, Bad> {
+        if self.decoder.ended() {
+            self.finish_at_end()?;
+        }
+        Ok(self.complete)
+    }
+
+    /// Starts the body: an empty one is complete at once.
+    ///
+    /// # Errors
+    /// [`Bad::Length`] if the outgoing framing promised bytes that an empty body does not have.
+    pub fn start(&mut self) -> Result<(), Bad> {
+        self.finish_at_end()
+    }
+
+    /// Takes the rest of the body from another sender, in the framing `from`.
+    pub fn resume_from(&mut self, from: Framing) {
+        self.decoder = Decoder::new(from);
+    }
+
+    /// Sends the body again: what waited is dropped, and the copy goes out behind `head`, in the framing `to`.
+    pub fn replay(&mut self, head: &[u8], to: Framing) {
+        self.out = OutputBuffer::default();
+        self.out.append_to().extend_from_slice(head);
+        self.encoder = Encoder::new(to);
+        let copy = self.replay_copy.as_deref().unwrap_or(&[]);
+        self.encoder.put(copy, self.out.append_to());
+        if self.complete {
+            self.complete = self.encoder.finish(&self.trailers, self.out.append_to());
+        }
+    }
+}
