--- a/crates/core/engine/src/deduplication.rs
+++ b/crates/core/engine/src/deduplication.rs
@@ -162,7 +162,8 @@
         }
     }
 
-    /// A request's run ended; returns the duplicates that waited for it.
+    /// A request's run ended; returns the duplicates that waited for it. Where the result has no room among those that
+    /// are retained it is not: nothing is evicted for it, and later duplicates fail rather than run again.
     pub fn run_ended(
         &mut self,
         key: &IdempotencyKey,
--- a/crates/core/engine/src/request.rs
+++ b/crates/core/engine/src/request.rs
@@ -36,7 +36,8 @@
 pub enum RejectionReason {
     /// There is no scheduler yet. The frontend responds that it was rejected.
     NotStarted,
-    /// Its name is in use by another request. The frontend responds that it was rejected.
+    /// Its name is in use by another request. The frontend responds that it was rejected where the request is idempotent;
+    /// else that it failed, as its caller may take it for the other one, which may be executed.
     NameInUse,
     /// It came under the idempotency key of another request and is not the same. The frontend responds that it failed:
     /// a caller that takes the two for one must not be told that neither was executed.
--- a/crates/core/engine/src/response.rs
+++ b/crates/core/engine/src/response.rs
@@ -7,7 +7,7 @@
 pub enum FinalResponse {
     /// The result that its run made, unchanged.
     Completed(Vec<u8>),
-    /// It was never executed.
+    /// It had no effect: it was never started, or it is idempotent. The caller may send it elsewhere.
     Rejected {
         /// How long the caller should stay away.
         retry_after: Span,
--- a/crates/core/lease-client/src/lease.rs
+++ b/crates/core/lease-client/src/lease.rs
@@ -63,7 +63,7 @@
     }
 
     /// Takes a new lease; whether the amount in force changes. A lease that expired before it came leaves nothing in
-    /// force, not even what was there before: the coordinators may count on it that the newer one holds.
+    /// force, not even what was there before: the coordinators may already count only the newer one as outstanding.
     pub fn renew(&mut self, now: Instant, lease: &Lease, expires_at: Instant) -> bool {
         let amount_before = self.amount();
         let duration = Span::from_micros(lease.duration_us);
--- a/crates/frontends/net/src/close_reason.rs
+++ b/crates/frontends/net/src/close_reason.rs
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Whether the caller at the other end no longer waits for its response. One that only stopped sending still reads.
+    /// Whether a caller whose connection ended so no longer waits for its response. One that only stopped sending, the
+    /// half-close of [`Self::ClosedByPeer`], still reads it.
     pub fn caller_gone(self) -> bool {
         !matches!(self, Self::ClosedByPeer | Self::Completed | Self::IdleTimeout)
     }
--- a/crates/lynxtally-node/src/config.rs
+++ b/crates/lynxtally-node/src/config.rs
@@ -85,7 +85,8 @@
         }
     }
 
-    /// The keys whose values differ in a newer configuration and can't take effect in a running program.
+    /// The keys whose values differ in a newer configuration and can't take effect in a running program. The seed is not
+    /// among them: it serves only the start, and a new one is drawn for each configuration.
     pub fn changed_fixed_keys(&self, newer: &Self) -> Vec<&'static str> {
         [
             ("name", self.name != newer.name),
--- a/crates/lynxtally-node/src/downstream/connection.rs
+++ b/crates/lynxtally-node/src/downstream/connection.rs
@@ -155,7 +155,9 @@
             }
             if connection.is_flushed() && !written {
                 // The clock is read here and not sooner: a process that was stopped on the way to here wakes with a
-                // call whose time may be over, and whose share of the dependency another node may have by now.
+                // call whose time may be over, and whose share of the dependency another node may have by now. This is
+                // the monotonic clock, which stands still while the machine is suspended; the lease's own clock does
+                // not (`coordination`), and a suspension between that check and this one is covered up to its pause margin.
                 let left = call.deadline.saturating_duration_since(Instant::now());
                 if left.is_zero() {
                     return self.without_reply(CloseReason::TimedOut, false);
--- a/crates/lynxtally-node/src/event_loop/mod.rs
+++ b/crates/lynxtally-node/src/event_loop/mod.rs
@@ -63,7 +63,7 @@
     shutdown: ShutdownProgress,
     counters: Arc<Counters>,
     /// Where coordinators are named.
-    shares: Option<Coordination>,
+    coordination: Option<Coordination>,
 }
 
 /// The other parts, as the event loop reaches them.
@@ -85,7 +85,7 @@
     /// The counters.
     pub counters: Arc<Counters>,
     /// This node's part in what the fleet has together, where coordinators are named.
-    pub shares: Option<Coordination>,
+    pub coordination: Option<Coordination>,
 }
 
 /// Wakes the event loop when a timer expires.
@@ -144,7 +144,7 @@
             wakeup: Wakeup { timer: parts.timer, event_loop: parts.event_loop, scheduled_at: None },
             shutdown: ShutdownProgress::default(),
             counters: parts.counters,
-            shares: parts.shares,
+            coordination: parts.coordination,
             clock: Clock::default(),
             config,
             engine,
@@ -175,20 +175,23 @@
     }
 
     fn decide(&mut self, now: Instant) {
-        if let Some(shares) = &mut self.shares {
-            shares.apply_leases(now, &mut self.engine);
+        if let Some(coordination) = &mut self.coordination {
+            coordination.apply_leases(now, &mut self.engine);
         }
         self.engine.decide(now, &mut self.executor, &mut self.responder);
-        if let Some(shares) = &mut self.shares {
-            shares.report_and_send(&mut self.engine);
+        if let Some(coordination) = &mut self.coordination {
+            coordination.report_and_send(&mut self.engine);
         }
     }
 
     /// Schedules a wakeup for the next timer, of the engine or of coordination.
     fn schedule_wakeup(&mut self) {
-        let shares_timer =
-            self.shares.as_ref().and_then(Coordination::time_to_deadline).map(|wait| self.clock.now() + wait);
-        let next = [self.engine.next_timer(), shares_timer].into_iter().flatten().min();
+        let coordination_timer = self
+            .coordination
+            .as_ref()
+            .and_then(Coordination::time_to_deadline)
+            .map(|wait| self.clock.now() + wait);
+        let next = [self.engine.next_timer(), coordination_timer].into_iter().flatten().min();
         if let Some(at) = next {
             self.wakeup.schedule(at, self.clock.now());
         }
@@ -202,8 +205,8 @@
             Message::ExecutorLinkLost => self.executor.link_lost(),
             Message::CallEnded { id, number, end } => self.call_ended(now, &id, number, end),
             Message::CoordinatorReply(CoordinatorReply { token, reply }) => {
-                if let Some(shares) = &mut self.shares {
-                    shares.on_response(&mut self.engine, token, reply);
+                if let Some(coordination) = &mut self.coordination {
+                    coordination.on_response(&mut self.engine, token, reply);
                 }
             }
             Message::TimerFired => {}
--- a/crates/lynxtally-node/src/event_loop/shutdown.rs
+++ b/crates/lynxtally-node/src/event_loop/shutdown.rs
@@ -36,8 +36,8 @@
 impl EventLoop {
     /// SIGTERM came. A second one changes nothing: the first one's kill still comes.
     pub(super) fn begin_shutdown(&mut self, now: Instant) {
-        if let Some(shares) = &mut self.shares {
-            shares.leave();
+        if let Some(coordination) = &mut self.coordination {
+            coordination.leave();
         }
         let timeout = span(self.config.shutdown_timeout);
         if !self.engine.begin_drain(now, timeout) {
--- a/crates/lynxtally-node/src/node.rs
+++ b/crates/lynxtally-node/src/node.rs
@@ -70,9 +70,9 @@
     node.start_listener(socket, &supervisor)?;
     node.start_executor_link(&supervisor)?;
     let health_reporter = node.start_health_reports(&config, &supervisor)?;
-    let shares = node.start_shares(&config)?;
+    let coordination = node.start_coordination(&config)?;
     let counters = node.counters.clone();
-    node.start_event_loop(config, health_reporter, shares, supervisor)?;
+    node.start_event_loop(config, health_reporter, coordination, supervisor)?;
 
     let outcome = outcomes.recv().unwrap_or(Outcome::Failed);
     thread::sleep(FINAL_FLUSH_TIME);
@@ -204,7 +204,7 @@
         Ok(reporter)
     }
 
-    fn start_shares(&self, config: &Config) -> Result<Option<Coordination>, NodeError> {
+    fn start_coordination(&self, config: &Config) -> Result<Option<Coordination>, NodeError> {
         let Some(settings) = config.shares.clone() else { return Ok(None) };
         let event_loop = self.event_loop.clone();
         let on_reply = move |token, reply| {
@@ -220,7 +220,7 @@
         self,
         config: Config,
         health_reporter: HealthReporter,
-        shares: Option<Coordination>,
+        coordination: Option<Coordination>,
         supervisor: Supervisor,
     ) -> Result<(), NodeError> {
         let messages = self.messages;
@@ -233,7 +233,7 @@
             listener: self.listener,
             advertised: self.advertised,
             counters: self.counters,
-            shares,
+            coordination,
         };
         let run = move || run_event_loop(config, parts, &messages, &supervisor.0);
         let on_panic =
--- a/src/action.rs
+++ b/src/action.rs
@@ -10,7 +10,7 @@
     Start(RequestId),
     /// Take a running request off the cores.
     Stop(RequestId),
-    /// Final response: rejected, never executed.
+    /// Final response: rejected. It had no effect: it was never started, or may be executed again.
     Reject {
         /// The request.
         request: RequestId,
--- a/src/outbox.rs
+++ b/src/outbox.rs
@@ -122,6 +122,8 @@
             }
             (RequestState::AwaitingCall, RequestState::Running) => actions.push(Action::Degrade(id)),
             (RequestState::Running, RequestState::Finishing) => actions.push(Action::Stop(id)),
+            // All else the host knows by itself. A run that waits for a call or makes one when its request is finished
+            // gets no action: it is ended by the executor, which gives no reply to a request that is over.
             _ => {}
         }
     }
--- a/src/policy/downstream_calls.rs
+++ b/src/policy/downstream_calls.rs
@@ -76,7 +76,7 @@
             request.call.attempts += 1;
         }
         self.learn_from_failed_call(took, outcome);
-        self.queue_call(id);
+        self.queue_call(id); // In any case: also a call that is not retried counts as demand for calls.
         let request = &self.requests[id];
         if !request.response_owed {
             self.requests.set_known_state(id, RequestState::Finishing);
--- a/src/policy/final_response.rs
+++ b/src/policy/final_response.rs
@@ -43,8 +43,8 @@
         }
     }
 
-    /// The caller stopped waiting. What was not started never is; whether a run ends early is the host's
-    /// choice.
+    /// The caller stopped waiting. What was not started never is. A run goes on, as duplicates may get its
+    /// result; one that waits for a call gets none, and the executor ends it by itself.
     pub(super) fn caller_gone(&mut self, id: RequestId) {
         self.requests[id].response_owed = false;
         self.requests.leave_queue(id);
--- a/src/request.rs
+++ b/src/request.rs
@@ -76,7 +76,8 @@
     pub work: f64,
     /// Expected core time over the latency objective, in cores.
     pub demand: f64,
-    /// Utility over demand: the order in which queues are served.
+    /// Utility over demand, the rate of the SLICE paper (docs/design.md): a priority, no events a second. Queues are served
+    /// in its order.
     pub rate: f64,
     /// Its rate was halved because it has been queued for long.
     pub stale: bool,
