--- a/crates/testing/simulator/src/lib.rs
+++ b/crates/testing/simulator/src/lib.rs
@@ -5,12 +5,13 @@
 
 #![forbid(unsafe_code)]
 
+pub mod coordination;
 pub mod cores;
 pub mod dependency;
 pub mod event_queue;
 pub mod outcome;
 pub mod scenario;
-pub mod shares;
+
 pub mod sidecar;
 pub mod violations;
 pub mod work_distribution;
