--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -175,8 +175,8 @@
             .iter()
             .map(|step| {
                 let value = if step.value > 0.0 { format!(" {:.2}", step.value) } else { String::new() };
-                let (part, from) = (step.part * 100.0, step.from * 100.0);
-                format!("{:.1} s: {}{value}, {part:.0} % from {from:.0} %", step.at_s, step.what)
+                let (part, from) = (step.node_fraction * 100.0, step.from_fraction * 100.0);
+                format!("{:.1} s: {}{value}, {part:.0} % from {from:.0} %", step.at_s, step.fault)
             })
             .collect();
         let after = match one.after {
@@ -224,7 +224,7 @@
          count.\n\n{}\n",
         file.display(),
         spec.seeds,
-        spec.lasts_s,
+        spec.duration_s,
         spec.warm_up_s,
         report::summary(&spec, &all_records)
     );
@@ -237,9 +237,9 @@
         std::fs::write(out.join(format!("{}.{ending}", spec.name)), text).map_err(io)?;
     }
     print!("{}", report::summary(&spec, &all_records));
-    let broken: Vec<&Record> = all_records.iter().filter(|record| !record.broken.is_empty()).collect();
+    let broken: Vec<&Record> = all_records.iter().filter(|record| !record.violations.is_empty()).collect();
     for record in broken.iter().take(5) {
-        println!("{:?}: {}", record.cell, record.broken.join("; "));
+        println!("{:?}: {}", record.cell, record.violations.join("; "));
     }
     // A baseline may break what it never promised; the module may not.
     match broken.iter().any(|record| record.cell.policy == "module") {
--- a/crates/testing/benchmarks/src/lab.rs
+++ b/crates/testing/benchmarks/src/lab.rs
@@ -56,7 +56,7 @@
         runs.into_iter().filter_map(|run| run.join().ok()).collect::<Vec<_>>()
     });
     let took = start.elapsed().as_secs_f64();
-    let tasks: u64 = records.iter().map(|record| record.tasks).sum();
+    let tasks: u64 = records.iter().map(|record| record.requests).sum();
     let events: u64 = records.iter().map(|record| record.events).sum();
     Ok((tasks as f64 / took, events as f64 / took, lasts * records.len() as f64 / took))
 }
