--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -10,11 +10,11 @@
 use lynxtally_dns::tsig::Key;
 use lynxtally_wal::WriteAheadLog;
 use lynxtally_zones::change::between;
-use lynxtally_zones::secondary::Brought;
+use lynxtally_zones::secondary::TransferResult;
 use lynxtally_zones::zone_file;
-use lynxtally_zones::zone_store::{decode, Entry, Snapshot};
+use lynxtally_zones::zone_store::{decode, Snapshot, ZoneLogEntry};
 use lynxtally_zones::Record;
-use lynxtally_zones::{Kind, Name, Zone};
+use lynxtally_zones::{Name, RecordType, Zone};
 use rand::Rng;
 use serde_json::json;
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -52,7 +52,7 @@
         name: Name,
         /// The kind of record.
         #[arg(default_value = "A", value_parser = kind)]
-        kind: Kind,
+        kind: RecordType,
         /// Over a connection from the start.
         #[arg(long)]
         tcp: bool,
@@ -146,8 +146,8 @@
     patience_ms: u64,
 }
 
-fn kind(text: &str) -> Result<Kind, String> {
-    Kind::parse(text).ok_or_else(|| format!("{text:?} is no kind of record"))
+fn kind(text: &str) -> Result<RecordType, String> {
+    RecordType::parse(text).ok_or_else(|| format!("{text:?} is no kind of record"))
 }
 
 impl Server {
@@ -231,11 +231,11 @@
     }
 }
 
-fn read_file(path: &Path, apex: Option<&Name>, refused: usize) -> Result<zone_file::Read, Failed> {
+fn read_file(path: &Path, apex: Option<&Name>, refused: usize) -> Result<zone_file::ParsedZoneFile, Failed> {
     let shown = path.display().to_string();
     let text = std::fs::read(path).map_err(|fault| wrong(format!("{shown}: {fault}")))?;
     let folder = path.parent().map(Path::to_owned).unwrap_or_default();
-    let limits = zone_file::Limits { refused, ..zone_file::Limits::default() };
+    let limits = zone_file::ZoneFileLimits { refused, ..zone_file::ZoneFileLimits::default() };
     Ok(zone_file::read(&shown, &text, apex, limits, &mut |name| server::include(&folder, name)))
 }
 
@@ -316,15 +316,15 @@
         let mut data = vec![0, 0];
         data.extend(serial.to_be_bytes());
         data.extend([0; 16]);
-        Record { name: zone.clone(), kind: Kind::SOA, ttl: 0, data }
+        Record { name: zone.clone(), kind: RecordType::SOA, ttl: 0, data }
     });
     let brought = client
         .transfer(zone, soa.as_ref(), usize::MAX / 2, rand::rng().random())
         .map_err(|fault| wrong(format!("{}: {fault}", client.server)))?;
     match brought {
-        Brought::Nothing(serial) => println!("; nothing is newer than {serial}"),
-        Brought::Changes(changes) => changes.iter().for_each(print_change),
-        Brought::Whole(records) => {
+        TransferResult::UpToDate(serial) => println!("; nothing is newer than {serial}"),
+        TransferResult::Incremental(changes) => changes.iter().for_each(print_change),
+        TransferResult::Full(records) => {
             let version = lynxtally_zones::secondary::version(zone, None, &records).map_err(wrong)?;
             print!("{}", zone_file::write(&version));
         }
@@ -358,7 +358,7 @@
     faults.extend(snapshot.err());
     let mut count = 0;
     for octets in &found.entries {
-        match decode::<Entry>(octets) {
+        match decode::<ZoneLogEntry>(octets) {
             Ok(entry) if show => show_entry(&entry),
             Ok(_) => {}
             Err(what) => faults.push(format!("entry {count}: {what}")),
@@ -385,19 +385,21 @@
     }
 }
 
-fn show_entry(entry: &Entry) {
+fn show_entry(entry: &ZoneLogEntry) {
     match entry {
-        Entry::Changed { change, lease, .. } => {
+        ZoneLogEntry::Changed { change, lease, .. } => {
             let held = if *lease > 0 { format!(", held for {lease} s") } else { String::new() };
             println!("; {} to {}{held}", change.from, change.to);
             print_change(change);
         }
-        Entry::Kept(records) => {
+        ZoneLogEntry::Kept(records) => {
             for (name, kind, data) in records {
                 println!("; no longer held: {name} {kind} {}", kind.write(data));
             }
         }
-        Entry::Based { base, serial, .. } => println!("; {serial}: the file was read again, base {base}"),
-        Entry::Followed { base } => println!("; a version from a primary, base {base}"),
+        ZoneLogEntry::Based { base, serial, .. } => {
+            println!("; {serial}: the file was read again, base {base}")
+        }
+        ZoneLogEntry::Followed { base } => println!("; a version from a primary, base {base}"),
     }
 }
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -4,9 +4,9 @@
 use crate::{Failed, Format};
 use lynxtally_dns::client::Client;
 use lynxtally_dns::codec::Question;
-use lynxtally_zones::record_type::{read_time, Word};
-use lynxtally_zones::update::{Raw, Sense};
-use lynxtally_zones::{Kind, Name};
+use lynxtally_zones::record_type::{read_time, Token};
+use lynxtally_zones::update::{UpdateClass, UpdateRecord};
+use lynxtally_zones::{Name, RecordType};
 use rand::Rng;
 use std::path::Path;
 
@@ -14,13 +14,13 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Steps {
     /// What must hold.
-    pub needs: Vec<Raw>,
+    pub needs: Vec<UpdateRecord>,
     /// What is done.
-    pub edits: Vec<Raw>,
+    pub edits: Vec<UpdateRecord>,
 }
 
 /// Splits a step into words; quotes keep spaces.
-fn words(text: &str) -> Result<Vec<Word<'_>>, String> {
+fn words(text: &str) -> Result<Vec<Token<'_>>, String> {
     let (mut all, mut rest) = (Vec::new(), text.trim_start());
     while !rest.is_empty() {
         let (word, after, quoted) = if let Some(inner) = rest.strip_prefix('"') {
@@ -36,7 +36,7 @@
             let end = rest.find(char::is_whitespace).unwrap_or(rest.len());
             (&rest[..end], &rest[end..], false)
         };
-        all.push(Word { text: word.as_bytes(), quoted });
+        all.push(Token { text: word.as_bytes(), quoted });
         rest = after.trim_start();
     }
     Ok(all)
@@ -53,29 +53,33 @@
         let name = Name::parse(name.text, Some(zone)).map_err(|bad| bad.to_string())?;
         let kind = |n: usize| {
             word(n)
-                .map(|text| Kind::parse(&text).ok_or_else(|| format!("{text:?} is no kind of record")))
+                .map(|text| RecordType::parse(&text).ok_or_else(|| format!("{text:?} is no kind of record")))
                 .transpose()
         };
-        let data = |kind: Kind, from: usize| kind.read(&words[from..], Some(zone)).map_err(|bad| bad.what);
-        let raw = |kind: Kind, sense, ttl, data| Raw { name: name.clone(), kind, sense, ttl, data };
+        let data =
+            |kind: RecordType, from: usize| kind.read(&words[from..], Some(zone)).map_err(|bad| bad.what);
+        let raw =
+            |kind: RecordType, sense, ttl, data| UpdateRecord { name: name.clone(), kind, sense, ttl, data };
         match verb.as_str() {
             "add" => {
                 let ttl =
                     words.get(2).and_then(|word| read_time(word.text)).ok_or("a time to live is missing")?;
                 let kind = kind(3)?.ok_or("a kind of record is missing")?;
-                self.edits.push(raw(kind, Sense::Own, ttl, data(kind, 4)?));
+                self.edits.push(raw(kind, UpdateClass::Zone, ttl, data(kind, 4)?));
             }
             "del" => self.edits.push(match kind(2)? {
-                None => raw(Kind::ANY, Sense::Any, 0, Vec::new()),
-                Some(kind) if words.len() == 3 => raw(kind, Sense::Any, 0, Vec::new()),
-                Some(kind) => raw(kind, Sense::None, 0, data(kind, 3)?),
+                None => raw(RecordType::ANY, UpdateClass::Any, 0, Vec::new()),
+                Some(kind) if words.len() == 3 => raw(kind, UpdateClass::Any, 0, Vec::new()),
+                Some(kind) => raw(kind, UpdateClass::None, 0, data(kind, 3)?),
             }),
             "need" => self.needs.push(match kind(2)? {
-                None => raw(Kind::ANY, Sense::Any, 0, Vec::new()),
-                Some(kind) if words.len() == 3 => raw(kind, Sense::Any, 0, Vec::new()),
-                Some(kind) => raw(kind, Sense::Own, 0, data(kind, 3)?),
+                None => raw(RecordType::ANY, UpdateClass::Any, 0, Vec::new()),
+                Some(kind) if words.len() == 3 => raw(kind, UpdateClass::Any, 0, Vec::new()),
+                Some(kind) => raw(kind, UpdateClass::Zone, 0, data(kind, 3)?),
             }),
-            "need-not" => self.needs.push(raw(kind(2)?.unwrap_or(Kind::ANY), Sense::None, 0, Vec::new())),
+            "need-not" => {
+                self.needs.push(raw(kind(2)?.unwrap_or(RecordType::ANY), UpdateClass::None, 0, Vec::new()))
+            }
             other => return Err(format!("{other:?} is no step; add, del, need and need-not are")),
         }
         Ok(())
@@ -111,7 +115,7 @@
         needs: &all.needs,
         edits: &all.edits,
         lease,
-        ..lynxtally_dns::client::query(rand::rng().random(), zone, Kind::SOA)
+        ..lynxtally_dns::client::query(rand::rng().random(), zone, RecordType::SOA)
     };
     let answered = client.ask(&question).map_err(|fault| format!("{}: {fault}", client.server))?;
     print_answer(&answered, format);
--- a/crates/core/zones/src/change.rs
+++ b/crates/core/zones/src/change.rs
@@ -3,8 +3,8 @@
 
 use crate::name::Name;
 use crate::name_tree::Node;
-use crate::record::{Record, Set};
-use crate::record_type::Kind;
+use crate::record::{Record, RecordSet};
+use crate::record_type::RecordType;
 use crate::serial::Serial;
 use crate::zone::Zone;
 use serde::{Deserialize, Serialize};
@@ -27,21 +27,21 @@
 
 /// Why a change can't be applied to a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Misfit {
+pub enum ChangeError {
     /// It leads on from another version.
     Version(Serial, Serial),
     /// A record that it removes is not there.
     Missing(Record),
     /// A record that it adds is there, or can't stand there.
-    Unfit(Record),
+    Rejected(Record),
 }
 
-impl fmt::Display for Misfit {
+impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Version(own, from) => write!(f, "the version is {own}, the change leads on from {from}"),
             Self::Missing(record) => write!(f, "not there to be removed: {record}"),
-            Self::Unfit(record) => write!(f, "can't be added: {record}"),
+            Self::Rejected(record) => write!(f, "can't be added: {record}"),
         }
     }
 }
@@ -78,19 +78,19 @@
     }
 
     /// Makes the version after from the one before; all or nothing.
-    pub fn apply(&self, zone: &Zone) -> Result<Zone, Misfit> {
+    pub fn apply(&self, zone: &Zone) -> Result<Zone, ChangeError> {
         if zone.serial() != self.from {
-            return Err(Misfit::Version(zone.serial(), self.from));
+            return Err(ChangeError::Version(zone.serial(), self.from));
         }
         let mut next = zone.clone();
         for record in &self.removed {
             if !next.remove(&record.name, record.kind, &record.data) {
-                return Err(Misfit::Missing(record.clone()));
+                return Err(ChangeError::Missing(record.clone()));
             }
         }
         for record in &self.added {
             if next.add(record) != Ok(true) {
-                return Err(Misfit::Unfit(record.clone()));
+                return Err(ChangeError::Rejected(record.clone()));
             }
         }
         Ok(next)
@@ -139,10 +139,14 @@
     });
 }
 
-fn sets_differ(old: &[Set], new: &[Set], name: &Name, change: &mut Change) {
-    let find = |sets: &[Set], kind: Kind| sets.iter().find(|set| set.kind == kind).cloned();
-    let record =
-        |kind: Kind, ttl: u32, data: &[u8]| Record { name: name.clone(), kind, ttl, data: data.to_vec() };
+fn sets_differ(old: &[RecordSet], new: &[RecordSet], name: &Name, change: &mut Change) {
+    let find = |sets: &[RecordSet], kind: RecordType| sets.iter().find(|set| set.kind == kind).cloned();
+    let record = |kind: RecordType, ttl: u32, data: &[u8]| Record {
+        name: name.clone(),
+        kind,
+        ttl,
+        data: data.to_vec(),
+    };
     for set in old {
         let other = find(new, set.kind);
         if other.as_ref() == Some(set) {
@@ -171,13 +175,13 @@
 
 /// The last changes, from one version to the next without a gap, up to so many records.
 #[derive(Clone, Debug, Default)]
-pub struct History {
+pub struct ChangeHistory {
     changes: VecDeque<Arc<Change>>,
     records: usize,
     most: usize,
 }
 
-impl History {
+impl ChangeHistory {
     /// An empty log that keeps so many records at most.
     pub fn new(most: usize) -> Self {
         Self { most, ..Self::default() }
--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -4,14 +4,14 @@
 
 use crate::name::Name;
 use crate::record::Record;
-use crate::record_type::Kind;
+use crate::record_type::RecordType;
 use crate::zone::Zone;
 use lynxtally::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How leases are kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
+pub struct LeaseLimits {
     /// The shortest and the longest that is granted.
     pub least: Span,
     /// See there.
@@ -25,7 +25,7 @@
     pub suspect_least: usize,
 }
 
-impl Default for Limits {
+impl Default for LeaseLimits {
     fn default() -> Self {
         Self {
             least: Span::from_millis(30_000),
@@ -38,7 +38,7 @@
 }
 
 /// What a lease is about.
-type Held = (Name, Kind, Vec<u8>);
+type LeasedRecord = (Name, RecordType, Vec<u8>);
 
 #[derive(Clone, Debug)]
 struct Lease {
@@ -48,10 +48,10 @@
 
 /// All leases of a zone.
 #[derive(Clone, Debug)]
-pub struct Leases {
-    limits: Limits,
-    by_record: BTreeMap<Held, Lease>,
-    by_time: BTreeSet<(Instant, Held)>,
+pub struct LeaseTable {
+    limits: LeaseLimits,
+    by_record: BTreeMap<LeasedRecord, Lease>,
+    by_time: BTreeSet<(Instant, LeasedRecord)>,
     /// Leases renewed in time, and leases that ran out, faded over the usual length of a lease.
     renewed: f64,
     lapsed: f64,
@@ -65,9 +65,9 @@
 
 /// What is to be done about leases that ran out.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Lapse {
+pub struct LeaseExpiry {
     /// These records go.
-    pub gone: Vec<(Name, Kind, Vec<u8>)>,
+    pub gone: Vec<(Name, RecordType, Vec<u8>)>,
     /// So many ran out and stay all the same.
     pub kept: usize,
     /// Whether the path became suspect just now, or well again.
@@ -77,9 +77,9 @@
 /// Leases that ran out and stay are looked at again after this part of their length.
 const AGAIN: f64 = 0.1;
 
-impl Leases {
+impl LeaseTable {
     /// No leases yet.
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: LeaseLimits) -> Self {
         Self {
             limits,
             by_record: BTreeMap::new(),
@@ -119,7 +119,7 @@
     }
 
     /// All of them with their lengths, for the log.
-    pub fn all(&self) -> impl Iterator<Item = (&Held, Span)> {
+    pub fn all(&self) -> impl Iterator<Item = (&LeasedRecord, Span)> {
         self.by_record.iter().map(|(held, lease)| (held, lease.span))
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// A record is held from now on for so long, again or for the first time.
-    pub fn hold(&mut self, now: Instant, name: &Name, kind: Kind, data: &[u8], span: Span) {
+    pub fn hold(&mut self, now: Instant, name: &Name, kind: RecordType, data: &[u8], span: Span) {
         self.fade(now);
         let held = (name.clone(), kind, data.to_vec());
         let lease = Lease { span, until: now + span };
@@ -148,7 +148,7 @@
     }
 
     /// A record is held no more: it was taken out, or is there for good.
-    pub fn release(&mut self, name: &Name, kind: Kind, data: &[u8]) {
+    pub fn release(&mut self, name: &Name, kind: RecordType, data: &[u8]) {
         let held = (name.clone(), kind, data.to_vec());
         if let Some(lease) = self.by_record.remove(&held) {
             self.by_time.remove(&(lease.until, held));
@@ -170,7 +170,7 @@
     }
 
     /// Takes the leases that ran out by now and says which records go.
-    pub fn lapse(&mut self, now: Instant, zone: &Zone) -> Lapse {
+    pub fn lapse(&mut self, now: Instant, zone: &Zone) -> LeaseExpiry {
         self.fade(now);
         let mut over = Vec::new();
         while let Some((at, held)) = self.by_time.first().filter(|(at, _)| *at <= now).cloned() {
@@ -178,10 +178,10 @@
             over.push(held);
         }
         if over.is_empty() {
-            return Lapse { turned: self.judge(now), ..Lapse::default() };
+            return LeaseExpiry { turned: self.judge(now), ..LeaseExpiry::default() };
         }
         self.lapsed += over.len() as f64;
-        let mut lapse = Lapse { turned: self.judge(now), ..Lapse::default() };
+        let mut lapse = LeaseExpiry { turned: self.judge(now), ..LeaseExpiry::default() };
         // Of one name's records taken out in this turn.
         let mut taken: BTreeMap<Name, usize> = BTreeMap::new();
         for held in over {
@@ -213,18 +213,18 @@
         now: Instant,
         zone: &Zone,
         name: &Name,
-        kind: Kind,
+        kind: RecordType,
         span: Span,
         taken: &BTreeMap<Name, usize>,
     ) -> bool {
-        if !matches!(kind, Kind::A | Kind::AAAA) {
+        if !matches!(kind, RecordType::A | RecordType::AAAA) {
             return true;
         }
         let lately = self.gone.entry(name.clone()).or_default();
         lately.retain(|at| now - *at < span);
         let now_gone = taken.get(name).copied().unwrap_or(0);
         let of = |kind| zone.set(name, kind).map_or(0, |set| set.count());
-        let there = of(Kind::A) + of(Kind::AAAA);
+        let there = of(RecordType::A) + of(RecordType::AAAA);
         let left = there - now_gone;
         // Those that went lately are still counted as the name's, so that it shrinks by a share and not by a
         // share of what is left, again and again.
@@ -235,7 +235,7 @@
 
     /// After a restart nobody could renew for a while: each lease begins anew.
     pub fn restart(&mut self, now: Instant) {
-        let all: Vec<(Held, Span)> = self.all().map(|(held, span)| (held.clone(), span)).collect();
+        let all: Vec<(LeasedRecord, Span)> = self.all().map(|(held, span)| (held.clone(), span)).collect();
         self.by_time.clear();
         self.by_record.clear();
         for ((name, kind, data), span) in all {
--- a/crates/core/zones/src/lib.rs
+++ b/crates/core/zones/src/lib.rs
@@ -20,8 +20,8 @@
 pub mod zone_store;
 
 pub use name::Name;
-pub use record::{Record, Set};
-pub use record_type::Kind;
+pub use record::{Record, RecordSet};
+pub use record_type::RecordType;
 pub use serial::Serial;
 pub use soa::Soa;
 pub use zone::Zone;
--- a/crates/core/zones/src/lookup.rs
+++ b/crates/core/zones/src/lookup.rs
@@ -3,32 +3,32 @@
 
 use crate::name::Starts;
 use crate::name_tree::Node;
-use crate::record::{unpack, Set};
-use crate::record_type::{replace_end, Kind};
+use crate::record::{unpack, RecordSet};
+use crate::record_type::{replace_end, RecordType};
 use crate::zone::Zone;
 use smallvec::SmallVec;
 use std::borrow::Cow;
 
 /// How many aliases one answer follows.
-const CHAIN_MOST: usize = 16;
+const MAX_ALIASES: usize = 16;
 /// How many targets' addresses go along at most.
-const TARGETS_MOST: usize = 16;
+const MAX_TARGETS: usize = 16;
 
 /// Records of one owner and kind as they go out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Entry<'a> {
+pub struct ResponseSet<'a> {
     /// The owner, in wire form.
     pub owner: Cow<'a, [u8]>,
     /// The kind.
-    pub kind: Kind,
+    pub kind: RecordType,
     /// The time to live.
     pub ttl: u32,
-    /// The records' data, packed as a [`Set`] has it.
+    /// The records' data, packed as a [`RecordSet`] has it.
     pub packed: Cow<'a, [u8]>,
 }
 
-impl<'a> Entry<'a> {
-    fn of(owner: Cow<'a, [u8]>, set: &'a Set) -> Self {
+impl<'a> ResponseSet<'a> {
+    fn of(owner: Cow<'a, [u8]>, set: &'a RecordSet) -> Self {
         Self { owner, kind: set.kind, ttl: set.ttl, packed: Cow::Borrowed(set.packed()) }
     }
 
@@ -56,68 +56,68 @@
 
 /// The sections of an answer.
 #[derive(Clone, Debug, Default)]
-pub struct Found<'a> {
+pub struct LookupResult<'a> {
     /// What became of it.
     pub outcome: Outcome,
     /// The aliases on the way, and the records.
-    pub answer: SmallVec<[Entry<'a>; 2]>,
+    pub answer: SmallVec<[ResponseSet<'a>; 2]>,
     /// The SOA of what is not there, or the servers of a referral.
-    pub authority: SmallVec<[Entry<'a>; 1]>,
+    pub authority: SmallVec<[ResponseSet<'a>; 1]>,
     /// Addresses that go along.
-    pub additional: SmallVec<[Entry<'a>; 2]>,
+    pub additional: SmallVec<[ResponseSet<'a>; 2]>,
 }
 
 /// Where the way to a name ends.
-enum Way<'a> {
+enum NameMatch<'a> {
     /// At its node, or at the wildcard that stands for it.
-    At(&'a Node),
+    Node(&'a Node),
     /// At a cut: from this octet of the name on, others answer.
-    Cut(usize, &'a Set),
+    Delegation(usize, &'a RecordSet),
     /// At a DNAME: this end of the name is replaced.
-    Moved(usize, &'a Set),
-    Nowhere,
+    Redirection(usize, &'a RecordSet),
+    NotFound,
 }
 
-fn way<'a>(zone: &'a Zone, name: &[u8], kind: Kind) -> Way<'a> {
+fn find_name<'a>(zone: &'a Zone, name: &[u8], kind: RecordType) -> NameMatch<'a> {
     let starts = Starts::of(name);
     let below = starts.count() - zone.apex().labels().count();
     let mut node: &Node = zone.root();
     for n in (0..below).rev() {
-        if let Some(moved) = node.set(Kind::DNAME) {
-            return Way::Moved(starts.at(n) + 1 + name[starts.at(n)] as usize, moved);
+        if let Some(moved) = node.set(RecordType::DNAME) {
+            return NameMatch::Redirection(starts.at(n) + 1 + name[starts.at(n)] as usize, moved);
         }
         let at = starts.at(n);
         match node.below().get(&name[at + 1..][..name[at] as usize]) {
             Some(child) => node = child,
             // The closest encloser's wildcard stands for whatever is not there below it.
-            None => return node.below().get(b"*").map_or(Way::Nowhere, |wild| Way::At(wild)),
+            None => return node.below().get(b"*").map_or(NameMatch::NotFound, |wild| NameMatch::Node(wild)),
         }
-        if let Some(servers) = node.set(Kind::NS) {
+        if let Some(servers) = node.set(RecordType::NS) {
             // What the parent says of a cut is asked of the parent (RFC 4035 section 3.1.4.1).
-            if n > 0 || kind != Kind::DS {
-                return Way::Cut(at, servers);
+            if n > 0 || kind != RecordType::DS {
+                return NameMatch::Delegation(at, servers);
             }
         }
     }
-    Way::At(node)
+    NameMatch::Node(node)
 }
 
 /// Answers a question about a name in wire form and lower case; one that is not in the zone is not there.
-pub fn lookup<'a>(zone: &'a Zone, name: &'a [u8], kind: Kind) -> Found<'a> {
-    let mut found = Found::default();
+pub fn lookup<'a>(zone: &'a Zone, name: &'a [u8], kind: RecordType) -> LookupResult<'a> {
+    let mut found = LookupResult::default();
     if !crate::name::within(name, zone.apex().wire()) {
         found.outcome = Outcome::NoName;
         return found;
     }
     let mut at: Cow<'a, [u8]> = Cow::Borrowed(name);
-    for _ in 0..CHAIN_MOST {
-        match way(zone, &at, kind) {
-            Way::Nowhere => {
+    for _ in 0..MAX_ALIASES {
+        match find_name(zone, &at, kind) {
+            NameMatch::NotFound => {
                 found.outcome = Outcome::NoName;
-                not_there(zone, &mut found);
+                add_negative_soa(zone, &mut found);
                 return found;
             }
-            Way::Cut(from, servers) => {
+            NameMatch::Delegation(from, servers) => {
                 if found.answer.is_empty() {
                     found.outcome = Outcome::Referral;
                 }
@@ -125,38 +125,40 @@
                     Cow::Borrowed(name) => Cow::Borrowed(&name[from..]),
                     Cow::Owned(name) => Cow::Owned(name[from..].to_vec()),
                 };
-                found.authority.push(Entry::of(owner, servers));
-                addresses(zone, servers, &mut found);
+                found.authority.push(ResponseSet::of(owner, servers));
+                add_target_addresses(zone, servers, &mut found);
                 return found;
             }
-            Way::Moved(from, set) => {
+            NameMatch::Redirection(from, set) => {
                 let Some(by) = set.records().next() else { return found };
                 let end = at[from..].to_vec();
-                found.answer.push(Entry::of(Cow::Owned(end.clone()), set));
+                found.answer.push(ResponseSet::of(Cow::Owned(end.clone()), set));
                 let Some(next) = replace_end(&at, &end, by) else {
                     found.outcome = Outcome::TooLong;
                     return found;
                 };
                 let packed = crate::record::pack([&next[..]]);
-                let (kind, ttl) = (Kind::CNAME, set.ttl);
-                found.answer.push(Entry { owner: at, kind, ttl, packed: Cow::Owned(packed) });
+                let (kind, ttl) = (RecordType::CNAME, set.ttl);
+                found.answer.push(ResponseSet { owner: at, kind, ttl, packed: Cow::Owned(packed) });
                 at = Cow::Owned(next);
             }
-            Way::At(node) => {
-                let alias = node.set(Kind::CNAME).filter(|_| kind != Kind::CNAME && kind != Kind::ANY);
+            NameMatch::Node(node) => {
+                let alias = node
+                    .set(RecordType::CNAME)
+                    .filter(|_| kind != RecordType::CNAME && kind != RecordType::ANY);
                 if let Some((set, next)) = alias.and_then(|set| Some((set, set.records().next()?))) {
-                    found.answer.push(Entry::of(at, set));
+                    found.answer.push(ResponseSet::of(at, set));
                     at = Cow::Borrowed(next);
                 } else {
                     // Of all kinds one is enough (RFC 8482 section 4.1).
-                    let set = if kind == Kind::ANY { node.sets().first() } else { node.set(kind) };
+                    let set = if kind == RecordType::ANY { node.sets().first() } else { node.set(kind) };
                     let Some(set) = set else {
                         found.outcome = Outcome::NoData;
-                        not_there(zone, &mut found);
+                        add_negative_soa(zone, &mut found);
                         return found;
                     };
-                    found.answer.push(Entry::of(at, set));
-                    addresses(zone, set, &mut found);
+                    found.answer.push(ResponseSet::of(at, set));
+                    add_target_addresses(zone, set, &mut found);
                     return found;
                 }
             }
@@ -169,24 +171,24 @@
 }
 
 /// Adds the SOA, kept for no longer than it says (RFC 2308 section 3).
-fn not_there<'a>(zone: &'a Zone, found: &mut Found<'a>) {
+fn add_negative_soa<'a>(zone: &'a Zone, found: &mut LookupResult<'a>) {
     if let (Some(set), Some(soa)) = (zone.soa_set(), zone.soa()) {
-        let mut entry = Entry::of(Cow::Borrowed(zone.apex().wire()), set);
+        let mut entry = ResponseSet::of(Cow::Borrowed(zone.apex().wire()), set);
         entry.ttl = entry.ttl.min(soa.minimum);
         found.authority.push(entry);
     }
 }
 
 /// Adds the addresses of the names in a set, glue included.
-fn addresses<'a>(zone: &'a Zone, set: &'a Set, found: &mut Found<'a>) {
-    for target in set.records().filter_map(|data| set.kind.target(data)).take(TARGETS_MOST) {
-        if set.kind == Kind::CNAME || set.kind == Kind::PTR {
+fn add_target_addresses<'a>(zone: &'a Zone, set: &'a RecordSet, found: &mut LookupResult<'a>) {
+    for target in set.records().filter_map(|data| set.kind.target(data)).take(MAX_TARGETS) {
+        if set.kind == RecordType::CNAME || set.kind == RecordType::PTR {
             return;
         }
         let Some(node) = zone.node(target) else { continue };
-        for kind in [Kind::A, Kind::AAAA] {
+        for kind in [RecordType::A, RecordType::AAAA] {
             if let Some(set) = node.set(kind) {
-                found.additional.push(Entry::of(Cow::Borrowed(target), set));
+                found.additional.push(ResponseSet::of(Cow::Borrowed(target), set));
             }
         }
     }
--- a/crates/core/zones/src/name_tree.rs
+++ b/crates/core/zones/src/name_tree.rs
@@ -6,8 +6,8 @@
 //! SipHash-1-3 under a fixed key: the same names always make the same tree, in the same order.
 
 use crate::name::Name;
-use crate::record::Set;
-use crate::record_type::Kind;
+use crate::record::RecordSet;
+use crate::record_type::RecordType;
 use siphasher::sip::SipHasher13;
 use smallvec::SmallVec;
 use std::hash::Hasher;
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     label: Box<[u8]>,
-    sets: SmallVec<[Set; 1]>,
+    sets: SmallVec<[RecordSet; 1]>,
     below: Children,
 }
 
@@ -36,17 +36,17 @@
     }
 
     /// Its records, by kind.
-    pub fn sets(&self) -> &[Set] {
+    pub fn sets(&self) -> &[RecordSet] {
         &self.sets
     }
 
     /// The same, to be changed; they stay in ascending order of their kinds.
-    pub(crate) fn sets_mut(&mut self) -> &mut SmallVec<[Set; 1]> {
+    pub(crate) fn sets_mut(&mut self) -> &mut SmallVec<[RecordSet; 1]> {
         &mut self.sets
     }
 
     /// Those of one kind.
-    pub fn set(&self, kind: Kind) -> Option<&Set> {
+    pub fn set(&self, kind: RecordType) -> Option<&RecordSet> {
         self.sets.iter().find(|set| set.kind == kind)
     }
 
@@ -370,7 +370,7 @@
 }
 
 /// Visits a node and all below it that have records, in an order that the names alone decide.
-pub(crate) fn each<'a>(node: &'a Node, name: &Name, visit: &mut impl FnMut(&Name, &'a [Set])) {
+pub(crate) fn each<'a>(node: &'a Node, name: &Name, visit: &mut impl FnMut(&Name, &'a [RecordSet])) {
     if !node.sets.is_empty() {
         visit(name, &node.sets);
     }
@@ -382,6 +382,6 @@
     });
 }
 
-fn each_dyn<'a>(node: &'a Node, name: &Name, visit: &mut dyn FnMut(&Name, &'a [Set])) {
-    each(node, name, &mut |name: &Name, sets: &'a [Set]| visit(name, sets));
+fn each_dyn<'a>(node: &'a Node, name: &Name, visit: &mut dyn FnMut(&Name, &'a [RecordSet])) {
+    each(node, name, &mut |name: &Name, sets: &'a [RecordSet]| visit(name, sets));
 }
--- a/crates/core/zones/src/rate_limit.rs
+++ b/crates/core/zones/src/rate_limit.rs
@@ -12,7 +12,7 @@
 
 /// Counts by prefix that fade over a span.
 #[derive(Clone, Debug)]
-pub struct Sketch {
+pub struct CountMinSketch {
     /// Each cell, and the turn in which it was last faded.
     cells: Vec<(f32, u32)>,
     width: usize,
@@ -37,7 +37,7 @@
     }
 }
 
-impl Sketch {
+impl CountMinSketch {
     /// A sketch with so many cells in each row (a power of two), whose counts stand for about two turns.
     pub fn new(width: usize, turn: Span, key: u64, now: Instant) -> Self {
         let width = width.next_power_of_two();
@@ -105,15 +105,15 @@
 /// Whether a prefix asks for more than its share: then what it asks has the lowest utility, so that it is
 /// answered only with what the others leave.
 #[derive(Clone, Debug)]
-pub struct Shares {
-    sketch: Sketch,
+pub struct RequestRateLimit {
+    sketch: CountMinSketch,
     share: f64,
     least: f64,
 }
 
-impl Shares {
+impl RequestRateLimit {
     /// A prefix may have this share of all that is asked, and so much (in counts of the sketch) in any case.
-    pub fn new(sketch: Sketch, share: f64, least: f64) -> Self {
+    pub fn new(sketch: CountMinSketch, share: f64, least: f64) -> Self {
         Self { sketch, share, least }
     }
 
--- a/crates/core/zones/src/record.rs
+++ b/crates/core/zones/src/record.rs
@@ -1,7 +1,7 @@
 //! Resource records, and the sets of all records of one owner and type.
 
 use crate::name::Name;
-use crate::record_type::Kind;
+use crate::record_type::RecordType;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
     /// Its owner.
     pub name: Name,
     /// Its kind.
-    pub kind: Kind,
+    pub kind: RecordType,
     /// For how long it may be kept, in seconds.
     pub ttl: u32,
     /// Its data: wire form without pointers, names in lower case.
@@ -21,7 +21,7 @@
 
 impl Record {
     /// What it is, but for its time to live.
-    pub fn key(&self) -> (&Name, Kind, &[u8]) {
+    pub fn key(&self) -> (&Name, RecordType, &[u8]) {
         (&self.name, self.kind, &self.data)
     }
 }
@@ -40,9 +40,9 @@
 
 /// All records of one owner and kind; they have one time to live (RFC 2181 section 5.2).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Set {
+pub struct RecordSet {
     /// The kind.
-    pub kind: Kind,
+    pub kind: RecordType,
     /// The time to live, in seconds.
     pub ttl: u32,
     /// Each record's data behind its length in two octets, in ascending order.
@@ -70,9 +70,9 @@
     packed
 }
 
-impl Set {
+impl RecordSet {
     /// A set of one record.
-    pub(crate) fn new(kind: Kind, ttl: u32, data: &[u8]) -> Self {
+    pub(crate) fn new(kind: RecordType, ttl: u32, data: &[u8]) -> Self {
         Self { kind, ttl, data: pack([data]).into() }
     }
 
--- a/crates/core/zones/src/record_type.rs
+++ b/crates/core/zones/src/record_type.rs
@@ -9,7 +9,7 @@
 
 /// A kind of record, by its number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Kind(pub u16);
+pub struct RecordType(pub u16);
 
 /// A part of a record's data.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -27,7 +27,7 @@
     /// One or more of them.
     Texts,
     /// A short word, such as a property tag: a string of letters and digits.
-    Word,
+    Tag,
     /// The rest of the data as one string without a length.
     Bare,
     Base64,
@@ -36,8 +36,8 @@
 
 macro_rules! kinds {
     ($($name:ident = $number:literal: $($field:ident)*;)*) => {
-        impl Kind {
-            $(#[doc = concat!("The kind `", stringify!($name), "`.")] pub const $name: Kind = Kind($number);)*
+        impl RecordType {
+            $(#[doc = concat!("The kind `", stringify!($name), "`.")] pub const $name: RecordType = RecordType($number);)*
 
             fn fields(self) -> Option<&'static [Field]> {
                 match self.0 {
@@ -53,9 +53,9 @@
                 }
             }
 
-            fn by_mnemonic(text: &str) -> Option<Kind> {
+            fn by_mnemonic(text: &str) -> Option<RecordType> {
                 match text {
-                    $(stringify!($name) => Some(Kind($number)),)*
+                    $(stringify!($name) => Some(RecordType($number)),)*
                     _ => None,
                 }
             }
@@ -87,16 +87,16 @@
     OPENPGPKEY = 61: Base64;
     SPF = 99: Texts;
     URI = 256: U16 U16 Bare;
-    CAA = 257: U8 Word Bare;
+    CAA = 257: U8 Tag Bare;
 }
 
-impl Kind {
+impl RecordType {
     /// In a question: all kinds.
-    pub const ANY: Kind = Kind(255);
+    pub const ANY: RecordType = RecordType(255);
     /// In a question: the whole zone.
-    pub const AXFR: Kind = Kind(252);
+    pub const AXFR: RecordType = RecordType(252);
     /// In a question: what changed since a version.
-    pub const IXFR: Kind = Kind(251);
+    pub const IXFR: RecordType = RecordType(251);
 
     /// Whether it is meant for questions and messages only and can't be in a zone.
     pub fn is_meta(self) -> bool {
@@ -106,7 +106,7 @@
     /// Reads its name, or `TYPE` and a number.
     pub fn parse(text: &str) -> Option<Self> {
         let text = text.to_ascii_uppercase();
-        let number = || text.strip_prefix("TYPE").and_then(|number| number.parse().ok()).map(Kind);
+        let number = || text.strip_prefix("TYPE").and_then(|number| number.parse().ok()).map(RecordType);
         match text.as_str() {
             "ANY" => Some(Self::ANY),
             "AXFR" => Some(Self::AXFR),
@@ -116,7 +116,7 @@
     }
 }
 
-impl fmt::Display for Kind {
+impl fmt::Display for RecordType {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match (self.mnemonic(), *self) {
             (Some(name), _) => f.write_str(name),
@@ -128,7 +128,7 @@
     }
 }
 
-impl fmt::Debug for Kind {
+impl fmt::Debug for RecordType {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
@@ -136,7 +136,7 @@
 
 /// A word of a text: as it stands, with escapes, and whether it stood in quotes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Word<'a> {
+pub struct Token<'a> {
     /// The text between the quotes or spaces.
     pub text: &'a [u8],
     /// Whether it stood in quotes.
@@ -145,7 +145,7 @@
 
 /// What is wrong with data as text: which word, and what.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadData {
+pub struct InvalidRecordData {
     /// The word's number; past the last one where something is missing.
     pub word: usize,
     /// What is wrong.
@@ -211,7 +211,7 @@
 
 impl Field {
     /// Reads one word into octets.
-    fn read(self, word: Word, origin: Option<&Name>, out: &mut Vec<u8>) -> Result<(), String> {
+    fn read(self, word: Token, origin: Option<&Name>, out: &mut Vec<u8>) -> Result<(), String> {
         let text = word.text;
         let shown = || String::from_utf8_lossy(text).into_owned();
         let none = |what: &str| format!("{:?} is no {what}", shown());
@@ -242,7 +242,7 @@
                 out.extend(address.octets());
             }
             Self::Text | Self::Texts => string(out, text)?,
-            Self::Word => {
+            Self::Tag => {
                 if text.is_empty() || !text.iter().all(u8::is_ascii_alphanumeric) {
                     return Err(none("word of letters and digits"));
                 }
@@ -267,7 +267,7 @@
             Self::V6 => fixed(16),
             Self::Text => fixed(1 + usize::from(*data.first()?)),
             // What could be had over the wire and not be written in a zone file would cost the whole file.
-            Self::Word => fixed(1 + usize::from(*data.first()?))
+            Self::Tag => fixed(1 + usize::from(*data.first()?))
                 .filter(|length| *length > 1 && data[1..*length].iter().all(u8::is_ascii_alphanumeric)),
             Self::Texts => {
                 let mut at = 0;
@@ -295,7 +295,7 @@
                 write!(f, "{}", Ipv6Addr::from(parts))
             }
             Self::Text => quoted(&data[1..], f),
-            Self::Word => f.write_str(&String::from_utf8_lossy(&data[1..])),
+            Self::Tag => f.write_str(&String::from_utf8_lossy(&data[1..])),
             Self::Bare => quoted(data, f),
             Self::Texts => {
                 let mut at = 0;
@@ -328,10 +328,10 @@
 /// The most octets that a record's data can have.
 pub const DATA_MOST: usize = 65_535;
 
-impl Kind {
+impl RecordType {
     /// Reads data as text. Names in it are relative to the origin.
-    pub fn read(self, words: &[Word], origin: Option<&Name>) -> Result<Vec<u8>, BadData> {
-        let bad = |word: usize, what: String| BadData { word, what };
+    pub fn read(self, words: &[Token], origin: Option<&Name>) -> Result<Vec<u8>, InvalidRecordData> {
+        let bad = |word: usize, what: String| InvalidRecordData { word, what };
         if words.first().is_some_and(|word| word.text == b"\\#" && !word.quoted) {
             return self.read_opaque(words);
         }
@@ -381,8 +381,8 @@
         Ok(out)
     }
 
-    fn read_opaque(self, words: &[Word]) -> Result<Vec<u8>, BadData> {
-        let bad = |word: usize, what: &str| BadData { word, what: what.to_owned() };
+    fn read_opaque(self, words: &[Token]) -> Result<Vec<u8>, InvalidRecordData> {
+        let bad = |word: usize, what: &str| InvalidRecordData { word, what: what.to_owned() };
         let length: u16 = words
             .get(1)
             .and_then(|word| number(word.text))
--- a/crates/core/zones/src/secondary.rs
+++ b/crates/core/zones/src/secondary.rs
@@ -4,7 +4,7 @@
 use crate::change::Change;
 use crate::name::Name;
 use crate::record::Record;
-use crate::record_type::Kind;
+use crate::record_type::RecordType;
 use crate::serial::Serial;
 use crate::soa::Soa;
 use crate::zone::Zone;
@@ -13,9 +13,9 @@
 
 /// What a secondary does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum SecondaryAction {
     /// Ask this primary for its SOA.
-    AskSerial(usize),
+    QuerySerial(usize),
     /// Ask this primary for what changed since a version, or for all of it.
     Transfer(usize, Option<Serial>),
     /// Stop serving: nothing was heard for as long as the zone allows.
@@ -24,7 +24,7 @@
 
 /// The times of a zone that is not known yet.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Times {
+pub struct RetryTimes {
     /// How soon the first failure is followed by another try.
     pub retry: Span,
     /// Tries are no further apart than this.
@@ -33,7 +33,7 @@
     pub patience: Span,
 }
 
-impl Default for Times {
+impl Default for RetryTimes {
     fn default() -> Self {
         Self {
             retry: Span::from_millis(1000),
@@ -45,8 +45,8 @@
 
 /// One zone's following.
 #[derive(Clone, Debug)]
-pub struct Follower {
-    times: Times,
+pub struct SecondaryZone {
+    times: RetryTimes,
     primaries: usize,
     primary: usize,
     chance: Pcg,
@@ -66,11 +66,11 @@
 }
 
 /// Each failure in a row makes the pause so many times as long; pauses are stretched or cut by up to half.
-const BACK_OFF: f64 = 2.0;
+const BACKOFF_FACTOR: f64 = 2.0;
 
-impl Follower {
+impl SecondaryZone {
     /// Follows so many primaries, the first one first.
-    pub fn new(now: Instant, primaries: usize, have: Option<Soa>, times: Times, seed: u64) -> Self {
+    pub fn new(now: Instant, primaries: usize, have: Option<Soa>, times: RetryTimes, seed: u64) -> Self {
         Self {
             times,
             primaries: primaries.max(1),
@@ -104,10 +104,10 @@
     }
 
     /// What is due.
-    pub fn due(&mut self, now: Instant) -> Option<Step> {
+    pub fn due(&mut self, now: Instant) -> Option<SecondaryAction> {
         if self.expire_at().is_some_and(|at| at <= now) {
             self.expired = true;
-            return Some(Step::Expire);
+            return Some(SecondaryAction::Expire);
         }
         if self.busy.is_some_and(|until| until <= now) {
             self.failed(now);
@@ -117,9 +117,9 @@
         }
         self.busy = Some(now + self.times.patience);
         if self.have.is_none() || self.whole {
-            return Some(Step::Transfer(self.primary, None));
+            return Some(SecondaryAction::Transfer(self.primary, None));
         }
-        Some(Step::AskSerial(self.primary))
+        Some(SecondaryAction::QuerySerial(self.primary))
     }
 
     /// A primary says that there is a newer version; without a number it is looked up.
@@ -136,12 +136,12 @@
     }
 
     /// A primary told its serial.
-    pub fn serial(&mut self, now: Instant, serial: Serial) -> Option<Step> {
+    pub fn serial(&mut self, now: Instant, serial: Serial) -> Option<SecondaryAction> {
         let have = self.have?;
         if serial.newer_than(have.serial) {
             self.busy = Some(now + self.times.patience);
             let from = (!self.whole).then_some(have.serial);
-            return Some(Step::Transfer(self.primary, from));
+            return Some(SecondaryAction::Transfer(self.primary, from));
         }
         if serial == have.serial {
             self.current(now);
@@ -182,25 +182,25 @@
         let retry = self.have.map_or(self.times.retry, |soa| Span::from_secs(f64::from(soa.retry.max(1))));
         let round = self.failures / self.primaries as u32;
         self.failures += 1;
-        let pause = retry.min(self.times.retry_most) * BACK_OFF.powi(round.min(16) as i32);
+        let pause = retry.min(self.times.retry_most) * BACKOFF_FACTOR.powi(round.min(16) as i32);
         self.due = now + pause.min(self.times.retry_most) * (0.5 + self.chance.unit());
     }
 }
 
 /// What a transfer brought.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Brought {
+pub enum TransferResult {
     /// Nothing is newer than what was asked from.
-    Nothing(Serial),
+    UpToDate(Serial),
     /// The whole zone.
-    Whole(Vec<Record>),
+    Full(Vec<Record>),
     /// What changed, from the version asked from on.
-    Changes(Vec<Change>),
+    Incremental(Vec<Change>),
 }
 
 /// Why a transfer can't be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unusable {
+pub enum TransferError {
     /// It does not begin with the zone's SOA.
     Start,
     /// A change does not follow on the one before.
@@ -215,31 +215,31 @@
         have: Serial,
     },
     /// A record is out of the zone, or can't stand in it.
-    Unfit(String),
+    Rejected(String),
     /// More records than a zone may have.
     Large,
 }
 
-impl fmt::Display for Unusable {
+impl fmt::Display for TransferError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Start => f.write_str("it does not begin with the zone's SOA"),
             Self::Order => f.write_str("its changes do not follow on one another"),
             Self::Behind => f.write_str("more came behind its end"),
             Self::Back { came, have } => write!(f, "it brings {came}, which is not newer than {have}"),
-            Self::Unfit(what) => write!(f, "a record can't stand in the zone: {what}"),
+            Self::Rejected(what) => write!(f, "a record can't stand in the zone: {what}"),
             Self::Large => f.write_str("more records than a zone may have"),
         }
     }
 }
 
 #[derive(Clone, Debug)]
-enum Stage {
+enum TransferState {
     Start,
     /// After the first SOA.
     First,
     /// All records of the zone, until the SOA comes again (RFC 5936 section 2.2).
-    Whole,
+    FullZone,
     /// Records that are gone (RFC 1995 section 4).
     Removed,
     /// Records that are new.
@@ -249,25 +249,25 @@
 
 /// Puts the records of a transfer together, as they come.
 #[derive(Clone, Debug)]
-pub struct Incoming {
+pub struct TransferReader {
     apex: Name,
     asked_from: Option<Serial>,
     most: usize,
-    stage: Stage,
+    stage: TransferState,
     newest: Option<Record>,
     whole: Vec<Record>,
     changes: Vec<Change>,
     count: usize,
 }
 
-impl Incoming {
+impl TransferReader {
     /// A transfer of a zone, from a version on or of all of it.
     pub fn new(apex: Name, asked_from: Option<Serial>, most: usize) -> Self {
         Self {
             apex,
             asked_from,
             most,
-            stage: Stage::Start,
+            stage: TransferState::Start,
             newest: None,
             whole: Vec::new(),
             changes: Vec::new(),
@@ -276,8 +276,8 @@
     }
 
     /// Whether it is whole.
-    pub fn is_whole(&self) -> bool {
-        matches!(self.stage, Stage::End)
+    pub fn is_complete(&self) -> bool {
+        matches!(self.stage, TransferState::End)
     }
 
     fn serial(record: &Record) -> Serial {
@@ -285,69 +285,69 @@
     }
 
     /// Takes the next record.
-    pub fn take(&mut self, record: Record) -> Result<(), Unusable> {
+    pub fn take(&mut self, record: Record) -> Result<(), TransferError> {
         self.count += 1;
         if self.count > self.most.saturating_mul(2) {
-            return Err(Unusable::Large);
+            return Err(TransferError::Large);
         }
         if !record.name.is_within(&self.apex) {
-            return Err(Unusable::Unfit(record.to_string()));
+            return Err(TransferError::Rejected(record.to_string()));
         }
-        let soa = record.kind == Kind::SOA;
+        let soa = record.kind == RecordType::SOA;
         let newest = self.newest.as_ref().map(Self::serial);
         match self.stage {
-            Stage::Start => {
+            TransferState::Start => {
                 if !soa || record.name != self.apex {
-                    return Err(Unusable::Start);
+                    return Err(TransferError::Start);
                 }
                 self.newest = Some(record);
-                self.stage = Stage::First;
+                self.stage = TransferState::First;
             }
-            Stage::First if soa && self.asked_from == Some(Self::serial(&record)) => {
+            TransferState::First if soa && self.asked_from == Some(Self::serial(&record)) => {
                 // The SOA of the version asked from: changes follow.
                 self.begin_change(record);
             }
-            Stage::First if soa && newest == Some(Self::serial(&record)) => {
+            TransferState::First if soa && newest == Some(Self::serial(&record)) => {
                 // The whole of a zone with nothing but its SOA.
                 self.whole.extend(self.newest.clone());
-                self.stage = Stage::End;
+                self.stage = TransferState::End;
             }
-            Stage::First if soa => return Err(Unusable::Order),
-            Stage::First => {
+            TransferState::First if soa => return Err(TransferError::Order),
+            TransferState::First => {
                 self.whole.extend(self.newest.clone());
                 self.whole.push(record);
-                self.stage = Stage::Whole;
+                self.stage = TransferState::FullZone;
             }
-            Stage::Whole if soa => self.stage = Stage::End,
-            Stage::Whole => self.whole.push(record),
-            Stage::Removed if soa => {
+            TransferState::FullZone if soa => self.stage = TransferState::End,
+            TransferState::FullZone => self.whole.push(record),
+            TransferState::Removed if soa => {
                 if let Some(change) = self.changes.last_mut() {
                     change.to = Self::serial(&record);
                     change.added.push(record);
                 }
-                self.stage = Stage::Added;
+                self.stage = TransferState::Added;
             }
-            Stage::Removed => {
+            TransferState::Removed => {
                 if let Some(change) = self.changes.last_mut() {
                     change.removed.push(record);
                 }
             }
-            Stage::Added if soa => {
+            TransferState::Added if soa => {
                 let last = self.changes.last().map(|change| change.to);
                 if last == newest && newest == Some(Self::serial(&record)) {
-                    self.stage = Stage::End;
+                    self.stage = TransferState::End;
                 } else if last == Some(Self::serial(&record)) {
                     self.begin_change(record);
                 } else {
-                    return Err(Unusable::Order);
+                    return Err(TransferError::Order);
                 }
             }
-            Stage::Added => {
+            TransferState::Added => {
                 if let Some(change) = self.changes.last_mut() {
                     change.added.push(record);
                 }
             }
-            Stage::End => return Err(Unusable::Behind),
+            TransferState::End => return Err(TransferError::Behind),
         }
         Ok(())
     }
@@ -355,68 +355,68 @@
     fn begin_change(&mut self, record: Record) {
         let from = Self::serial(&record);
         self.changes.push(Change { from, removed: vec![record], ..Change::default() });
-        self.stage = Stage::Removed;
+        self.stage = TransferState::Removed;
     }
 
     /// One message ended. The first alone, with one SOA, says that nothing is newer, or that the whole zone has
     /// to be asked for (RFC 1995 section 2).
-    pub fn message_ended(&mut self) -> Option<Brought> {
-        if matches!(self.stage, Stage::First) && self.asked_from.is_some() {
+    pub fn message_ended(&mut self) -> Option<TransferResult> {
+        if matches!(self.stage, TransferState::First) && self.asked_from.is_some() {
             let serial = self.newest.as_ref().map(Self::serial)?;
-            return Some(Brought::Nothing(serial));
+            return Some(TransferResult::UpToDate(serial));
         }
         None
     }
 
     /// What it brought, once it is whole.
-    pub fn finish(self) -> Option<Brought> {
-        if !self.is_whole() {
+    pub fn finish(self) -> Option<TransferResult> {
+        if !self.is_complete() {
             return None;
         }
         Some(if self.changes.is_empty() {
-            Brought::Whole(self.whole)
+            TransferResult::Full(self.whole)
         } else {
-            Brought::Changes(self.changes)
+            TransferResult::Incremental(self.changes)
         })
     }
 }
 
 /// Makes a version of a whole transfer; never an older one than is there.
-pub fn version(apex: &Name, have: Option<Serial>, records: &[Record]) -> Result<Zone, Unusable> {
+pub fn version(apex: &Name, have: Option<Serial>, records: &[Record]) -> Result<Zone, TransferError> {
     let mut zone = Zone::new(apex.clone());
     for record in records {
-        zone.add(record).map_err(|unfit| Unusable::Unfit(format!("{record}: {unfit}")))?;
+        zone.add(record).map_err(|unfit| TransferError::Rejected(format!("{record}: {unfit}")))?;
     }
-    let came = zone.soa().ok_or(Unusable::Start)?.serial;
+    let came = zone.soa().ok_or(TransferError::Start)?.serial;
     match have {
-        Some(have) if !came.newer_than(have) => Err(Unusable::Back { came, have }),
+        Some(have) if !came.newer_than(have) => Err(TransferError::Back { came, have }),
         _ => Ok(zone),
     }
 }
 
 /// Who is told of a new version, again until they say that they heard (RFC 1996).
 #[derive(Clone, Debug)]
-pub struct Notices {
-    targets: Vec<Target>,
+pub struct NotifySender {
+    targets: Vec<NotifyTarget>,
     serial: Option<Serial>,
-    times: Times,
+    times: RetryTimes,
     chance: Pcg,
 }
 
 #[derive(Clone, Debug)]
-struct Target {
+struct NotifyTarget {
     told: u32,
     due: Option<Instant>,
 }
 
 /// How often a secondary is told of one version before it is left to its own refresh.
-const TOLD_MOST: u32 = 8;
+const MAX_NOTIFIES: u32 = 8;
 
-impl Notices {
+impl NotifySender {
     /// For so many secondaries.
-    pub fn new(targets: usize, times: Times, seed: u64) -> Self {
+    pub fn new(targets: usize, times: RetryTimes, seed: u64) -> Self {
         Self {
-            targets: vec![Target { told: 0, due: None }; targets],
+            targets: vec![NotifyTarget { told: 0, due: None }; targets],
             serial: None,
             times,
             chance: Pcg::new(seed),
@@ -427,7 +427,7 @@
     pub fn wanted(&mut self, now: Instant, serial: Serial) {
         if self.serial != Some(serial) {
             self.serial = Some(serial);
-            self.targets.iter_mut().for_each(|target| *target = Target { told: 0, due: Some(now) });
+            self.targets.iter_mut().for_each(|target| *target = NotifyTarget { told: 0, due: Some(now) });
         }
     }
 
@@ -444,9 +444,9 @@
             if target.due.is_some_and(|due| due <= now) {
                 all.push((n, serial));
                 target.told += 1;
-                let pause = self.times.retry * BACK_OFF.powi(target.told.min(16) as i32 - 1);
+                let pause = self.times.retry * BACKOFF_FACTOR.powi(target.told.min(16) as i32 - 1);
                 let at = now + pause.min(self.times.retry_most) * (0.5 + self.chance.unit());
-                target.due = (target.told < TOLD_MOST).then_some(at);
+                target.due = (target.told < MAX_NOTIFIES).then_some(at);
             }
         }
         all
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -3,7 +3,7 @@
 use crate::change::{between, Change};
 use crate::name::Name;
 use crate::record::Record;
-use crate::record_type::Kind;
+use crate::record_type::RecordType;
 use crate::serial::Serial;
 use crate::soa::Soa;
 use crate::zone::Zone;
@@ -12,7 +12,7 @@
 
 /// Why an update is refused; nothing of it was done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Refusal {
+pub enum UpdateError {
     /// It is not made as it must be.
     Malformed,
     /// A name in it is not in the zone.
@@ -20,26 +20,26 @@
     /// A name that must be in use is not.
     NameMissing,
     /// A name that must not be in use is.
-    NameThere,
+    NameExists,
     /// A set that must be there is not, or is another.
     SetMissing,
     /// A set that must not be there is.
-    SetThere,
+    SetExists,
     /// Who sent it may not change this.
     NotAllowed,
     /// The zone takes no updates now.
     Frozen,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for UpdateError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             Self::Malformed => "not made as RFC 2136 says",
             Self::OutOfZone => "a name is out of the zone",
             Self::NameMissing => "a name that must be in use is not",
-            Self::NameThere => "a name that must not be in use is",
+            Self::NameExists => "a name that must not be in use is",
             Self::SetMissing => "a set that must be there is not",
-            Self::SetThere => "a set that must not be there is",
+            Self::SetExists => "a set that must not be there is",
             Self::NotAllowed => "the key may not change this",
             Self::Frozen => "the zone takes no updates now",
         })
@@ -48,9 +48,9 @@
 
 /// How the class field of a record in an update is meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sense {
+pub enum UpdateClass {
     /// The zone's class.
-    Own,
+    Zone,
     /// The class NONE.
     None,
     /// The class ANY.
@@ -61,13 +61,13 @@
 
 /// A record of an update as it was read; its data is in wire form without pointers, not checked yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Raw {
+pub struct UpdateRecord {
     /// The owner.
     pub name: Name,
     /// The kind.
-    pub kind: Kind,
+    pub kind: RecordType,
     /// What its class field says.
-    pub sense: Sense,
+    pub sense: UpdateClass,
     /// The time to live.
     pub ttl: u32,
     /// The data.
@@ -76,39 +76,39 @@
 
 /// What must hold before an update (RFC 2136 section 2.4).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum Prerequisite {
     /// The name has records.
-    Name(Name),
+    NameInUse(Name),
     /// The name has none.
-    NoName(Name),
+    NameNotInUse(Name),
     /// There is a set of the kind.
-    Set(Name, Kind),
+    SetExists(Name, RecordType),
     /// There is none.
-    NoSet(Name, Kind),
+    SetMissing(Name, RecordType),
     /// The set has exactly these records.
-    Exactly(Name, Kind, Vec<Vec<u8>>),
+    SetEquals(Name, RecordType, Vec<Vec<u8>>),
 }
 
 /// One step of an update (RFC 2136 section 2.5).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Edit {
+pub enum UpdateOperation {
     /// Add to a set.
-    Add(Record),
+    AddRecord(Record),
     /// Take a set out.
-    DropSet(Name, Kind),
+    DeleteSet(Name, RecordType),
     /// Take all records of a name out.
-    DropName(Name),
+    DeleteName(Name),
     /// Take one record out.
-    Drop(Name, Kind, Vec<u8>),
+    DeleteRecord(Name, RecordType, Vec<u8>),
 }
 
-impl Edit {
+impl UpdateOperation {
     /// The name that it changes, and the kind where it is about one.
-    pub fn about(&self) -> (&Name, Option<Kind>) {
+    pub fn about(&self) -> (&Name, Option<RecordType>) {
         match self {
-            Self::Add(record) => (&record.name, Some(record.kind)),
-            Self::DropSet(name, kind) | Self::Drop(name, kind, _) => (name, Some(*kind)),
-            Self::DropName(name) => (name, None),
+            Self::AddRecord(record) => (&record.name, Some(record.kind)),
+            Self::DeleteSet(name, kind) | Self::DeleteRecord(name, kind, _) => (name, Some(*kind)),
+            Self::DeleteName(name) => (name, None),
         }
     }
 }
@@ -117,9 +117,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Update {
     /// What must hold.
-    pub needs: Vec<Need>,
+    pub needs: Vec<Prerequisite>,
     /// What is done then.
-    pub edits: Vec<Edit>,
+    pub edits: Vec<UpdateOperation>,
 }
 
 /// The longest time to live (RFC 2181 section 8).
@@ -127,7 +127,7 @@
 
 impl Update {
     /// Reads the sections of an update for a zone (RFC 2136 sections 3.2 and 3.4.1).
-    pub fn read(apex: &Name, needs: &[Raw], edits: &[Raw]) -> Result<Self, Refusal> {
+    pub fn read(apex: &Name, needs: &[UpdateRecord], edits: &[UpdateRecord]) -> Result<Self, UpdateError> {
         let mut update = Self::default();
         for raw in needs {
             update.need(apex, raw)?;
@@ -139,76 +139,87 @@
         Ok(update)
     }
 
-    fn need(&mut self, apex: &Name, raw: &Raw) -> Result<(), Refusal> {
-        let Raw { name, kind, sense, ttl, data } = raw;
+    fn need(&mut self, apex: &Name, raw: &UpdateRecord) -> Result<(), UpdateError> {
+        let UpdateRecord { name, kind, sense, ttl, data } = raw;
         if *ttl != 0 {
-            return Err(Refusal::Malformed);
+            return Err(UpdateError::Malformed);
         }
         if !name.is_within(apex) {
-            return Err(Refusal::OutOfZone);
+            return Err(UpdateError::OutOfZone);
         }
         let plain = kind.is_meta();
         let need = match sense {
-            Sense::Any | Sense::None if !data.is_empty() => return Err(Refusal::Malformed),
-            Sense::Any if *kind == Kind::ANY => Need::Name(name.clone()),
-            Sense::None if *kind == Kind::ANY => Need::NoName(name.clone()),
-            _ if plain => return Err(Refusal::Malformed),
-            Sense::Any => Need::Set(name.clone(), *kind),
-            Sense::None => Need::NoSet(name.clone(), *kind),
-            Sense::Own => {
-                let data = kind.canonical(data).ok_or(Refusal::Malformed)?;
+            UpdateClass::Any | UpdateClass::None if !data.is_empty() => return Err(UpdateError::Malformed),
+            UpdateClass::Any if *kind == RecordType::ANY => Prerequisite::NameInUse(name.clone()),
+            UpdateClass::None if *kind == RecordType::ANY => Prerequisite::NameNotInUse(name.clone()),
+            _ if plain => return Err(UpdateError::Malformed),
+            UpdateClass::Any => Prerequisite::SetExists(name.clone(), *kind),
+            UpdateClass::None => Prerequisite::SetMissing(name.clone(), *kind),
+            UpdateClass::Zone => {
+                let data = kind.canonical(data).ok_or(UpdateError::Malformed)?;
                 // All records of one set make one need.
                 for need in &mut self.needs {
-                    if let Need::Exactly(own, of, all) = need {
+                    if let Prerequisite::SetEquals(own, of, all) = need {
                         if own == name && of == kind {
                             all.push(data);
                             return Ok(());
                         }
                     }
                 }
-                Need::Exactly(name.clone(), *kind, vec![data])
+                Prerequisite::SetEquals(name.clone(), *kind, vec![data])
             }
-            Sense::Other => return Err(Refusal::Malformed),
+            UpdateClass::Other => return Err(UpdateError::Malformed),
         };
         self.needs.push(need);
         Ok(())
     }
 
-    fn edit(apex: &Name, raw: &Raw) -> Result<Edit, Refusal> {
-        let Raw { name, kind, sense, ttl, data } = raw;
+    fn edit(apex: &Name, raw: &UpdateRecord) -> Result<UpdateOperation, UpdateError> {
+        let UpdateRecord { name, kind, sense, ttl, data } = raw;
         if !name.is_within(apex) {
-            return Err(Refusal::OutOfZone);
+            return Err(UpdateError::OutOfZone);
         }
         let bare = *ttl == 0 && data.is_empty();
-        let checked = || kind.canonical(data).ok_or(Refusal::Malformed);
+        let checked = || kind.canonical(data).ok_or(UpdateError::Malformed);
         match sense {
-            Sense::Any if *kind == Kind::ANY && bare => Ok(Edit::DropName(name.clone())),
-            _ if kind.is_meta() => Err(Refusal::Malformed),
-            Sense::Own if *ttl <= TTL_MOST => {
-                Ok(Edit::Add(Record { name: name.clone(), kind: *kind, ttl: *ttl, data: checked()? }))
+            UpdateClass::Any if *kind == RecordType::ANY && bare => {
+                Ok(UpdateOperation::DeleteName(name.clone()))
             }
-            Sense::Any if bare => Ok(Edit::DropSet(name.clone(), *kind)),
-            Sense::None if *ttl == 0 => Ok(Edit::Drop(name.clone(), *kind, checked()?)),
-            _ => Err(Refusal::Malformed),
+            _ if kind.is_meta() => Err(UpdateError::Malformed),
+            UpdateClass::Zone if *ttl <= TTL_MOST => Ok(UpdateOperation::AddRecord(Record {
+                name: name.clone(),
+                kind: *kind,
+                ttl: *ttl,
+                data: checked()?,
+            })),
+            UpdateClass::Any if bare => Ok(UpdateOperation::DeleteSet(name.clone(), *kind)),
+            UpdateClass::None if *ttl == 0 => {
+                Ok(UpdateOperation::DeleteRecord(name.clone(), *kind, checked()?))
+            }
+            _ => Err(UpdateError::Malformed),
         }
     }
 
     /// Whether all that must hold does (RFC 2136 section 3.2.5).
-    pub fn holds(&self, zone: &Zone) -> Result<(), Refusal> {
+    pub fn holds(&self, zone: &Zone) -> Result<(), UpdateError> {
         for need in &self.needs {
             let used = |name: &Name| zone.node(name.wire()).is_some_and(|node| !node.sets().is_empty());
             match need {
-                Need::Name(name) if !used(name) => return Err(Refusal::NameMissing),
-                Need::NoName(name) if used(name) => return Err(Refusal::NameThere),
-                Need::Set(name, kind) if zone.set(name, *kind).is_none() => return Err(Refusal::SetMissing),
-                Need::NoSet(name, kind) if zone.set(name, *kind).is_some() => return Err(Refusal::SetThere),
-                Need::Exactly(name, kind, all) => {
+                Prerequisite::NameInUse(name) if !used(name) => return Err(UpdateError::NameMissing),
+                Prerequisite::NameNotInUse(name) if used(name) => return Err(UpdateError::NameExists),
+                Prerequisite::SetExists(name, kind) if zone.set(name, *kind).is_none() => {
+                    return Err(UpdateError::SetMissing)
+                }
+                Prerequisite::SetMissing(name, kind) if zone.set(name, *kind).is_some() => {
+                    return Err(UpdateError::SetExists)
+                }
+                Prerequisite::SetEquals(name, kind, all) => {
                     let mut all: Vec<&[u8]> = all.iter().map(|data| &data[..]).collect();
                     all.sort_unstable();
                     all.dedup();
-                    let same = |set: &crate::record::Set| set.records().eq(all.iter().copied());
+                    let same = |set: &crate::record::RecordSet| set.records().eq(all.iter().copied());
                     if !zone.set(name, *kind).is_some_and(same) {
-                        return Err(Refusal::SetMissing);
+                        return Err(UpdateError::SetMissing);
                     }
                 }
                 _ => {}
@@ -231,10 +242,10 @@
         zone: &Zone,
         grants: &[Grant],
         key: Option<&Name>,
-    ) -> Result<Option<(Zone, Change)>, Refusal> {
+    ) -> Result<Option<(Zone, Change)>, UpdateError> {
         self.holds(zone)?;
         if !self.edits.iter().all(|edit| allowed(grants, key, edit)) {
-            return Err(Refusal::NotAllowed);
+            return Err(UpdateError::NotAllowed);
         }
         Ok(self.apply(zone))
     }
@@ -252,20 +263,20 @@
     Some((next, change))
 }
 
-fn apply(zone: &mut Zone, edit: &Edit) {
+fn apply(zone: &mut Zone, edit: &UpdateOperation) {
     match edit {
-        Edit::Add(record) if record.kind == Kind::SOA => {
+        UpdateOperation::AddRecord(record) if record.kind == RecordType::SOA => {
             let newer = Soa::of(&record.data).is_some_and(|soa| soa.serial.newer_than(zone.serial()));
             if record.name == *zone.apex() && newer {
-                zone.remove_set(&record.name, Kind::SOA);
+                zone.remove_set(&record.name, RecordType::SOA);
                 // A SOA at the apex that has none fits.
                 let _ = zone.add(record);
             }
         }
-        Edit::Add(record) => {
-            if record.kind == Kind::CNAME || record.kind == Kind::DNAME {
+        UpdateOperation::AddRecord(record) => {
+            if record.kind == RecordType::CNAME || record.kind == RecordType::DNAME {
                 let others = zone.node(record.name.wire()).is_some_and(|node| {
-                    node.sets().iter().any(|set| set.kind != record.kind && record.kind == Kind::CNAME)
+                    node.sets().iter().any(|set| set.kind != record.kind && record.kind == RecordType::CNAME)
                 });
                 if !others {
                     zone.remove_set(&record.name, record.kind);
@@ -274,23 +285,23 @@
             // What can't stand beside what is there is passed over (section 3.4.2.2).
             let _ = zone.add(record);
         }
-        Edit::DropSet(name, kind) => {
-            if name != zone.apex() || !matches!(*kind, Kind::SOA | Kind::NS) {
+        UpdateOperation::DeleteSet(name, kind) => {
+            if name != zone.apex() || !matches!(*kind, RecordType::SOA | RecordType::NS) {
                 zone.remove_set(name, *kind);
             }
         }
-        Edit::DropName(name) => {
+        UpdateOperation::DeleteName(name) => {
             let sets = zone.node(name.wire()).map_or(&[][..], |node| node.sets());
-            let kinds: Vec<Kind> = sets.iter().map(|set| set.kind).collect();
+            let kinds: Vec<RecordType> = sets.iter().map(|set| set.kind).collect();
             for kind in kinds {
-                if name != zone.apex() || !matches!(kind, Kind::SOA | Kind::NS) {
+                if name != zone.apex() || !matches!(kind, RecordType::SOA | RecordType::NS) {
                     zone.remove_set(name, kind);
                 }
             }
         }
-        Edit::Drop(name, kind, data) => {
+        UpdateOperation::DeleteRecord(name, kind, data) => {
             let last = || zone.set(name, *kind).is_some_and(|set| set.count() == 1);
-            let kept = *kind == Kind::SOA || (*kind == Kind::NS && name == zone.apex() && last());
+            let kept = *kind == RecordType::SOA || (*kind == RecordType::NS && name == zone.apex() && last());
             if !kept {
                 zone.remove(name, *kind, data);
             }
@@ -327,15 +338,15 @@
     /// Which names.
     pub scope: Scope,
     /// Which kinds; empty means all but SOA and NS.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<RecordType>,
 }
 
 /// Whether some key may make an edit. Taking a name out whole needs a grant for all kinds.
-pub fn allowed(grants: &[Grant], key: Option<&Name>, edit: &Edit) -> bool {
+pub fn allowed(grants: &[Grant], key: Option<&Name>, edit: &UpdateOperation) -> bool {
     let (name, kind) = edit.about();
     grants.iter().any(|grant| {
         let kinds = match kind {
-            Some(kind) if grant.kinds.is_empty() => !matches!(kind, Kind::SOA | Kind::NS),
+            Some(kind) if grant.kinds.is_empty() => !matches!(kind, RecordType::SOA | RecordType::NS),
             Some(kind) => grant.kinds.contains(&kind),
             None => grant.kinds.is_empty(),
         };
--- a/crates/core/zones/src/zone.rs
+++ b/crates/core/zones/src/zone.rs
@@ -2,8 +2,8 @@
 
 use crate::name::{within, Name, Starts};
 use crate::name_tree::{each, edit, Cursor, Node};
-use crate::record::{Record, Set};
-use crate::record_type::Kind;
+use crate::record::{Record, RecordSet};
+use crate::record_type::RecordType;
 use crate::serial::Serial;
 use crate::soa::{with_serial, Soa};
 use smallvec::SmallVec;
@@ -12,20 +12,20 @@
 
 /// Why a record can't stand in a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum RecordError {
     /// Its owner is not in the zone.
     OutOfZone,
     /// The kind is for messages only.
-    Meta(Kind),
+    Meta(RecordType),
     /// An alias beside other data, or other data beside an alias (RFC 1034 section 3.6.2).
-    Alias(Kind),
+    Alias(RecordType),
     /// A second SOA, or one elsewhere than at the apex.
     Soa,
     /// A second alias at one name.
-    TwoAliases(Kind),
+    TwoAliases(RecordType),
 }
 
-impl fmt::Display for Unfit {
+impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::OutOfZone => f.write_str("the owner is out of the zone"),
@@ -83,8 +83,8 @@
     }
 
     /// The set with its SOA, once it has one.
-    pub fn soa_set(&self) -> Option<&Set> {
-        self.root.set(Kind::SOA)
+    pub fn soa_set(&self) -> Option<&RecordSet> {
+        self.root.set(RecordType::SOA)
     }
 
     /// What it says of itself.
@@ -101,7 +101,7 @@
     pub fn soa_record(&self) -> Option<Record> {
         let set = self.soa_set()?;
         let data = set.records().next()?.to_vec();
-        Some(Record { name: self.apex.clone(), kind: Kind::SOA, ttl: set.ttl, data })
+        Some(Record { name: self.apex.clone(), kind: RecordType::SOA, ttl: set.ttl, data })
     }
 
     /// The labels from below the apex down; none where the name is not in the zone.
@@ -124,7 +124,7 @@
     }
 
     /// One set.
-    pub fn set(&self, name: &Name, kind: Kind) -> Option<&Set> {
+    pub fn set(&self, name: &Name, kind: RecordType) -> Option<&RecordSet> {
         self.node(name.wire())?.set(kind)
     }
 
@@ -133,13 +133,13 @@
         &mut self,
         name: &Name,
         make: bool,
-        change: impl FnOnce(&mut SmallVec<[Set; 1]>) -> R,
+        change: impl FnOnce(&mut SmallVec<[RecordSet; 1]>) -> R,
     ) -> Option<R> {
         if !make {
             self.node(name.wire())?;
         }
         let path = self.path(name.wire())?;
-        let count = |node: &Node| node.sets().iter().map(Set::count).sum::<usize>();
+        let count = |node: &Node| node.sets().iter().map(RecordSet::count).sum::<usize>();
         let (mut before, mut after) = ((0, 0), (0, 0));
         let changed = edit(
             &mut self.root,
@@ -159,35 +159,37 @@
     }
 
     /// Whether a record may be added, by the rules of one zone.
-    fn fits(&self, record: &Record) -> Result<(), Unfit> {
+    fn fits(&self, record: &Record) -> Result<(), RecordError> {
         let kind = record.kind;
         if !record.name.is_within(&self.apex) {
-            return Err(Unfit::OutOfZone);
+            return Err(RecordError::OutOfZone);
         }
         if kind.is_meta() {
-            return Err(Unfit::Meta(kind));
+            return Err(RecordError::Meta(kind));
         }
         let node = self.node(record.name.wire());
-        if kind == Kind::SOA
+        if kind == RecordType::SOA
             && (record.name != self.apex || node.is_some_and(|node| node.set(kind).is_some()))
         {
-            return Err(Unfit::Soa);
+            return Err(RecordError::Soa);
         }
         let Some(node) = node else { return Ok(()) };
-        let other = |set: &Set| set.kind != kind && (kind == Kind::CNAME || set.kind == Kind::CNAME);
+        let other = |set: &RecordSet| {
+            set.kind != kind && (kind == RecordType::CNAME || set.kind == RecordType::CNAME)
+        };
         if let Some(set) = node.sets().iter().find(|set| other(set)) {
-            return Err(Unfit::Alias(if kind == Kind::CNAME { kind } else { set.kind }));
+            return Err(RecordError::Alias(if kind == RecordType::CNAME { kind } else { set.kind }));
         }
-        let alias = kind == Kind::CNAME || kind == Kind::DNAME;
+        let alias = kind == RecordType::CNAME || kind == RecordType::DNAME;
         if alias && node.set(kind).is_some_and(|set| !set.has(&record.data)) {
-            return Err(Unfit::TwoAliases(kind));
+            return Err(RecordError::TwoAliases(kind));
         }
         Ok(())
     }
 
     /// Adds a record. One that is there already is no second one; the set takes over its time to live. Tells
     /// whether anything changed.
-    pub fn add(&mut self, record: &Record) -> Result<bool, Unfit> {
+    pub fn add(&mut self, record: &Record) -> Result<bool, RecordError> {
         self.fits(record)?;
         let Record { name, kind, ttl, data } = record;
         if self.set(name, *kind).is_some_and(|set| set.ttl == *ttl && set.has(data)) {
@@ -200,14 +202,14 @@
             }
             None => {
                 let at = sets.partition_point(|set| set.kind < *kind);
-                sets.insert(at, Set::new(*kind, *ttl, data));
+                sets.insert(at, RecordSet::new(*kind, *ttl, data));
             }
         });
         Ok(true)
     }
 
     /// Takes a record out; tells whether it was there.
-    pub fn remove(&mut self, name: &Name, kind: Kind, data: &[u8]) -> bool {
+    pub fn remove(&mut self, name: &Name, kind: RecordType, data: &[u8]) -> bool {
         if !self.set(name, kind).is_some_and(|set| set.has(data)) {
             return false;
         }
@@ -221,7 +223,7 @@
     }
 
     /// Takes all of a kind out; tells whether there was any.
-    pub fn remove_set(&mut self, name: &Name, kind: Kind) -> bool {
+    pub fn remove_set(&mut self, name: &Name, kind: RecordType) -> bool {
         self.set(name, kind).is_some() && {
             self.edit(name, false, |sets| sets.retain(|set| set.kind != kind));
             true
@@ -231,14 +233,14 @@
     /// The same version under another number.
     pub fn renumber(&mut self, serial: Serial) {
         self.edit(&self.apex.clone(), false, |sets| {
-            if let Some(set) = sets.iter_mut().find(|set| set.kind == Kind::SOA) {
+            if let Some(set) = sets.iter_mut().find(|set| set.kind == RecordType::SOA) {
                 set.replace_each(|data| with_serial(data, serial));
             }
         });
     }
 
     /// Visits each name with its sets; the apex first, then in an order that the names alone decide.
-    pub fn each<'a>(&'a self, mut visit: impl FnMut(&Name, &'a [Set])) {
+    pub fn each<'a>(&'a self, mut visit: impl FnMut(&Name, &'a [RecordSet])) {
         each(&self.root, &self.apex, &mut visit);
     }
 
@@ -254,7 +256,7 @@
     pub fn all(&self) -> Vec<Record> {
         let mut all: Vec<Record> = self.soa_record().into_iter().collect();
         self.each(|name, sets| {
-            for set in sets.iter().filter(|set| set.kind != Kind::SOA) {
+            for set in sets.iter().filter(|set| set.kind != RecordType::SOA) {
                 all.extend(set.records().map(|data| Record {
                     name: name.clone(),
                     kind: set.kind,
--- a/crates/core/zones/src/zone_file.rs
+++ b/crates/core/zones/src/zone_file.rs
@@ -4,15 +4,15 @@
 
 use crate::name::Name;
 use crate::record::Record;
-use crate::record_type::{read_time, Kind, Word};
+use crate::record_type::{read_time, RecordType, Token};
 use crate::soa::Soa;
-use crate::zone::{Unfit, Zone};
+use crate::zone::{RecordError, Zone};
 use std::fmt;
 use std::sync::Arc;
 
 /// What is wrong, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ZoneFileError {
     /// The file's name as it was given.
     pub file: Arc<str>,
     /// The line, from 1.
@@ -23,7 +23,7 @@
     pub reason: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ZoneFileError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{}:{}:{}: {}", self.file, self.line, self.column, self.reason)
     }
@@ -31,7 +31,7 @@
 
 /// What a file is held to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct ZoneFileLimits {
     /// With more refused records than this the file is of no use.
     pub refused: usize,
     /// How deep files may include one another.
@@ -40,7 +40,7 @@
     pub told: usize,
 }
 
-impl Default for Limits {
+impl Default for ZoneFileLimits {
     fn default() -> Self {
         Self { refused: usize::MAX, depth: 8, told: 10_000 }
     }
@@ -48,19 +48,19 @@
 
 /// What came of a file.
 #[derive(Clone, Debug)]
-pub struct Read {
+pub struct ParsedZoneFile {
     /// What was kept; it can be used only where `unusable` is none.
     pub zone: Zone,
     /// What was refused, in the order of the file.
-    pub faults: Vec<Fault>,
+    pub faults: Vec<ZoneFileError>,
     /// How many were refused, told or not.
     pub refused: usize,
     /// Why the file as a whole can't be used.
-    pub unusable: Option<Fault>,
+    pub unusable: Option<ZoneFileError>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Spot {
+struct Position {
     line: u32,
     column: u32,
 }
@@ -76,13 +76,13 @@
 /// Where an open parenthesis stands, and where the line after it begins.
 #[derive(Clone, Copy)]
 struct Paren {
-    spot: Spot,
+    spot: Position,
     resume: (usize, u32),
 }
 
 impl<'a> Scanner<'a> {
-    fn spot(&self) -> Spot {
-        Spot { line: self.line, column: (self.at - self.line_start) as u32 + 1 }
+    fn spot(&self) -> Position {
+        Position { line: self.line, column: (self.at - self.line_start) as u32 + 1 }
     }
 
     fn peek(&self) -> Option<u8> {
@@ -126,9 +126,9 @@
     /// The next entry's words; whether it began with a blank. None at the end of the text.
     fn entry(
         &mut self,
-        words: &mut Vec<Word<'a>>,
-        spots: &mut Vec<Spot>,
-    ) -> Option<Result<bool, (Spot, &'static str)>> {
+        words: &mut Vec<Token<'a>>,
+        spots: &mut Vec<Position>,
+    ) -> Option<Result<bool, (Position, &'static str)>> {
         words.clear();
         spots.clear();
         let mut blank = matches!(self.peek(), Some(b' ' | b'\t'));
@@ -194,7 +194,7 @@
                             Some(_) => self.at += 1,
                         }
                     }
-                    words.push(Word { text: &self.text[start..self.at], quoted: true });
+                    words.push(Token { text: &self.text[start..self.at], quoted: true });
                     spots.push(spot);
                     self.at += 1;
                 }
@@ -207,7 +207,7 @@
                             _ => self.at += 1,
                         }
                     }
-                    words.push(Word { text: &self.text[start..self.at], quoted: false });
+                    words.push(Token { text: &self.text[start..self.at], quoted: false });
                     spots.push(spot);
                 }
             }
@@ -217,7 +217,7 @@
 
 /// The owner that a line without one takes over.
 #[derive(Clone)]
-enum Owner {
+enum LastOwner {
     None,
     Known(Name),
     /// Its record was refused for its owner: what follows without one is refused too.
@@ -227,16 +227,16 @@
 struct Reader<'a> {
     zone: Option<Zone>,
     /// Records that came before the SOA told the apex.
-    early: Vec<(Record, Arc<str>, Spot)>,
+    early: Vec<(Record, Arc<str>, Position)>,
     origin: Option<Name>,
-    owner: Owner,
+    owner: LastOwner,
     ttl_default: Option<u32>,
     ttl_last: Option<u32>,
     minimum: Option<u32>,
-    limits: Limits,
-    faults: Vec<Fault>,
+    limits: ZoneFileLimits,
+    faults: Vec<ZoneFileError>,
     refused: usize,
-    unusable: Option<Fault>,
+    unusable: Option<ZoneFileError>,
     include: &'a mut dyn FnMut(&str) -> Result<Vec<u8>, String>,
 }
 
@@ -246,15 +246,15 @@
     file: &str,
     text: &[u8],
     apex: Option<&Name>,
-    limits: Limits,
+    limits: ZoneFileLimits,
     include: &mut dyn FnMut(&str) -> Result<Vec<u8>, String>,
-) -> Read {
+) -> ParsedZoneFile {
     let file: Arc<str> = file.into();
     let mut reader = Reader {
         zone: apex.cloned().map(Zone::new),
         early: Vec::new(),
         origin: apex.cloned(),
-        owner: Owner::None,
+        owner: LastOwner::None,
         ttl_default: None,
         ttl_last: None,
         minimum: None,
@@ -270,7 +270,7 @@
         reader.refuse(&file, spot, "no SOA says which zone this belongs to".to_owned());
     }
     let Reader { zone, faults, refused, mut unusable, .. } = reader;
-    let start = Spot { line: 1, column: 1 };
+    let start = Position { line: 1, column: 1 };
     let zone = zone.unwrap_or_else(|| Zone::new(Name::root()));
     if unusable.is_none() && zone.soa().is_none() {
         unusable = Some(fault(&file, start, "the zone has no SOA".to_owned()));
@@ -279,15 +279,15 @@
         let reason = format!("{refused} records refused; {} are allowed", limits.refused);
         unusable = Some(fault(&file, start, reason));
     }
-    Read { zone, faults, refused, unusable }
+    ParsedZoneFile { zone, faults, refused, unusable }
 }
 
-fn fault(file: &Arc<str>, spot: Spot, reason: String) -> Fault {
-    Fault { file: file.clone(), line: spot.line, column: spot.column, reason }
+fn fault(file: &Arc<str>, spot: Position, reason: String) -> ZoneFileError {
+    ZoneFileError { file: file.clone(), line: spot.line, column: spot.column, reason }
 }
 
 impl Reader<'_> {
-    fn refuse(&mut self, file: &Arc<str>, spot: Spot, reason: String) {
+    fn refuse(&mut self, file: &Arc<str>, spot: Position, reason: String) {
         self.refused += 1;
         if self.faults.len() < self.limits.told {
             self.faults.push(fault(file, spot, reason));
@@ -312,7 +312,12 @@
         }
     }
 
-    fn directive(&mut self, words: &[Word], spots: &[Spot], depth: usize) -> Result<(), (Spot, String)> {
+    fn directive(
+        &mut self,
+        words: &[Token],
+        spots: &[Position],
+        depth: usize,
+    ) -> Result<(), (Position, String)> {
         let at = |n: usize| spots.get(n).or(spots.last()).copied().unwrap_or(spots[0]);
         let word = |n: usize, what: &str| {
             words.get(n).map(|word| word.text).ok_or_else(|| (at(n), format!("{what} is missing")))
@@ -365,21 +370,21 @@
         &mut self,
         file: &Arc<str>,
         blank: bool,
-        words: &[Word],
-        spots: &[Spot],
-    ) -> Result<(), (Spot, String)> {
+        words: &[Token],
+        spots: &[Position],
+    ) -> Result<(), (Position, String)> {
         let at = |n: usize| spots.get(n).or(spots.last()).copied().unwrap_or(spots[0]);
         let mut n = 0;
         let name = if blank {
             match &self.owner {
-                Owner::Known(name) => name.clone(),
-                Owner::None => return Err((at(0), "no owner, and none stands before it".to_owned())),
-                Owner::Refused => return Err((at(0), "its owner was refused above".to_owned())),
+                LastOwner::Known(name) => name.clone(),
+                LastOwner::None => return Err((at(0), "no owner, and none stands before it".to_owned())),
+                LastOwner::Refused => return Err((at(0), "its owner was refused above".to_owned())),
             }
         } else {
             n = 1;
             let name = Name::parse(words[0].text, self.origin.as_ref());
-            self.owner = name.as_ref().map_or(Owner::Refused, |name| Owner::Known(name.clone()));
+            self.owner = name.as_ref().map_or(LastOwner::Refused, |name| LastOwner::Known(name.clone()));
             name.map_err(|bad| (at(0), bad.to_string()))?
         };
         let (mut ttl, mut class) = (None, false);
@@ -395,17 +400,18 @@
                 class = true;
             } else {
                 let text = String::from_utf8_lossy(word.text);
-                break Kind::parse(&text).ok_or_else(|| (at(n), format!("{text:?} is no kind of record")))?;
+                break RecordType::parse(&text)
+                    .ok_or_else(|| (at(n), format!("{text:?} is no kind of record")))?;
             }
             n += 1;
         };
         n += 1;
         if kind.is_meta() {
-            return Err((at(n - 1), Unfit::Meta(kind).to_string()));
+            return Err((at(n - 1), RecordError::Meta(kind).to_string()));
         }
         let data =
             kind.read(&words[n..], self.origin.as_ref()).map_err(|bad| (at(n + bad.word), bad.what))?;
-        if kind == Kind::SOA {
+        if kind == RecordType::SOA {
             self.minimum = Soa::of(&data).map(|soa| soa.minimum);
         }
         self.ttl_last = ttl.or(self.ttl_last);
@@ -414,7 +420,7 @@
             ttl.ok_or_else(|| (at(n - 1), "no time to live, and no $TTL stands before it".to_owned()))?;
         let record = Record { name, kind, ttl, data };
         if self.zone.is_none() {
-            if kind != Kind::SOA {
+            if kind != RecordType::SOA {
                 self.early.push((record, file.clone(), at(0)));
                 return Ok(());
             }
@@ -430,7 +436,7 @@
         self.add(file, at(0), &record)
     }
 
-    fn add(&mut self, file: &Arc<str>, spot: Spot, record: &Record) -> Result<(), (Spot, String)> {
+    fn add(&mut self, file: &Arc<str>, spot: Position, record: &Record) -> Result<(), (Position, String)> {
         let Some(zone) = &mut self.zone else { return Ok(()) };
         // Of several times to live in one set the first stands (RFC 2181 section 5.2 wants one).
         let ttl = zone.set(&record.name, record.kind).map_or(record.ttl, |set| set.ttl);
@@ -438,7 +444,7 @@
             Ok(_) => Ok(()),
             Err(unfit) => {
                 let reason = format!("{} {}: {unfit}", record.name, record.kind);
-                if record.kind == Kind::SOA && self.unusable.is_none() {
+                if record.kind == RecordType::SOA && self.unusable.is_none() {
                     self.unusable = Some(fault(file, spot, reason.clone()));
                 }
                 Err((spot, reason))
@@ -455,7 +461,7 @@
 pub fn write(zone: &Zone) -> String {
     use std::fmt::Write;
     let mut all = zone.all();
-    let soa = usize::from(all.first().is_some_and(|record| record.kind == Kind::SOA));
+    let soa = usize::from(all.first().is_some_and(|record| record.kind == RecordType::SOA));
     all[soa..].sort();
     let mut text = format!("$ORIGIN {}\n", zone.apex());
     for record in all {
--- a/crates/core/zones/src/zone_store.rs
+++ b/crates/core/zones/src/zone_store.rs
@@ -5,13 +5,13 @@
 //! A zone has a *base*, the file as last read, and the *version in force*, which is the base with all accepted
 //! changes on it. Reading the file again puts the same changes on the new base.
 
-use crate::change::{between, between_at, Change, History};
-use crate::lease::{Lapse, Leases, Limits as LeaseLimits};
+use crate::change::{between, between_at, Change, ChangeHistory};
+use crate::lease::{LeaseExpiry, LeaseLimits, LeaseTable};
 use crate::name::Name;
 use crate::record::Record;
-use crate::record_type::Kind;
+use crate::record_type::RecordType;
 use crate::serial::Serial;
-use crate::update::{serial_after, Edit, Grant, Refusal, Update};
+use crate::update::{serial_after, Grant, Update, UpdateError, UpdateOperation};
 use crate::zone::Zone;
 use lynxtally::{Instant, Span};
 use serde::{Deserialize, Serialize};
@@ -20,27 +20,27 @@
 use std::sync::Arc;
 
 /// By what a repeated update is known.
-pub type Mark = [u8; 16];
+pub type UpdateId = [u8; 16];
 
 /// A record that may be held.
-pub type Held = (Name, Kind, Vec<u8>);
+pub type LeasedRecord = (Name, RecordType, Vec<u8>);
 
 /// What is kept of a zone on the log: one accepted step.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Entry {
+pub enum ZoneLogEntry {
     /// An update or a lapse.
     Changed {
         /// What changed.
         change: Change,
         /// By what a repeat is known.
-        mark: Option<Mark>,
+        mark: Option<UpdateId>,
         /// For how many seconds what was added is held; 0 for good.
         lease: u32,
         /// Records that were held before and are there for good now.
-        kept: Vec<Held>,
+        kept: Vec<LeasedRecord>,
     },
     /// These records, held until now, are there for good.
-    Kept(Vec<Held>),
+    Kept(Vec<LeasedRecord>),
     /// The file was read again: the accepted changes are put on the new base as they were on the old one.
     Based {
         /// The file with the new base.
@@ -69,9 +69,9 @@
     /// The last changes.
     pub history: Vec<Change>,
     /// Repeats known, and how their first was answered.
-    pub marks: Vec<(Mark, Result<Serial, Refusal>)>,
+    pub marks: Vec<(UpdateId, Result<Serial, UpdateError>)>,
     /// What is held, and for how many seconds.
-    pub leases: Vec<(Name, Kind, Vec<u8>, u32)>,
+    pub leases: Vec<(Name, RecordType, Vec<u8>, u32)>,
 }
 
 /// The form that is written now.
@@ -79,7 +79,7 @@
 
 /// What the keeper is held to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Limits {
+pub struct ZoneStoreLimits {
     /// Records that the log of changes names at most.
     pub history: usize,
     /// For how long a repeat is known.
@@ -92,7 +92,7 @@
     pub leases: LeaseLimits,
 }
 
-impl Default for Limits {
+impl Default for ZoneStoreLimits {
     fn default() -> Self {
         Self {
             history: 100_000,
@@ -106,20 +106,20 @@
 
 /// Why a zone takes no updates.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Frozen {
+pub enum FreezeReason {
     /// An operator said so.
-    Asked,
+    Operator,
     /// The log can't be trusted or written; what it said.
-    Log(String),
+    LogFailed(String),
     /// It follows a primary.
     Secondary,
 }
 
-impl fmt::Display for Frozen {
+impl fmt::Display for FreezeReason {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Asked => f.write_str("frozen by an operator"),
-            Self::Log(what) => write!(f, "the log failed: {what}"),
+            Self::Operator => f.write_str("frozen by an operator"),
+            Self::LogFailed(what) => write!(f, "the log failed: {what}"),
             Self::Secondary => f.write_str("it follows a primary"),
         }
     }
@@ -127,12 +127,12 @@
 
 /// What became of an update.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Taken {
+pub struct UpdateOutcome {
     /// The serial that holds it, or why it is refused. It is answered once all entries below
-    /// [`Keeper::answered_at`] are durable.
-    pub result: Result<Serial, Refusal>,
+    /// [`ZoneStore::answered_at`] are durable.
+    pub result: Result<Serial, UpdateError>,
     /// What must be durable for it.
-    pub entry: Option<Entry>,
+    pub entry: Option<ZoneLogEntry>,
     /// For how long what it added is held.
     pub lease: Option<Span>,
     /// Whether it was known as a repeat.
@@ -141,16 +141,16 @@
 
 /// A change of an operator's file that meets an accepted update.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Conflict {
+pub struct ReloadConflict {
     /// The name.
     pub name: Name,
     /// The kind.
-    pub kind: Kind,
+    pub kind: RecordType,
     /// What happened.
     pub what: &'static str,
 }
 
-impl fmt::Display for Conflict {
+impl fmt::Display for ReloadConflict {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         write!(f, "{} {}: {}", self.name, self.kind, self.what)
     }
@@ -158,7 +158,7 @@
 
 /// Why a file that was read again is not taken.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stale {
+pub enum ReloadError {
     /// Its serial is lower than that of the file in force.
     Lower {
         /// That of the file.
@@ -170,7 +170,7 @@
     Same,
 }
 
-impl fmt::Display for Stale {
+impl fmt::Display for ReloadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Lower { file, before } => {
@@ -183,7 +183,7 @@
 
 /// A new base, made ready aside while the zone goes on: as of this version.
 #[derive(Clone, Debug)]
-pub struct Ready {
+pub struct PreparedReload {
     /// The new base.
     pub base: Zone,
     /// The base with the accepted changes on it.
@@ -193,49 +193,55 @@
     /// The version in force when it was made.
     seen: Zone,
     /// What met.
-    pub conflicts: Vec<Conflict>,
+    pub conflicts: Vec<ReloadConflict>,
 }
 
 /// What making a new base ready needs of a keeper; costs nothing to copy.
 #[derive(Clone, Debug)]
-pub struct Outline {
+pub struct ReloadInput {
     base: Zone,
     tip: Zone,
 }
 
-impl Outline {
+impl ReloadInput {
     /// Makes a new base ready; costs as much as the file is long, so it is done aside. Changes accepted since are
-    /// put on in [`Keeper::rebase`].
-    pub fn ready(&self, base: Zone) -> Result<Ready, Stale> {
+    /// put on in [`ZoneStore::rebase`].
+    pub fn ready(&self, base: Zone) -> Result<PreparedReload, ReloadError> {
         let (file, before) = (base.serial(), self.base.serial());
         if file != before && !file.newer_than(before) {
-            return Err(Stale::Lower { file, before });
+            return Err(ReloadError::Lower { file, before });
         }
         if between(&self.base, &base).is_empty() {
-            return Err(Stale::Same);
+            return Err(ReloadError::Same);
         }
         Ok(self.merge(base))
     }
 
-    fn merge(&self, base: Zone) -> Ready {
+    fn merge(&self, base: Zone) -> PreparedReload {
         let mut conflicts = Vec::new();
         let mut merged = base.clone();
         let overlay = between(&self.base, &self.tip);
         put_on(&mut merged, &overlay, Some((&self.base, &base)), &mut conflicts);
         let change = between(&self.tip, &merged);
-        Ready { base, merged, change, seen: self.tip.clone(), conflicts }
+        PreparedReload { base, merged, change, seen: self.tip.clone(), conflicts }
     }
 }
 
 /// Repeats known for a time and up to a number; the oldest go first.
 #[derive(Clone, Debug, Default)]
-struct Marks {
-    known: BTreeMap<Mark, (Instant, Result<Serial, Refusal>)>,
-    by_time: VecDeque<(Instant, Mark)>,
+struct KnownUpdates {
+    known: BTreeMap<UpdateId, (Instant, Result<Serial, UpdateError>)>,
+    by_time: VecDeque<(Instant, UpdateId)>,
 }
 
-impl Marks {
-    fn add(&mut self, now: Instant, mark: Mark, result: Result<Serial, Refusal>, limits: &Limits) {
+impl KnownUpdates {
+    fn add(
+        &mut self,
+        now: Instant,
+        mark: UpdateId,
+        result: Result<Serial, UpdateError>,
+        limits: &ZoneStoreLimits,
+    ) {
         let over = |at: Instant| now - at > limits.marks_for;
         while self.by_time.len() >= limits.marks.max(1)
             || self.by_time.front().is_some_and(|(at, _)| over(*at))
@@ -248,7 +254,12 @@
         }
     }
 
-    fn get(&self, now: Instant, mark: &Mark, limits: &Limits) -> Option<Result<Serial, Refusal>> {
+    fn get(
+        &self,
+        now: Instant,
+        mark: &UpdateId,
+        limits: &ZoneStoreLimits,
+    ) -> Option<Result<Serial, UpdateError>> {
         // What is over its time may still stand in the table.
         let (since, result) = self.known.get(mark)?;
         (now - *since <= limits.marks_for).then_some(*result)
@@ -257,8 +268,8 @@
 
 /// The keeper.
 #[derive(Clone, Debug)]
-pub struct Keeper {
-    limits: Limits,
+pub struct ZoneStore {
+    limits: ZoneStoreLimits,
     base: Zone,
     base_file: String,
     /// With all accepted steps, durable or not.
@@ -267,26 +278,26 @@
     live: Arc<Zone>,
     /// Steps that wait to be durable: the number that must be, and the version.
     waiting: VecDeque<(u64, Arc<Zone>, Option<Arc<Change>>)>,
-    history: History,
-    marks: Marks,
-    leases: Leases,
-    frozen: Option<Frozen>,
+    history: ChangeHistory,
+    marks: KnownUpdates,
+    leases: LeaseTable,
+    frozen: Option<FreezeReason>,
     /// What a new base changed, until its entry is on the log.
     based: Option<Arc<Change>>,
 }
 
-impl Keeper {
+impl ZoneStore {
     /// A zone as its file has it.
-    pub fn new(base: Zone, base_file: String, limits: Limits) -> Self {
+    pub fn new(base: Zone, base_file: String, limits: ZoneStoreLimits) -> Self {
         Self {
             tip: base.clone(),
             live: Arc::new(base.clone()),
             base,
             base_file,
             waiting: VecDeque::new(),
-            history: History::new(limits.history),
-            marks: Marks::default(),
-            leases: Leases::new(limits.leases),
+            history: ChangeHistory::new(limits.history),
+            marks: KnownUpdates::default(),
+            leases: LeaseTable::new(limits.leases),
             frozen: None,
             based: None,
             limits,
@@ -298,8 +309,8 @@
         now: Instant,
         base: Zone,
         snapshot: Snapshot,
-        limits: Limits,
-    ) -> Result<Self, crate::change::Misfit> {
+        limits: ZoneStoreLimits,
+    ) -> Result<Self, crate::change::ChangeError> {
         let tip = if snapshot.overlay.is_empty() { base.clone() } else { snapshot.overlay.apply(&base)? };
         let mut keeper = Self::new(base, snapshot.base, limits);
         keeper.tip = tip;
@@ -319,11 +330,11 @@
     pub fn replay(
         &mut self,
         now: Instant,
-        entry: Entry,
+        entry: ZoneLogEntry,
         base: impl FnOnce(&str) -> Option<Zone>,
     ) -> Result<(), String> {
         let change = match entry {
-            Entry::Changed { change, mark, lease, kept } => {
+            ZoneLogEntry::Changed { change, mark, lease, kept } => {
                 if let Some(mark) = mark {
                     self.marks.add(now, mark, Ok(change.to), &self.limits);
                 }
@@ -332,20 +343,20 @@
                 kept.iter().for_each(|(name, kind, data)| self.leases.release(name, *kind, data));
                 change
             }
-            Entry::Kept(records) => {
+            ZoneLogEntry::Kept(records) => {
                 records.iter().for_each(|(name, kind, data)| self.leases.release(name, *kind, data));
                 return Ok(());
             }
-            Entry::Based { base: file, serial, since } => {
+            ZoneLogEntry::Based { base: file, serial, since } => {
                 let new = base(&file).ok_or_else(|| format!("{file}: the base is missing or damaged"))?;
                 let seen = since.reversed().apply(&self.tip).map_err(|misfit| misfit.to_string())?;
-                let outline = Outline { base: self.base.clone(), tip: seen };
+                let outline = ReloadInput { base: self.base.clone(), tip: seen };
                 self.put_base(file, outline.merge(new), since, serial, &mut Vec::new());
                 self.based.take().into_iter().for_each(|change| self.history.push(change));
                 self.live = Arc::new(self.tip.clone());
                 return Ok(());
             }
-            Entry::Followed { base: file } => {
+            ZoneLogEntry::Followed { base: file } => {
                 let new = base(&file).ok_or_else(|| format!("{file}: the base is missing or damaged"))?;
                 self.history.clear();
                 (self.base, self.base_file, self.tip) = (new.clone(), file, new);
@@ -421,27 +432,27 @@
     }
 
     /// Why it takes no updates, if it doesn't.
-    pub fn frozen(&self) -> Option<&Frozen> {
+    pub fn frozen(&self) -> Option<&FreezeReason> {
         self.frozen.as_ref()
     }
 
     /// Takes no updates from now on.
-    pub fn freeze(&mut self, why: Frozen) {
-        if self.frozen.is_none() || !matches!(why, Frozen::Asked) {
+    pub fn freeze(&mut self, why: FreezeReason) {
+        if self.frozen.is_none() || !matches!(why, FreezeReason::Operator) {
             self.frozen = Some(why);
         }
     }
 
     /// Takes updates again, unless it is not an operator's word that stopped it.
     pub fn thaw(&mut self) -> bool {
-        if self.frozen == Some(Frozen::Asked) {
+        if self.frozen == Some(FreezeReason::Operator) {
             self.frozen = None;
         }
         self.frozen.is_none()
     }
 
     /// The leases.
-    pub fn leases(&self) -> &Leases {
+    pub fn leases(&self) -> &LeaseTable {
         &self.leases
     }
 
@@ -452,52 +463,52 @@
         update: &Update,
         grants: &[Grant],
         key: Option<&Name>,
-        mark: Option<Mark>,
+        mark: Option<UpdateId>,
         lease: Option<Span>,
-    ) -> Taken {
+    ) -> UpdateOutcome {
         let lease = lease.map(|asked| self.leases.granted(asked));
         if let Some(result) = mark.and_then(|mark| self.marks.get(now, &mark, &self.limits)) {
-            return Taken { result, entry: None, lease, repeat: true };
+            return UpdateOutcome { result, entry: None, lease, repeat: true };
         }
         let judged = match &self.frozen {
-            Some(_) => Err(Refusal::Frozen),
+            Some(_) => Err(UpdateError::Frozen),
             None => update.judge(&self.tip, grants, key),
         };
         let judged = judged.and_then(|next| match next {
-            Some((zone, _)) if zone.records() > self.limits.records => Err(Refusal::NotAllowed),
+            Some((zone, _)) if zone.records() > self.limits.records => Err(UpdateError::NotAllowed),
             next => Ok(next),
         });
         let (result, entry) = match judged {
             Err(refusal) => (Err(refusal), None),
             Ok(None) => {
                 let kept = self.freed(update, lease);
-                (Ok(self.tip.serial()), (!kept.is_empty()).then_some(Entry::Kept(kept)))
+                (Ok(self.tip.serial()), (!kept.is_empty()).then_some(ZoneLogEntry::Kept(kept)))
             }
             Ok(Some((next, change))) => {
                 let kept = self.freed(update, lease);
                 self.tip = next;
                 let secs = lease.map_or(0, |span| span.secs().round() as u32);
-                (Ok(change.to), Some(Entry::Changed { change, mark, lease: secs, kept }))
+                (Ok(change.to), Some(ZoneLogEntry::Changed { change, mark, lease: secs, kept }))
             }
         };
         if result.is_ok() {
             let added = update.edits.iter().filter_map(|edit| match edit {
-                Edit::Add(record) => Some(record),
+                UpdateOperation::AddRecord(record) => Some(record),
                 _ => None,
             });
-            let change = entry.as_ref().and_then(Entry::change);
+            let change = entry.as_ref().and_then(ZoneLogEntry::change);
             self.lease(now, change.into_iter().flat_map(Change::gone), added, lease);
         }
-        if let Some(mark) = mark.filter(|_| result != Err(Refusal::Frozen)) {
+        if let Some(mark) = mark.filter(|_| result != Err(UpdateError::Frozen)) {
             self.marks.add(now, mark, result, &self.limits);
         }
-        Taken { result, entry, lease, repeat: false }
+        UpdateOutcome { result, entry, lease, repeat: false }
     }
 
     /// Records that are held and that an update without a lease adds again: they are there for good from then on.
-    fn freed(&self, update: &Update, lease: Option<Span>) -> Vec<Held> {
-        let of = |edit: &Edit| match edit {
-            Edit::Add(record) if lease.is_none() && self.leases.holds(record) => {
+    fn freed(&self, update: &Update, lease: Option<Span>) -> Vec<LeasedRecord> {
+        let of = |edit: &UpdateOperation| match edit {
+            UpdateOperation::AddRecord(record) if lease.is_none() && self.leases.holds(record) => {
                 Some((record.name.clone(), record.kind, record.data.clone()))
             }
             _ => None,
@@ -514,7 +525,7 @@
         lease: Option<Span>,
     ) {
         gone.for_each(|record| self.leases.release(&record.name, record.kind, &record.data));
-        for record in added.filter(|record| record.kind != Kind::SOA) {
+        for record in added.filter(|record| record.kind != RecordType::SOA) {
             match lease {
                 Some(span) => self.leases.hold(now, &record.name, record.kind, &record.data, span),
                 None => self.leases.release(&record.name, record.kind, &record.data),
@@ -523,23 +534,26 @@
     }
 
     /// Takes out what ran out; none where nothing goes.
-    pub fn lapse(&mut self, now: Instant) -> (Option<Entry>, Lapse) {
+    pub fn lapse(&mut self, now: Instant) -> (Option<ZoneLogEntry>, LeaseExpiry) {
         if self.frozen.is_some() {
-            return (None, Lapse::default());
+            return (None, LeaseExpiry::default());
         }
         let lapse = self.leases.lapse(now, &self.tip);
-        let edits = lapse.gone.iter().map(|(name, kind, data)| Edit::Drop(name.clone(), *kind, data.clone()));
+        let edits = lapse
+            .gone
+            .iter()
+            .map(|(name, kind, data)| UpdateOperation::DeleteRecord(name.clone(), *kind, data.clone()));
         let update = Update { needs: Vec::new(), edits: edits.collect() };
         let next = if update.edits.is_empty() { None } else { update.apply(&self.tip) };
         let entry = next.map(|(next, change)| {
             self.tip = next;
-            Entry::Changed { change, mark: None, lease: 0, kept: Vec::new() }
+            ZoneLogEntry::Changed { change, mark: None, lease: 0, kept: Vec::new() }
         });
         (entry, lapse)
     }
 
     /// An entry was added to the log; once all below this number are durable, its version is in force.
-    pub fn added(&mut self, up_to: u64, entry: &Entry) {
+    pub fn added(&mut self, up_to: u64, entry: &ZoneLogEntry) {
         let change = self.based.take().or_else(|| entry.change().map(|change| Arc::new(change.clone())));
         self.waiting.push_back((up_to, Arc::new(self.tip.clone()), change));
     }
@@ -559,18 +573,22 @@
     pub fn lost(&mut self, why: String) {
         self.waiting.clear();
         self.tip = (*self.live).clone();
-        self.freeze(Frozen::Log(why));
+        self.freeze(FreezeReason::LogFailed(why));
     }
 
     /// What making a new base ready needs.
-    pub fn outline(&self) -> Outline {
-        Outline { base: self.base.clone(), tip: self.tip.clone() }
+    pub fn outline(&self) -> ReloadInput {
+        ReloadInput { base: self.base.clone(), tip: self.tip.clone() }
     }
 
     /// Takes a new base over: what was accepted since it was made ready is put on too, and all of it is the next
     /// version. Costs as much as was accepted meanwhile. The versions that are not needed any more come out: to
     /// let go of them may take long.
-    pub fn rebase(&mut self, base_file: String, ready: Ready) -> (Entry, Vec<Conflict>, Vec<Zone>) {
+    pub fn rebase(
+        &mut self,
+        base_file: String,
+        ready: PreparedReload,
+    ) -> (ZoneLogEntry, Vec<ReloadConflict>, Vec<Zone>) {
         let mut conflicts = ready.conflicts.clone();
         let retired = vec![self.base.clone(), self.tip.clone(), ready.seen.clone()];
         let since = if ready.seen.is_same(&self.tip) {
@@ -581,18 +599,18 @@
         // Never back, whatever the file says.
         let serial = serial_after(self.tip.serial(), ready.base.serial());
         self.put_base(base_file.clone(), ready, since.clone(), serial, &mut conflicts);
-        (Entry::Based { base: base_file, serial, since }, conflicts, retired)
+        (ZoneLogEntry::Based { base: base_file, serial, since }, conflicts, retired)
     }
 
     fn put_base(
         &mut self,
         file: String,
-        ready: Ready,
+        ready: PreparedReload,
         since: Change,
         serial: Serial,
-        conflicts: &mut Vec<Conflict>,
+        conflicts: &mut Vec<ReloadConflict>,
     ) {
-        let Ready { base, mut merged, change, .. } = ready;
+        let PreparedReload { base, mut merged, change, .. } = ready;
         put_on(&mut merged, &since, None, conflicts);
         merged.renumber(serial);
         // Where nothing was accepted meanwhile the change stands as it is; else it is looked at anew, at the
@@ -608,26 +626,26 @@
     }
 
     /// A whole version from the primary is the next one, and the base too.
-    pub fn follow(&mut self, base_file: String, version: Zone, change: Change) -> (Entry, Vec<Zone>) {
+    pub fn follow(&mut self, base_file: String, version: Zone, change: Change) -> (ZoneLogEntry, Vec<Zone>) {
         let retired = vec![self.base.clone(), self.tip.clone()];
         (self.base, self.base_file, self.tip) = (version.clone(), base_file.clone(), version);
         self.based = Some(Arc::new(change));
-        (Entry::Followed { base: base_file }, retired)
+        (ZoneLogEntry::Followed { base: base_file }, retired)
     }
 
     /// Changes from the primary lead to the next version; the base stays.
-    pub fn follow_changes(&mut self, changes: &[Change]) -> Result<Entry, crate::change::Misfit> {
+    pub fn follow_changes(&mut self, changes: &[Change]) -> Result<ZoneLogEntry, crate::change::ChangeError> {
         let mut next = self.tip.clone();
         for change in changes {
             next = change.apply(&next)?;
         }
         let change = between(&self.tip, &next);
         self.tip = next;
-        Ok(Entry::Changed { change, mark: None, lease: 0, kept: Vec::new() })
+        Ok(ZoneLogEntry::Changed { change, mark: None, lease: 0, kept: Vec::new() })
     }
 }
 
-impl Entry {
+impl ZoneLogEntry {
     /// What changed.
     pub fn change(&self) -> Option<&Change> {
         match self {
@@ -639,23 +657,28 @@
 
 /// Puts accepted changes on another version. Where the file changed the same set, the accepted change stands,
 /// and the meeting is told.
-fn put_on(zone: &mut Zone, change: &Change, bases: Option<(&Zone, &Zone)>, conflicts: &mut Vec<Conflict>) {
-    let mut told: Vec<(Name, Kind)> = Vec::new();
-    let mut meets = |record: &Record, conflicts: &mut Vec<Conflict>| {
+fn put_on(
+    zone: &mut Zone,
+    change: &Change,
+    bases: Option<(&Zone, &Zone)>,
+    conflicts: &mut Vec<ReloadConflict>,
+) {
+    let mut told: Vec<(Name, RecordType)> = Vec::new();
+    let mut meets = |record: &Record, conflicts: &mut Vec<ReloadConflict>| {
         let Some((old, new)) = bases else { return };
         let at = (record.name.clone(), record.kind);
         if old.set(&at.0, at.1) != new.set(&at.0, at.1) && !told.contains(&at) {
             let what = "changed in the file and by updates; the updates stand on the file's records";
-            conflicts.push(Conflict { name: at.0.clone(), kind: at.1, what });
+            conflicts.push(ReloadConflict { name: at.0.clone(), kind: at.1, what });
             told.push(at);
         }
     };
-    for record in change.gone().filter(|record| record.kind != Kind::SOA) {
+    for record in change.gone().filter(|record| record.kind != RecordType::SOA) {
         meets(record, conflicts);
         zone.remove(&record.name, record.kind, &record.data);
     }
     let before: BTreeSet<_> = change.removed.iter().map(Record::key).collect();
-    for record in change.added.iter().filter(|record| record.kind != Kind::SOA) {
+    for record in change.added.iter().filter(|record| record.kind != RecordType::SOA) {
         // Of a record that only got another time to live nobody said that it should be there.
         let there =
             |zone: &Zone| zone.set(&record.name, record.kind).is_some_and(|set| set.has(&record.data));
@@ -668,7 +691,7 @@
         }
         if zone.add(record).is_err() {
             let what = "an updated record can't stand beside the file's; it is left out";
-            conflicts.push(Conflict { name: record.name.clone(), kind: record.kind, what });
+            conflicts.push(ReloadConflict { name: record.name.clone(), kind: record.kind, what });
         }
     }
 }
--- a/crates/frontends/dns/src/client.rs
+++ b/crates/frontends/dns/src/client.rs
@@ -2,9 +2,9 @@
 
 use crate::codec::{Answered, Question};
 use crate::tsig::{Key, Signer};
-use lynxtally_zones::secondary::{Brought, Incoming};
+use lynxtally_zones::secondary::{TransferReader, TransferResult};
 use lynxtally_zones::Record;
-use lynxtally_zones::{Kind, Name, Serial};
+use lynxtally_zones::{Name, RecordType, Serial};
 use std::fmt;
 use std::io::{self, Read, Write};
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr, TcpStream, UdpSocket};
@@ -159,9 +159,10 @@
 
     /// A server's serial of a zone.
     pub fn serial(&self, zone: &Name, id: u16) -> Result<Serial, Fault> {
-        let answered = self.ask(&query(id, zone, Kind::SOA))?;
+        let answered = self.ask(&query(id, zone, RecordType::SOA))?;
         refused(&answered)?;
-        let soa = answered.sections[0].iter().find(|record| record.kind == Kind::SOA && record.name == *zone);
+        let soa =
+            answered.sections[0].iter().find(|record| record.kind == RecordType::SOA && record.name == *zone);
         let soa = soa.and_then(|record| lynxtally_zones::Soa::of(&record.data));
         soa.filter(|_| answered.authoritative).map(|soa| soa.serial).ok_or(Fault::Garbled("no SOA came"))
     }
@@ -173,15 +174,15 @@
         have: Option<&Record>,
         most: usize,
         id: u16,
-    ) -> Result<Brought, Fault> {
+    ) -> Result<TransferResult, Fault> {
         let from = have.and_then(|soa| lynxtally_zones::Soa::of(&soa.data)).map(|soa| soa.serial);
-        let kind = if have.is_some() { Kind::IXFR } else { Kind::AXFR };
+        let kind = if have.is_some() { RecordType::IXFR } else { RecordType::AXFR };
         let question = Question { soa: have, ..query(id, zone, kind) };
         let mut signer = self.signer();
         let octets = question.write(signer.as_mut());
         let mut open = self.connect()?;
         open.send(&octets)?;
-        let mut incoming = Incoming::new(zone.clone(), from, most);
+        let mut incoming = TransferReader::new(zone.clone(), from, most);
         loop {
             let answered = Self::check(&open.receive()?, id, &mut signer)?;
             refused(&answered)?;
@@ -192,7 +193,7 @@
             if let Some(nothing) = incoming.message_ended() {
                 return Ok(nothing);
             }
-            if incoming.is_whole() {
+            if incoming.is_complete() {
                 return incoming.finish().ok_or(Fault::Garbled("a transfer broke off"));
             }
         }
@@ -207,6 +208,6 @@
 }
 
 /// A plain question.
-pub fn query(id: u16, name: &Name, kind: Kind) -> Question<'_> {
+pub fn query(id: u16, name: &Name, kind: RecordType) -> Question<'_> {
     Question { id, name, kind, opcode: 0, soa: None, needs: &[], edits: &[], lease: None, cookie: None }
 }
--- a/crates/frontends/dns/src/codec.rs
+++ b/crates/frontends/dns/src/codec.rs
@@ -8,9 +8,9 @@
 use domain::base::{Message, MessageBuilder, ParsedName, ParsedRecord, StaticCompressor, Ttl};
 use domain::rdata::AllRecordData;
 use lynxtally_zones::change::Change;
-use lynxtally_zones::lookup::Entry;
-use lynxtally_zones::update::{Raw, Sense};
-use lynxtally_zones::{Kind, Name, Serial};
+use lynxtally_zones::lookup::ResponseSet;
+use lynxtally_zones::update::{UpdateClass, UpdateRecord};
+use lynxtally_zones::{Name, RecordType, Serial};
 use lynxtally_zones::{Record, Zone};
 use sha2::{Digest, Sha256};
 use smallvec::SmallVec;
@@ -103,14 +103,14 @@
     /// An update.
     Update {
         /// The prerequisites.
-        needs: Vec<Raw>,
+        needs: Vec<UpdateRecord>,
         /// The updates.
-        edits: Vec<Raw>,
+        edits: Vec<UpdateRecord>,
         /// By what a repeat is known.
         mark: [u8; 16],
     },
     /// It is whole, but not for this server: the code says why.
-    Unfit(Code),
+    Rejected(Code),
 }
 
 /// What EDNS says.
@@ -138,7 +138,7 @@
     /// The name asked for, or the zone.
     pub name: Name,
     /// The kind asked for.
-    pub kind: Kind,
+    pub kind: RecordType,
     /// The question as it came.
     pub question: SmallVec<[u8; 48]>,
     /// What EDNS says.
@@ -175,7 +175,7 @@
         let opcode = header.opcode();
         let question = message.sole_question().ok()?;
         let name = name_of(question.qname())?;
-        let kind = Kind(question.qtype().to_int());
+        let kind = RecordType(question.qtype().to_int());
         let end = message.question().answer().ok()?.pos();
         let mut asked = Self {
             id: header.id(),
@@ -193,10 +193,10 @@
         let plain = opcode == Opcode::QUERY && counts.ancount() == 0 && counts.nscount() == 0;
         let signed_at = asked.additional(message, octets)?;
         asked.body = if question.qclass() != Class::IN {
-            Body::Unfit(Code::REFUSED)
-        } else if plain && kind == Kind::AXFR {
+            Body::Rejected(Code::REFUSED)
+        } else if plain && kind == RecordType::AXFR {
             Body::Transfer(None)
-        } else if opcode == Opcode::QUERY && kind == Kind::IXFR {
+        } else if opcode == Opcode::QUERY && kind == RecordType::IXFR {
             let from = message.authority().ok()?.next().and_then(Result::ok).and_then(|r| soa_of(&r));
             Body::Transfer(Some(from?))
         } else if plain {
@@ -205,14 +205,14 @@
             let serial = message.answer().ok()?.next().and_then(Result::ok).and_then(|r| soa_of(&r));
             Body::Notify(serial)
         } else if opcode == Opcode::UPDATE {
-            if kind != Kind::SOA {
+            if kind != RecordType::SOA {
                 return None;
             }
             let needs = message.answer().ok()?.map(|record| raw(&record.ok()?)).collect::<Option<_>>()?;
             let edits = message.authority().ok()?.map(|record| raw(&record.ok()?)).collect::<Option<_>>()?;
             Body::Update { needs, edits, mark: mark(octets, signed_at, &asked.signed) }
         } else {
-            Body::Unfit(Code::NOT_DONE)
+            Body::Rejected(Code::NOT_DONE)
         };
         Some(asked)
     }
@@ -299,16 +299,16 @@
     Some(data)
 }
 
-fn raw(record: &Parsed) -> Option<Raw> {
+fn raw(record: &Parsed) -> Option<UpdateRecord> {
     let sense = match record.class() {
-        Class::IN => Sense::Own,
-        Class::NONE => Sense::None,
-        Class::ANY => Sense::Any,
-        _ => Sense::Other,
+        Class::IN => UpdateClass::Zone,
+        Class::NONE => UpdateClass::None,
+        Class::ANY => UpdateClass::Any,
+        _ => UpdateClass::Other,
     };
-    Some(Raw {
+    Some(UpdateRecord {
         name: name_of(&record.owner())?,
-        kind: Kind(record.rtype().to_int()),
+        kind: RecordType(record.rtype().to_int()),
         sense,
         ttl: record.ttl().as_secs(),
         data: data_of(record)?,
@@ -352,11 +352,11 @@
     /// Whether this server has the zone.
     pub authoritative: bool,
     /// The sections.
-    pub answer: &'a [Entry<'a>],
+    pub answer: &'a [ResponseSet<'a>],
     /// See there.
-    pub authority: &'a [Entry<'a>],
+    pub authority: &'a [ResponseSet<'a>],
     /// See there.
-    pub additional: &'a [Entry<'a>],
+    pub additional: &'a [ResponseSet<'a>],
     /// Why, in more words.
     pub reason: Option<(Reason, String)>,
     /// The client's cookie and the server's, which proves the client from now on.
@@ -445,7 +445,7 @@
 
 type Pushed<'a> = (&'a domain::base::Name<&'a [u8]>, Class, Ttl, UnknownRecordData<&'a [u8]>);
 
-fn entries(all: &[Entry], mut push: impl FnMut(Pushed) -> Result<(), PushError>) -> Option<()> {
+fn entries(all: &[ResponseSet], mut push: impl FnMut(Pushed) -> Result<(), PushError>) -> Option<()> {
     for entry in all {
         let owner = domain::base::Name::from_octets(&*entry.owner).ok()?;
         for data in entry.records() {
@@ -489,7 +489,7 @@
 pub struct Transfer {
     id: u16,
     question: SmallVec<[u8; 48]>,
-    kind: Kind,
+    kind: RecordType,
     records: Box<dyn Iterator<Item = Record> + Send>,
     /// One that found no room in the last message.
     left: Option<Record>,
@@ -500,7 +500,7 @@
 /// The records of one side of a change, its SOA first.
 fn soa_first(records: &[Record]) -> impl Iterator<Item = Record> + use<> {
     let mut records = records.to_vec();
-    records.sort_by_key(|record| record.kind != Kind::SOA);
+    records.sort_by_key(|record| record.kind != RecordType::SOA);
     records.into_iter()
 }
 
@@ -529,7 +529,7 @@
             }
             None => {
                 let body = version.walk().flat_map(|(name, node)| {
-                    let sets = node.sets().iter().filter(|set| set.kind != Kind::SOA);
+                    let sets = node.sets().iter().filter(|set| set.kind != RecordType::SOA);
                     let all = sets.flat_map(|set| {
                         let record = |data: &[u8]| Record {
                             name: name.clone(),
@@ -601,15 +601,15 @@
     /// What it is about.
     pub name: &'a Name,
     /// The kind.
-    pub kind: Kind,
+    pub kind: RecordType,
     /// The kind of message: 0 a query, 4 a notice, 5 an update.
     pub opcode: u8,
     /// For a transfer of changes: the SOA that we have. For a notice: the new one.
     pub soa: Option<&'a Record>,
     /// For an update: what must hold, and what is done.
-    pub needs: &'a [Raw],
+    pub needs: &'a [UpdateRecord],
     /// See there.
-    pub edits: &'a [Raw],
+    pub edits: &'a [UpdateRecord],
     /// For how many seconds an update's records are to be held.
     pub lease: Option<u32>,
     /// Our cookie, and the server's where it gave one.
@@ -636,24 +636,24 @@
         let mut question = builder.question();
         let name = domain::base::Name::from_octets(self.name.wire()).ok()?;
         question.push((name, Rtype::from_int(self.kind.0), Class::IN)).ok()?;
-        fn class(sense: Sense) -> Class {
+        fn class(sense: UpdateClass) -> Class {
             match sense {
-                Sense::Own | Sense::Other => Class::IN,
-                Sense::None => Class::NONE,
-                Sense::Any => Class::ANY,
+                UpdateClass::Zone | UpdateClass::Other => Class::IN,
+                UpdateClass::None => Class::NONE,
+                UpdateClass::Any => Class::ANY,
             }
         }
-        let own = |soa: &&Record| Raw {
+        let own = |soa: &&Record| UpdateRecord {
             name: soa.name.clone(),
             kind: soa.kind,
-            sense: Sense::Own,
+            sense: UpdateClass::Zone,
             ttl: soa.ttl,
             data: soa.data.clone(),
         };
         let soa = self.soa.iter().map(own).collect::<Vec<_>>();
         let (first, second) = if self.opcode == 4 { (&soa[..], &[][..]) } else { (self.needs, &soa[..]) };
         type Out<'a> = (&'a domain::base::Name<&'a [u8]>, Class, Ttl, UnknownRecordData<&'a [u8]>);
-        let put = |all: &[Raw], push: &mut dyn FnMut(Out) -> Result<(), PushError>| {
+        let put = |all: &[UpdateRecord], push: &mut dyn FnMut(Out) -> Result<(), PushError>| {
             for raw in all {
                 let owner = domain::base::Name::from_octets(raw.name.wire()).ok()?;
                 let data = UnknownRecordData::from_octets(Rtype::from_int(raw.kind.0), &raw.data[..]).ok()?;
@@ -770,7 +770,7 @@
 }
 
 fn record_of(record: &Parsed) -> Option<Record> {
-    let kind = Kind(record.rtype().to_int());
+    let kind = RecordType(record.rtype().to_int());
     Some(Record {
         name: name_of(&record.owner())?,
         kind,
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -20,11 +20,11 @@
 use lynxtally_net::timer::Timer;
 use lynxtally_wal::{Rotation, Storage, WriteAheadLog};
 use lynxtally_zones::change::{between, Change};
-use lynxtally_zones::rate_limit::{prefix, Shares};
-use lynxtally_zones::secondary::{version, Brought, Follower, Notices, Step};
+use lynxtally_zones::rate_limit::{prefix, RequestRateLimit};
+use lynxtally_zones::secondary::{version, NotifySender, SecondaryAction, SecondaryZone, TransferResult};
 use lynxtally_zones::zone_file;
 use lynxtally_zones::zone_store::{
-    decode, decode_base, encode, encode_base, Frozen, Keeper, Outline, Ready, Snapshot,
+    decode, decode_base, encode, encode_base, FreezeReason, PreparedReload, ReloadInput, Snapshot, ZoneStore,
 };
 use lynxtally_zones::{Serial, Zone};
 use nix::poll::{ppoll, PollFd, PollFlags};
@@ -57,7 +57,7 @@
     /// Entries of a zone are durable up to a number, or its log failed.
     Durable(usize, Result<u64, String>),
     /// A file was read again.
-    Reread(usize, Result<(String, Box<Ready>), String>, Option<Sender<String>>),
+    Reread(usize, Result<(String, Box<PreparedReload>), String>, Option<Sender<String>>),
     /// A snapshot was written, or not.
     Snapshot(usize, Result<(), String>),
     /// A primary told its serial.
@@ -95,14 +95,14 @@
     Reread {
         zone: usize,
         settings: Box<settings::Zone>,
-        outline: Box<Outline>,
+        outline: Box<ReloadInput>,
         answer: Option<Sender<String>>,
     },
     Snapshot {
         zone: usize,
         name: String,
         rotation: Rotation,
-        keeper: Box<Keeper>,
+        keeper: Box<ZoneStore>,
     },
     Drop(#[allow(dead_code)] Vec<Zone>),
 }
@@ -219,7 +219,7 @@
     desk: Desk,
     keys: Keys,
     secret: cookie::Secret,
-    shares: Shares,
+    shares: RequestRateLimit,
     ear: Ear,
     log: Sender<Job>,
     aside: Sender<Aside>,
@@ -455,7 +455,7 @@
             let snapshot: Snapshot = decode(&octets).map_err(|fault| format!("{name}: {fault}"))?;
             let base = read_base(folder, &snapshot.base);
             let base = base.ok_or_else(|| format!("{}: the base is missing or damaged", snapshot.base))?;
-            let restored = Keeper::restore(now, base, snapshot, limits);
+            let restored = ZoneStore::restore(now, base, snapshot, limits);
             Some(restored.map_err(|misfit| format!("{name}: {misfit}"))?)
         }
     };
@@ -471,7 +471,7 @@
     } else if let Some(path) = &zone.file {
         let base = read_file(path, zone)?;
         let file = write_base(folder, &name, &base)?;
-        let made = Keeper::new(base, file, limits);
+        let made = ZoneStore::new(base, file, limits);
         let rotation = journal.rotate();
         WriteAheadLog::write_snapshot(folder, &name, rotation, &encode(&made.snapshot()))
             .map_err(|fault| fault.to_string())?;
@@ -481,20 +481,20 @@
     if let Some(what) = damage.first() {
         error!(zone = %zone.apex, what, "the log is damaged: the zone is served as far as it could be read, and frozen");
         if let Some(keeper) = &mut keeper {
-            keeper.freeze(Frozen::Log(what.clone()));
+            keeper.freeze(FreezeReason::LogFailed(what.clone()));
         }
     }
     let follows = !zone.primaries.is_empty();
     if follows {
         if let Some(keeper) = &mut keeper {
-            keeper.freeze(Frozen::Secondary);
+            keeper.freeze(FreezeReason::Secondary);
         }
     }
     let soa = keeper.as_ref().and_then(|keeper| keeper.live().soa());
     let times = settings.limits.times();
     let seed = || rand::rng().random();
-    let follower = follows.then(|| Follower::new(now, zone.primaries.len(), soa, times, seed()));
-    let notices = Notices::new(zone.notify.len(), times, seed());
+    let follower = follows.then(|| SecondaryZone::new(now, zone.primaries.len(), soa, times, seed()));
+    let notices = NotifySender::new(zone.notify.len(), times, seed());
     Ok(ZoneState::new(zone.clone(), keeper, journal, follower, notices))
 }
 
@@ -666,7 +666,7 @@
                 Err((bad, refusing)) => {
                     warn!(%from, key = %signed.key, "{bad}");
                     signer = Some(refusing);
-                    asked.body = Body::Unfit(Code::NOT_AUTH);
+                    asked.body = Body::Rejected(Code::NOT_AUTH);
                 }
             }
         }
@@ -809,7 +809,7 @@
             Verb::Freeze(zone) => {
                 match zone_of(&zone).and_then(|at| self.serving.zones[at].keeper.as_mut()) {
                     Some(keeper) => {
-                        keeper.freeze(Frozen::Asked);
+                        keeper.freeze(FreezeReason::Operator);
                         "{\"frozen\":true}".to_owned()
                     }
                     None => unknown(),
@@ -849,7 +849,7 @@
         if zone.reading {
             return Err("the file is being read already");
         }
-        if matches!(keeper.frozen(), Some(Frozen::Log(_))) {
+        if matches!(keeper.frozen(), Some(FreezeReason::LogFailed(_))) {
             return Err("the zone's log failed");
         }
         zone.reading = true;
@@ -873,7 +873,7 @@
                 let zone = &self.serving.zones[at];
                 let next = [
                     zone.keeper.as_ref().filter(|k| k.frozen().is_none()).and_then(|k| k.leases().next()),
-                    zone.follower.as_ref().map(Follower::next_due),
+                    zone.follower.as_ref().map(SecondaryZone::next_due),
                     zone.notices.next_due(),
                 ];
                 if let Some(at_time) = next.into_iter().flatten().min() {
@@ -890,11 +890,11 @@
     }
 
     /// Has a primary asked, on a thread of its own: a large transfer must hold up no answer.
-    fn step(&mut self, at: usize, step: Option<Step>) {
+    fn step(&mut self, at: usize, step: Option<SecondaryAction>) {
         let (primary, from) = match step {
-            Some(Step::AskSerial(primary)) => (primary, None),
-            Some(Step::Transfer(primary, from)) => (primary, Some(from)),
-            Some(Step::Expire) | None => return,
+            Some(SecondaryAction::QuerySerial(primary)) => (primary, None),
+            Some(SecondaryAction::Transfer(primary, from)) => (primary, Some(from)),
+            Some(SecondaryAction::Expire) | None => return,
         };
         let zone = &self.serving.zones[at];
         let settings = &zone.settings;
@@ -916,9 +916,9 @@
             let brought = client.transfer(&apex, soa.as_ref(), most, id);
             let done = brought.map_err(|fault| format!("{}: {fault}", client.server)).and_then(|brought| {
                 Ok(match brought {
-                    Brought::Nothing(serial) => Followed::Nothing(serial),
-                    Brought::Changes(changes) => Followed::Changes(changes),
-                    Brought::Whole(records) => {
+                    TransferResult::UpToDate(serial) => Followed::Nothing(serial),
+                    TransferResult::Incremental(changes) => Followed::Changes(changes),
+                    TransferResult::Full(records) => {
                         let serial = have.as_ref().map(|zone| zone.serial());
                         let new = version(&apex, serial, &records)
                             .map_err(|fault| format!("{}: {fault}", client.server))?;
--- a/crates/frontends/dns/src/serving.rs
+++ b/crates/frontends/dns/src/serving.rs
@@ -8,11 +8,11 @@
 use lynxtally_engine::{Executor, RunEnd};
 use lynxtally_wal::{Batch, Rotation, WriteAheadLog};
 use lynxtally_zones::change::Change;
-use lynxtally_zones::lookup::{lookup, Entry as Answered, Outcome};
+use lynxtally_zones::lookup::{lookup, Outcome, ResponseSet as Answered};
 use lynxtally_zones::record::pack;
-use lynxtally_zones::secondary::{Follower, Notices, Step};
-use lynxtally_zones::update::{Refusal, Update};
-use lynxtally_zones::zone_store::{encode, Entry, Frozen, Keeper, Ready};
+use lynxtally_zones::secondary::{NotifySender, SecondaryAction, SecondaryZone};
+use lynxtally_zones::update::{Update, UpdateError};
+use lynxtally_zones::zone_store::{encode, FreezeReason, PreparedReload, ZoneLogEntry, ZoneStore};
 use lynxtally_zones::Zone;
 use lynxtally_zones::{Name, Serial};
 use std::borrow::Cow;
@@ -81,7 +81,7 @@
     task: RequestId,
     number: u64,
     up_to: u64,
-    result: Result<Serial, Refusal>,
+    result: Result<Serial, UpdateError>,
     lease: Option<Span>,
 }
 
@@ -90,13 +90,13 @@
     /// Its settings.
     pub settings: settings::Zone,
     /// Its versions; none before a secondary has one.
-    pub keeper: Option<Keeper>,
+    pub keeper: Option<ZoneStore>,
     /// Its log.
     pub journal: WriteAheadLog,
     /// Where it follows primaries.
-    pub follower: Option<Follower>,
+    pub follower: Option<SecondaryZone>,
     /// Who is told of new versions.
-    pub notices: Notices,
+    pub notices: NotifySender,
     /// Whether its file is being read again.
     pub reading: bool,
     pending: VecDeque<Pending>,
@@ -113,10 +113,10 @@
     /// A zone as it was found.
     pub fn new(
         settings: settings::Zone,
-        keeper: Option<Keeper>,
+        keeper: Option<ZoneStore>,
         journal: WriteAheadLog,
-        follower: Option<Follower>,
-        notices: Notices,
+        follower: Option<SecondaryZone>,
+        notices: NotifySender,
     ) -> Self {
         let durable = journal.next_number();
         Self {
@@ -136,12 +136,12 @@
 
     /// The version that answers come from; none where it may not be served.
     pub fn served(&self) -> Option<&Arc<Zone>> {
-        let fit = self.follower.as_ref().is_none_or(Follower::serves);
-        self.keeper.as_ref().filter(|_| fit).map(Keeper::live)
+        let fit = self.follower.as_ref().is_none_or(SecondaryZone::serves);
+        self.keeper.as_ref().filter(|_| fit).map(ZoneStore::live)
     }
 
     /// Puts an entry on the log.
-    fn log(&mut self, entry: &Entry) {
+    fn log(&mut self, entry: &ZoneLogEntry) {
         let number = self.journal.append(&encode(entry));
         if let Some(keeper) = &mut self.keeper {
             keeper.added(number + 1, entry);
@@ -337,7 +337,7 @@
         if let Some(entry) = &taken.entry {
             zone.log(entry);
         }
-        let up_to = zone.keeper.as_ref().map_or(0, Keeper::answered_at);
+        let up_to = zone.keeper.as_ref().map_or(0, ZoneStore::answered_at);
         let lease = taken.lease.filter(|_| taken.result.is_ok());
         zone.pending.push_back(Pending { task, number, up_to, result: taken.result, lease });
         self.counts.repeats += u64::from(taken.repeat);
@@ -397,7 +397,7 @@
     /// A zone's log failed: nothing that waits for it will be durable, and it takes nothing more.
     pub fn log_failed(&mut self, at: usize, why: &str) {
         let zone = &mut self.zones[at];
-        if matches!(zone.keeper.as_ref().and_then(Keeper::frozen), Some(Frozen::Log(_))) {
+        if matches!(zone.keeper.as_ref().and_then(ZoneStore::frozen), Some(FreezeReason::LogFailed(_))) {
             return;
         }
         error!(zone = %zone.settings.apex, why, "the log failed; the zone takes no updates and serves what it has");
@@ -419,7 +419,7 @@
 
     /// Begins a generation of the log where it is long and all of it is durable; the keeper goes out as it
     /// stands, for the snapshot. What waited for that is judged.
-    pub fn rotate(&mut self, at: usize, asked: bool) -> Option<(Rotation, Keeper)> {
+    pub fn rotate(&mut self, at: usize, asked: bool) -> Option<(Rotation, ZoneStore)> {
         let (log_most, zone) = (self.log_most, &mut self.zones[at]);
         zone.rotate |= !zone.snapshotting && (asked || zone.journal.bytes_since_snapshot() > log_most);
         let keeper = zone.keeper.as_ref().filter(|keeper| keeper.settled())?.clone();
@@ -461,7 +461,7 @@
     }
 
     /// Takes a file over that was read again. Versions that are not needed any more come out.
-    pub fn rebase(&mut self, at: usize, file: String, ready: Ready) -> Vec<Zone> {
+    pub fn rebase(&mut self, at: usize, file: String, ready: PreparedReload) -> Vec<Zone> {
         let zone = &mut self.zones[at];
         let Some(keeper) = &mut zone.keeper else { return Vec::new() };
         let (entry, conflicts, retired) = keeper.rebase(file, ready);
@@ -489,10 +489,10 @@
                 retired
             }
             None => {
-                let mut keeper = Keeper::new(version, file.clone(), limits.keeper());
-                keeper.freeze(Frozen::Secondary);
+                let mut keeper = ZoneStore::new(version, file.clone(), limits.keeper());
+                keeper.freeze(FreezeReason::Secondary);
                 zone.keeper = Some(keeper);
-                zone.log(&Entry::Followed { base: file });
+                zone.log(&ZoneLogEntry::Followed { base: file });
                 Vec::new()
             }
         }
@@ -515,10 +515,10 @@
     }
 
     /// What a secondary's zone does next.
-    pub fn follow_due(&mut self, at: usize) -> Option<Step> {
+    pub fn follow_due(&mut self, at: usize) -> Option<SecondaryAction> {
         let (now, zone) = (self.now, &mut self.zones[at]);
         let step = zone.follower.as_mut()?.due(now);
-        if step == Some(Step::Expire) {
+        if step == Some(SecondaryAction::Expire) {
             warn!(zone = %zone.settings.apex, "no primary was heard for as long as the zone allows; it is not served");
         }
         step
@@ -538,16 +538,16 @@
 }
 
 /// The code that says why an update was refused.
-fn code_of(refusal: Refusal) -> Code {
+fn code_of(refusal: UpdateError) -> Code {
     match refusal {
-        Refusal::Malformed => Code::FORM,
-        Refusal::OutOfZone => Code::NOT_ZONE,
-        Refusal::NameMissing => Code::NAME,
-        Refusal::NameThere => Code::NAME_THERE,
-        Refusal::SetMissing => Code::SET_MISSING,
-        Refusal::SetThere => Code::SET_THERE,
-        Refusal::NotAllowed => Code::REFUSED,
-        Refusal::Frozen => Code::FAIL,
+        UpdateError::Malformed => Code::FORM,
+        UpdateError::OutOfZone => Code::NOT_ZONE,
+        UpdateError::NameMissing => Code::NAME,
+        UpdateError::NameExists => Code::NAME_THERE,
+        UpdateError::SetMissing => Code::SET_MISSING,
+        UpdateError::SetExists => Code::SET_THERE,
+        UpdateError::NotAllowed => Code::REFUSED,
+        UpdateError::Frozen => Code::FAIL,
     }
 }
 
@@ -556,7 +556,7 @@
         let ask = work.clone();
         let octets = match &ask.asked.body {
             Body::Query => self.query(&ask),
-            Body::Unfit(code) => ask.code(*code, None),
+            Body::Rejected(code) => ask.code(*code, None),
             Body::Notify(serial) => self.notify(&ask, *serial),
             Body::Update { .. } => {
                 self.keep(task, work);
--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -2,12 +2,12 @@
 
 use crate::tsig::Key;
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
-use lynxtally_zones::rate_limit::{Shares, Sketch};
-use lynxtally_zones::secondary::Times;
+use lynxtally_zones::rate_limit::{CountMinSketch, RequestRateLimit};
+use lynxtally_zones::secondary::RetryTimes;
 use lynxtally_zones::update::{Grant, Scope};
 use lynxtally_zones::zone_file;
 use lynxtally_zones::zone_store;
-use lynxtally_zones::{Kind, Name};
+use lynxtally_zones::{Name, RecordType};
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -263,7 +263,7 @@
     /// Who may change what.
     pub grants: Vec<Grant>,
     /// What its file is held to.
-    pub file_limits: zone_file::Limits,
+    pub file_limits: zone_file::ZoneFileLimits,
 }
 
 /// All settings, checked.
@@ -432,12 +432,12 @@
     }
 
     /// What a zone's keeper is held to.
-    pub fn keeper(&self) -> zone_store::Limits {
-        let mut limits = zone_store::Limits {
+    pub fn keeper(&self) -> zone_store::ZoneStoreLimits {
+        let mut limits = zone_store::ZoneStoreLimits {
             history: self.history,
             marks_for: Span::from_secs(self.repeats_s as f64),
             records: self.records,
-            ..zone_store::Limits::default()
+            ..zone_store::ZoneStoreLimits::default()
         };
         limits.leases.least = Span::from_secs(self.lease_least_s as f64);
         limits.leases.most = limits.leases.most.max(limits.leases.least);
@@ -447,15 +447,15 @@
     }
 
     /// Who asks how much, by prefix.
-    pub fn shares(&self, key: u64, now: lynxtally::Instant) -> Shares {
+    pub fn shares(&self, key: u64, now: lynxtally::Instant) -> RequestRateLimit {
         // A count stands for about two turns of half a second, so for about a second.
-        let sketch = Sketch::new(1 << 12, Span::from_millis(500), key, now);
-        Shares::new(sketch, self.prefix_share, self.prefix_least)
+        let sketch = CountMinSketch::new(1 << 12, Span::from_millis(500), key, now);
+        RequestRateLimit::new(sketch, self.prefix_share, self.prefix_least)
     }
 
     /// How a secondary paces itself where its zone is not known yet.
-    pub fn times(&self) -> Times {
-        Times::default()
+    pub fn times(&self) -> RetryTimes {
+        RetryTimes::default()
     }
 }
 
@@ -496,7 +496,7 @@
             };
             let mut kinds = Vec::new();
             for (k, text) in grant.kinds.iter().enumerate() {
-                match Kind::parse(text).filter(|kind| !kind.is_meta()) {
+                match RecordType::parse(text).filter(|kind| !kind.is_meta()) {
                     Some(kind) => kinds.push(kind),
                     None => {
                         return fault(format!("{at}.kinds[{k}]"), format!("is {text:?}; no kind of record"))
@@ -519,7 +519,10 @@
             transfer_keys,
             transfer_anyone: self.transfer.anyone,
             grants,
-            file_limits: zone_file::Limits { refused: self.refused_most, ..zone_file::Limits::default() },
+            file_limits: zone_file::ZoneFileLimits {
+                refused: self.refused_most,
+                ..zone_file::ZoneFileLimits::default()
+            },
         })
     }
 }
