--- a/crates/testing/test-doubles/src/names.rs
+++ b/crates/testing/test-doubles/src/names.rs
@@ -3,8 +3,8 @@
 use lynxtally_dns::client::{query, Client, Open};
 use lynxtally_dns::codec::{Answered, Question};
 use lynxtally_dns::tsig::{Key, Signer};
-use lynxtally_zones::update::{Raw, Sense};
-use lynxtally_zones::{Kind, Name};
+use lynxtally_zones::update::{UpdateClass, UpdateRecord};
+use lynxtally_zones::{Name, RecordType};
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     }
 
     /// Asks; datagrams that answer something else are passed over.
-    pub fn ask(&mut self, name: &Name, kind: Kind) -> io::Result<Answered> {
+    pub fn ask(&mut self, name: &Name, kind: RecordType) -> io::Result<Answered> {
         self.id = self.id.wrapping_add(1);
         self.socket.send(&query(self.id, name, kind).write(None))?;
         loop {
@@ -64,9 +64,10 @@
     }
 
     /// A signed update, as octets: to be sent once or more often.
-    pub fn message(&mut self, needs: &[Raw], edits: &[Raw], lease: Option<u32>) -> Vec<u8> {
+    pub fn message(&mut self, needs: &[UpdateRecord], edits: &[UpdateRecord], lease: Option<u32>) -> Vec<u8> {
         self.id = self.id.wrapping_add(1);
-        let question = Question { opcode: 5, needs, edits, lease, ..query(self.id, &self.zone, Kind::SOA) };
+        let question =
+            Question { opcode: 5, needs, edits, lease, ..query(self.id, &self.zone, RecordType::SOA) };
         let key = self.client.key.clone().expect("it has one");
         question.write(Some(&mut Signer::asking(key, lynxtally_dns::client::unix_now())))
     }
@@ -79,18 +80,18 @@
     }
 
     /// Sends an update; tells its code.
-    pub fn update(&mut self, edits: &[Raw]) -> io::Result<u16> {
+    pub fn update(&mut self, edits: &[UpdateRecord]) -> io::Result<u16> {
         let octets = self.message(&[], edits, None);
         self.exchange(&octets).map(|answered| answered.code)
     }
 }
 
 /// Adds a record.
-pub fn add(name: &Name, kind: Kind, data: &[u8]) -> Raw {
-    Raw { name: name.clone(), kind, sense: Sense::Own, ttl: 5, data: data.to_vec() }
+pub fn add(name: &Name, kind: RecordType, data: &[u8]) -> UpdateRecord {
+    UpdateRecord { name: name.clone(), kind, sense: UpdateClass::Zone, ttl: 5, data: data.to_vec() }
 }
 
 /// Takes all of a kind out.
-pub fn drop_set(name: &Name, kind: Kind) -> Raw {
-    Raw { name: name.clone(), kind, sense: Sense::Any, ttl: 0, data: Vec::new() }
+pub fn drop_set(name: &Name, kind: RecordType) -> UpdateRecord {
+    UpdateRecord { name: name.clone(), kind, sense: UpdateClass::Any, ttl: 0, data: Vec::new() }
 }
