--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -355,7 +355,7 @@
             );
         }
     }
-    faults.extend(snapshot.err());
+    faults.extend(snapshot.err().map(|fault| fault.to_string()));
     let mut count = 0;
     for octets in &found.entries {
         match decode::<ZoneLogEntry>(octets) {
--- /dev/null
+++ b/crates/core/zones/src/secondary/notify.rs
@@ -0,0 +1,73 @@
+//! Which secondaries are to be notified of a new serial, and when again.
+
+use super::retry::{RetryTimes, BACKOFF_FACTOR};
+use crate::serial::Serial;
+use lynxtally::{Instant, Pcg};
+
+/// Sends NOTIFY for a new serial to each secondary, again until it is acknowledged (RFC 1996).
+#[derive(Clone, Debug)]
+pub struct NotifySender {
+    targets: Vec<NotifyTarget>,
+    serial: Option<Serial>,
+    times: RetryTimes,
+    chance: Pcg,
+}
+
+#[derive(Clone, Debug)]
+struct NotifyTarget {
+    told: u32,
+    due: Option<Instant>,
+}
+
+/// How often a secondary is told of one version before it is left to its own refresh.
+const MAX_NOTIFIES: u32 = 8;
+
+impl NotifySender {
+    /// For so many secondaries.
+    pub fn new(targets: usize, times: RetryTimes, seed: u64) -> Self {
+        Self {
+            targets: vec![NotifyTarget { told: 0, due: None }; targets],
+            serial: None,
+            times,
+            chance: Pcg::new(seed),
+        }
+    }
+
+    /// There is a new version: all are told.
+    pub fn wanted(&mut self, now: Instant, serial: Serial) {
+        if self.serial != Some(serial) {
+            self.serial = Some(serial);
+            self.targets.iter_mut().for_each(|target| *target = NotifyTarget { told: 0, due: Some(now) });
+        }
+    }
+
+    /// When somebody is to be told next.
+    pub fn next_due(&self) -> Option<Instant> {
+        self.targets.iter().filter_map(|target| target.due).min()
+    }
+
+    /// Who is to be told now, and of which version.
+    pub fn due(&mut self, now: Instant) -> Vec<(usize, Serial)> {
+        let Some(serial) = self.serial else { return Vec::new() };
+        let mut all = Vec::new();
+        for (n, target) in self.targets.iter_mut().enumerate() {
+            if target.due.is_some_and(|due| due <= now) {
+                all.push((n, serial));
+                target.told += 1;
+                let pause = self.times.retry * BACKOFF_FACTOR.powi(target.told.min(16) as i32 - 1);
+                let at = now + pause.min(self.times.retry_most) * (0.5 + self.chance.unit());
+                target.due = (target.told < MAX_NOTIFIES).then_some(at);
+            }
+        }
+        all
+    }
+
+    /// One says that it heard of a version.
+    pub fn heard(&mut self, target: usize, serial: Option<Serial>) {
+        if let Some(target) =
+            self.targets.get_mut(target).filter(|_| serial.is_none() || serial == self.serial)
+        {
+            target.due = None;
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/zones/src/secondary/transfer.rs
@@ -0,0 +1,217 @@
+//! Reading of zone transfers: AXFR (RFC 5936) and IXFR (RFC 1995).
+
+use crate::change::Change;
+use crate::name::Name;
+use crate::record::Record;
+use crate::record_type::RecordType;
+use crate::serial::Serial;
+use crate::soa::Soa;
+use crate::zone::Zone;
+use std::fmt;
+
+/// What a completed transfer brought.
+#[derive(Clone, Debug, PartialEq)]
+pub enum TransferResult {
+    /// The primary has nothing newer than the serial that was asked from; this is its serial.
+    UpToDate(Serial),
+    /// All records of the zone (AXFR, or an IXFR answered in full).
+    Full(Vec<Record>),
+    /// The changes, in order, from the serial asked from on (IXFR).
+    Incremental(Vec<Change>),
+}
+
+/// Why a transfer is discarded.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum TransferError {
+    /// It does not begin with the zone's SOA.
+    Start,
+    /// A change does not follow on the one before.
+    Order,
+    /// More came behind its end.
+    Behind,
+    /// The version is not newer than what is there.
+    Back {
+        /// What came.
+        came: Serial,
+        /// What is there.
+        have: Serial,
+    },
+    /// A record is out of the zone, or can't stand in it.
+    Rejected(String),
+    /// More records than a zone may have.
+    Large,
+}
+
+impl fmt::Display for TransferError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Self::Start => f.write_str("it does not begin with the zone's SOA"),
+            Self::Order => f.write_str("its changes do not follow on one another"),
+            Self::Behind => f.write_str("more came behind its end"),
+            Self::Back { came, have } => write!(f, "it brings {came}, which is not newer than {have}"),
+            Self::Rejected(what) => write!(f, "a record can't stand in the zone: {what}"),
+            Self::Large => f.write_str("more records than a zone may have"),
+        }
+    }
+}
+
+#[derive(Clone, Debug)]
+enum TransferState {
+    Start,
+    /// After the first SOA.
+    First,
+    /// All records of the zone, until the SOA comes again (RFC 5936 section 2.2).
+    FullZone,
+    /// Records that are gone (RFC 1995 section 4).
+    Removed,
+    /// Records that are new.
+    Added,
+    End,
+}
+
+/// Reads the records of an AXFR or IXFR response in the order in which they arrive.
+#[derive(Clone, Debug)]
+pub struct TransferReader {
+    apex: Name,
+    asked_from: Option<Serial>,
+    most: usize,
+    stage: TransferState,
+    newest: Option<Record>,
+    whole: Vec<Record>,
+    changes: Vec<Change>,
+    count: usize,
+}
+
+impl TransferReader {
+    /// A transfer of a zone, from a version on or of all of it.
+    pub fn new(apex: Name, asked_from: Option<Serial>, most: usize) -> Self {
+        Self {
+            apex,
+            asked_from,
+            most,
+            stage: TransferState::Start,
+            newest: None,
+            whole: Vec::new(),
+            changes: Vec::new(),
+            count: 0,
+        }
+    }
+
+    /// Whether it is whole.
+    pub fn is_complete(&self) -> bool {
+        matches!(self.stage, TransferState::End)
+    }
+
+    fn serial(record: &Record) -> Serial {
+        Soa::of(&record.data).map_or(Serial(0), |soa| soa.serial)
+    }
+
+    /// Takes the next record.
+    pub fn take(&mut self, record: Record) -> Result<(), TransferError> {
+        self.count += 1;
+        if self.count > self.most.saturating_mul(2) {
+            return Err(TransferError::Large);
+        }
+        if !record.name.is_within(&self.apex) {
+            return Err(TransferError::Rejected(record.to_string()));
+        }
+        let soa = record.kind == RecordType::SOA;
+        let newest = self.newest.as_ref().map(Self::serial);
+        match self.stage {
+            TransferState::Start => {
+                if !soa || record.name != self.apex {
+                    return Err(TransferError::Start);
+                }
+                self.newest = Some(record);
+                self.stage = TransferState::First;
+            }
+            TransferState::First if soa && self.asked_from == Some(Self::serial(&record)) => {
+                // The SOA of the version asked from: changes follow.
+                self.begin_change(record);
+            }
+            TransferState::First if soa && newest == Some(Self::serial(&record)) => {
+                // The whole of a zone with nothing but its SOA.
+                self.whole.extend(self.newest.clone());
+                self.stage = TransferState::End;
+            }
+            TransferState::First if soa => return Err(TransferError::Order),
+            TransferState::First => {
+                self.whole.extend(self.newest.clone());
+                self.whole.push(record);
+                self.stage = TransferState::FullZone;
+            }
+            TransferState::FullZone if soa => self.stage = TransferState::End,
+            TransferState::FullZone => self.whole.push(record),
+            TransferState::Removed if soa => {
+                if let Some(change) = self.changes.last_mut() {
+                    change.to = Self::serial(&record);
+                    change.added.push(record);
+                }
+                self.stage = TransferState::Added;
+            }
+            TransferState::Removed => {
+                if let Some(change) = self.changes.last_mut() {
+                    change.removed.push(record);
+                }
+            }
+            TransferState::Added if soa => {
+                let last = self.changes.last().map(|change| change.to);
+                if last == newest && newest == Some(Self::serial(&record)) {
+                    self.stage = TransferState::End;
+                } else if last == Some(Self::serial(&record)) {
+                    self.begin_change(record);
+                } else {
+                    return Err(TransferError::Order);
+                }
+            }
+            TransferState::Added => {
+                if let Some(change) = self.changes.last_mut() {
+                    change.added.push(record);
+                }
+            }
+            TransferState::End => return Err(TransferError::Behind),
+        }
+        Ok(())
+    }
+
+    fn begin_change(&mut self, record: Record) {
+        let from = Self::serial(&record);
+        self.changes.push(Change { from, removed: vec![record], ..Change::default() });
+        self.stage = TransferState::Removed;
+    }
+
+    /// One message ended. The first alone, with one SOA, says that nothing is newer, or that the whole zone has
+    /// to be asked for (RFC 1995 section 2).
+    pub fn message_ended(&mut self) -> Option<TransferResult> {
+        if matches!(self.stage, TransferState::First) && self.asked_from.is_some() {
+            let serial = self.newest.as_ref().map(Self::serial)?;
+            return Some(TransferResult::UpToDate(serial));
+        }
+        None
+    }
+
+    /// What it brought, once it is whole.
+    pub fn finish(self) -> Option<TransferResult> {
+        if !self.is_complete() {
+            return None;
+        }
+        Some(if self.changes.is_empty() {
+            TransferResult::Full(self.whole)
+        } else {
+            TransferResult::Incremental(self.changes)
+        })
+    }
+}
+
+/// Makes a version of a whole transfer; never an older one than is there.
+pub fn version(apex: &Name, have: Option<Serial>, records: &[Record]) -> Result<Zone, TransferError> {
+    let mut zone = Zone::new(apex.clone());
+    for record in records {
+        zone.add(record).map_err(|unfit| TransferError::Rejected(format!("{record}: {unfit}")))?;
+    }
+    let came = zone.soa().ok_or(TransferError::Start)?.serial;
+    match have {
+        Some(have) if !came.newer_than(have) => Err(TransferError::Back { came, have }),
+        _ => Ok(zone),
+    }
+}
--- /dev/null
+++ b/crates/core/zones/src/zone_store/known_updates.rs
@@ -0,0 +1,51 @@
+//! Updates that were answered lately, so that a repeated one gets the answer of its first.
+
+use super::{UpdateId, ZoneStoreLimits};
+use crate::serial::Serial;
+use crate::update::UpdateError;
+use lynxtally::Instant;
+use std::collections::{BTreeMap, VecDeque};
+
+/// Repeats known for a time and up to a number; the oldest go first.
+#[derive(Clone, Debug, Default)]
+pub(super) struct KnownUpdates {
+    known: BTreeMap<UpdateId, (Instant, Result<Serial, UpdateError>)>,
+    by_time: VecDeque<(Instant, UpdateId)>,
+}
+
+impl KnownUpdates {
+    pub(super) fn add(
+        &mut self,
+        now: Instant,
+        mark: UpdateId,
+        result: Result<Serial, UpdateError>,
+        limits: &ZoneStoreLimits,
+    ) {
+        let over = |at: Instant| now - at > limits.marks_for;
+        while self.by_time.len() >= limits.marks.max(1)
+            || self.by_time.front().is_some_and(|(at, _)| over(*at))
+        {
+            let Some((_, mark)) = self.by_time.pop_front() else { break };
+            self.known.remove(&mark);
+        }
+        if self.known.insert(mark, (now, result)).is_none() {
+            self.by_time.push_back((now, mark));
+        }
+    }
+
+    pub(super) fn get(
+        &self,
+        now: Instant,
+        mark: &UpdateId,
+        limits: &ZoneStoreLimits,
+    ) -> Option<Result<Serial, UpdateError>> {
+        // What is over its time may still stand in the table.
+        let (since, result) = self.known.get(mark)?;
+        (now - *since <= limits.marks_for).then_some(*result)
+    }
+
+    /// All that are known and how each was answered, the oldest first.
+    pub(super) fn all(&self) -> impl Iterator<Item = (UpdateId, Result<Serial, UpdateError>)> + '_ {
+        self.by_time.iter().filter_map(|(_, id)| Some((*id, self.known.get(id)?.1)))
+    }
+}
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -461,7 +461,7 @@
     };
     if let Some(keeper) = &mut keeper {
         for entry in &found.entries {
-            let entry = decode(entry)?;
+            let entry = decode(entry).map_err(|fault| fault.to_string())?;
             if let Err(what) = keeper.replay(now, entry, |file| read_base(folder, file)) {
                 damage.push(format!("{name}: {what}"));
                 break;
