--- a/crates/frontends/stream/src/body_pipe.rs
+++ b/crates/frontends/stream/src/body_pipe.rs
@@ -4,7 +4,7 @@
 //! The pipe holds what its receiver has not taken yet. Its caller reads no more from the sender than there is room for,
 //! so a slow receiver slows the sender down.
 
-use crate::body::{Decoder, Encoder};
+use crate::body_framing::{Decoder, Encoder};
 use crate::content_coder::ContentCoder;
 use crate::http::{Bad, Field, Framing};
 use crate::output_buffer::OutputBuffer;
--- a/crates/frontends/stream/src/lib.rs
+++ b/crates/frontends/stream/src/lib.rs
@@ -1,12 +1,12 @@
 //! Long bodies both ways: HTTP/1.1 streams between clients and upstreams, behind the decision module, in flat memory,
 //! with one final outcome each.
 //!
-//! The codec ([`http`], [`body`], [`content_coder`]) and the proxy's state ([`body_pipe`], [`relay`]) are state machines
+//! The codec ([`http`], [`body_framing`], [`content_coder`]) and the proxy's state ([`body_pipe`], [`relay`]) are state machines
 //! fed bytes; [`front`] is the driver; what is chosen is chosen in `lynxtally-flow` and in the module.
 
 #![forbid(unsafe_code)]
 
-pub mod body;
+pub mod body_framing;
 pub mod body_pipe;
 pub mod content_coder;
 pub mod front;
--- a/crates/frontends/stream/tests/codec.rs
+++ b/crates/frontends/stream/tests/codec.rs
@@ -1,7 +1,7 @@
 //! The codec and the relay, without sockets: what comes split anywhere, what is hostile, and what takes no room.
 
 use lynxtally_flow::coding::{Coding, Growth};
-use lynxtally_stream::body::{Decoder, Encoder};
+use lynxtally_stream::body_framing::{Decoder, Encoder};
 use lynxtally_stream::body_pipe::BodyPipe;
 use lynxtally_stream::content_coder::ContentCoder;
 use lynxtally_stream::http::{Asked, Bad, Framing, Reply};
