--- a/crates/frontends/stream/src/body_framing.rs
+++ b/crates/frontends/stream/src/body_framing.rs
@@ -1,165 +1,200 @@
-//! Bodies, as octets come and go: a state machine that finds a body's end however the octets are split, and one that
-//! frames a body anew (RFC 9112 sections 6 and 7).
+//! Framing of message bodies (RFC 9112 sections 6 and 7): a decoder that finds the end of a body however its bytes are
+//! split into reads, and an encoder that frames a body anew.
 
 use crate::http::{Bad, Field, Framing};
 use std::io::Write;
 
-/// What extensions take at most, in octets: of one chunk, and of all chunks of a body together.
-const EXTENSION_MOST: usize = 256;
-const EXTENSIONS_MOST: usize = 16 * 1024;
-const TRAILERS_MOST: usize = 4 * 1024;
-const TRAILER_FIELDS: usize = 32;
-/// Digits of a chunk's size: enough for any size that can be counted to, leading zeros included.
-const DIGITS_MOST: u8 = 16;
+/// The longest extension of one chunk.
+const MAX_EXTENSION_BYTES: usize = 256;
+
+/// The most that the extensions of all chunks of a body may have together.
+const MAX_TOTAL_EXTENSION_BYTES: usize = 16 * 1024;
+
+/// The largest trailer section.
+const MAX_TRAILER_BYTES: usize = 4 * 1024;
+
+/// The most fields in a trailer section.
+const MAX_TRAILER_FIELDS: usize = 32;
+
+/// The most digits of a chunk size: enough for any size that can be counted, leading zeros included.
+const MAX_SIZE_DIGITS: u8 = 16;
+
+/// The largest chunk size to which one more hexadecimal digit can be added.
+const MAX_SIZE_BEFORE_DIGIT: u64 = (i64::MAX as u64) >> 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// So many octets are left.
+    /// In a body of known length: so many bytes are left.
     Length(u64),
-    Close,
-    Size {
-        value: u64,
-        digits: u8,
-    },
-    Extension {
-        length: usize,
-    },
-    SizeEnd,
-    Data(u64),
-    DataReturn,
-    DataEnd,
+    /// In a body that ends when the connection does.
+    UntilClose,
+    /// In the size of a chunk.
+    ChunkSize { value: u64, digits: u8 },
+    /// In the extensions of a chunk, behind its size.
+    Extension { length: usize },
+    /// At the line feed that ends the line of a chunk's size.
+    SizeLineFeed,
+    /// In a chunk: so many bytes are left.
+    ChunkData(u64),
+    /// At the carriage return behind a chunk.
+    DataCarriageReturn,
+    /// At the line feed behind a chunk.
+    DataLineFeed,
+    /// In the trailer section.
     Trailers,
+    /// Past the end of the body.
     Done,
 }
 
-/// Finds a body's end.
+/// Finds the end of a body, and tells its bytes from those that frame it.
+///
+/// Its caller alternates between [`skip_framing`](Self::skip_framing) and [`consume`](Self::consume).
 #[derive(Clone, Debug)]
-pub struct Decoder {
+pub struct BodyDecoder {
     state: State,
-    /// The size of the chunk that begins.
-    size: u64,
-    extensions: usize,
-    trailers: Vec<u8>,
-    fields: Vec<Field>,
+    /// The size of the chunk whose size line was read last.
+    chunk_size: u64,
+    /// Bytes of the extensions of all chunks so far.
+    total_extension_bytes: usize,
+    trailer_bytes: Vec<u8>,
+    trailers: Vec<Field>,
 }
 
-impl Decoder {
-    /// For a body framed so.
+impl BodyDecoder {
+    /// A decoder for a body in this framing.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Empty | Framing::Length(0) => State::Done,
             Framing::Length(length) => State::Length(length),
-            Framing::Chunked => State::Size { value: 0, digits: 0 },
-            Framing::Close => State::Close,
+            Framing::Chunked => State::ChunkSize { value: 0, digits: 0 },
+            Framing::Close => State::UntilClose,
         };
-        Self { state, size: 0, extensions: 0, trailers: Vec::new(), fields: Vec::new() }
+        Self {
+            state,
+            chunk_size: 0,
+            total_extension_bytes: 0,
+            trailer_bytes: Vec::new(),
+            trailers: Vec::new(),
+        }
     }
 
-    /// Whether the body is whole.
-    pub fn done(&self) -> bool {
+    /// Whether the body is complete.
+    pub fn is_done(&self) -> bool {
         self.state == State::Done
     }
 
-    /// Whether the octets of the body come bare, without any framing between them.
-    pub fn bare(&self) -> bool {
-        matches!(self.state, State::Length(_) | State::Close)
-    }
-
-    /// The fields that came after the body.
-    pub fn trailers(&mut self) -> Vec<Field> {
-        std::mem::take(&mut self.fields)
-    }
-
-    /// Takes framing up to the next octet of the body or its end; tells how much that was.
-    pub fn skip(&mut self, input: &[u8]) -> Result<usize, Bad> {
-        for (at, octet) in input.iter().enumerate() {
-            self.state = match (self.state, *octet) {
-                (State::Length(_) | State::Close | State::Data(_) | State::Done, _) => return Ok(at),
-                (State::Size { value, digits }, octet) => match (octet as char).to_digit(16) {
-                    Some(digit) => {
-                        if digits == DIGITS_MOST || value > (i64::MAX as u64) >> 4 {
-                            return Err(Bad::ChunkSize);
-                        }
-                        State::Size { value: value << 4 | u64::from(digit), digits: digits + 1 }
-                    }
-                    None if digits == 0 => return Err(Bad::ChunkSize),
-                    None => {
-                        self.size = value;
-                        match octet {
-                            b'\r' => State::SizeEnd,
-                            b';' | b' ' | b'\t' => State::Extension { length: 1 },
-                            _ => return Err(Bad::ChunkSize),
-                        }
-                    }
-                },
-                (State::Extension { .. }, b'\r') => State::SizeEnd,
-                (State::Extension { .. }, b'\n' | 0) => return Err(Bad::Extension),
-                (State::Extension { length }, _) => {
-                    self.extensions += 1;
-                    if length == EXTENSION_MOST || self.extensions > EXTENSIONS_MOST {
-                        return Err(Bad::Extension);
-                    }
-                    State::Extension { length: length + 1 }
-                }
-                (State::SizeEnd, b'\n') => {
-                    if self.size == 0 {
-                        State::Trailers
-                    } else {
-                        State::Data(self.size)
-                    }
-                }
-                (State::DataReturn, b'\r') => State::DataEnd,
-                (State::DataEnd, b'\n') => State::Size { value: 0, digits: 0 },
-                (State::SizeEnd | State::DataReturn | State::DataEnd, _) => return Err(Bad::Chunk),
-                (State::Trailers, octet) => {
-                    self.trailers.push(octet);
-                    if self.trailers == b"\r\n" || self.trailers.ends_with(b"\r\n\r\n") {
-                        self.fields = fields(&self.trailers)?;
-                        self.trailers = Vec::new();
-                        self.state = State::Done;
-                        return Ok(at + 1);
-                    }
-                    if self.trailers.len() >= TRAILERS_MOST {
-                        return Err(Bad::Trailer);
-                    }
-                    State::Trailers
-                }
-            };
+    /// Whether the bytes of the body arrive without framing between them.
+    pub fn is_unframed(&self) -> bool {
+        matches!(self.state, State::Length(_) | State::UntilClose)
+    }
+
+    /// Takes the fields of the trailer section.
+    pub fn take_trailers(&mut self) -> Vec<Field> {
+        std::mem::take(&mut self.trailers)
+    }
+
+    /// Reads framing up to the next byte of the body, or up to its end, and returns how many bytes that were.
+    ///
+    /// # Errors
+    /// What is wrong with the framing, or which limit it exceeds.
+    pub fn skip_framing(&mut self, input: &[u8]) -> Result<usize, Bad> {
+        for (position, &byte) in input.iter().enumerate() {
+            if matches!(self.state, State::Length(_) | State::UntilClose | State::ChunkData(_) | State::Done)
+            {
+                return Ok(position);
+            }
+            self.state = self.state_after(byte)?;
         }
         Ok(input.len())
     }
 
-    /// How many of so many octets, after what was skipped, are the body's.
+    /// The state after a byte of framing.
+    fn state_after(&mut self, byte: u8) -> Result<State, Bad> {
+        match (self.state, byte) {
+            (State::ChunkSize { value, digits }, _) => self.state_after_size_byte(value, digits, byte),
+            (State::Extension { .. }, b'\r') => Ok(State::SizeLineFeed),
+            (State::Extension { .. }, b'\n' | 0) => Err(Bad::Extension),
+            (State::Extension { length }, _) => self.state_after_extension_byte(length),
+            (State::SizeLineFeed, b'\n') if self.chunk_size == 0 => Ok(State::Trailers),
+            (State::SizeLineFeed, b'\n') => Ok(State::ChunkData(self.chunk_size)),
+            (State::DataCarriageReturn, b'\r') => Ok(State::DataLineFeed),
+            (State::DataLineFeed, b'\n') => Ok(State::ChunkSize { value: 0, digits: 0 }),
+            (State::SizeLineFeed | State::DataCarriageReturn | State::DataLineFeed, _) => Err(Bad::Chunk),
+            (State::Trailers, _) => self.state_after_trailer_byte(byte),
+            (State::Length(_) | State::UntilClose | State::ChunkData(_) | State::Done, _) => Ok(self.state),
+        }
+    }
+
+    fn state_after_size_byte(&mut self, value: u64, digits: u8, byte: u8) -> Result<State, Bad> {
+        if let Some(digit) = (byte as char).to_digit(16) {
+            if digits == MAX_SIZE_DIGITS || value > MAX_SIZE_BEFORE_DIGIT {
+                return Err(Bad::ChunkSize);
+            }
+            return Ok(State::ChunkSize { value: value << 4 | u64::from(digit), digits: digits + 1 });
+        }
+        if digits == 0 {
+            return Err(Bad::ChunkSize);
+        }
+        self.chunk_size = value;
+        match byte {
+            b'\r' => Ok(State::SizeLineFeed),
+            b';' | b' ' | b'\t' => Ok(State::Extension { length: 1 }),
+            _ => Err(Bad::ChunkSize),
+        }
+    }
+
+    fn state_after_extension_byte(&mut self, length: usize) -> Result<State, Bad> {
+        self.total_extension_bytes += 1;
+        if length == MAX_EXTENSION_BYTES || self.total_extension_bytes > MAX_TOTAL_EXTENSION_BYTES {
+            return Err(Bad::Extension);
+        }
+        Ok(State::Extension { length: length + 1 })
+    }
+
+    fn state_after_trailer_byte(&mut self, byte: u8) -> Result<State, Bad> {
+        self.trailer_bytes.push(byte);
+        if self.trailer_bytes == b"\r\n" || self.trailer_bytes.ends_with(b"\r\n\r\n") {
+            self.trailers = parse_trailers(&self.trailer_bytes)?;
+            self.trailer_bytes = Vec::new();
+            return Ok(State::Done);
+        }
+        if self.trailer_bytes.len() >= MAX_TRAILER_BYTES {
+            return Err(Bad::Trailer);
+        }
+        Ok(State::Trailers)
+    }
+
+    /// How many of the next `length` bytes, behind the framing that was skipped, belong to the body.
     pub fn available(&self, length: usize) -> usize {
         match self.state {
-            State::Length(left) | State::Data(left) => left.min(length as u64) as usize,
-            State::Close => length,
+            State::Length(left) | State::ChunkData(left) => left.min(length as u64) as usize,
+            State::UntilClose => length,
             _ => 0,
         }
     }
 
-    /// So many octets of the body were taken.
-    pub fn took(&mut self, octets: usize) {
+    /// Counts bytes of the body as read; no more than are [`available`](Self::available).
+    pub fn consume(&mut self, count: usize) {
         self.state = match self.state {
-            State::Length(left) if left == octets as u64 => State::Done,
-            State::Length(left) => State::Length(left - octets as u64),
-            State::Data(left) if left == octets as u64 => State::DataReturn,
-            State::Data(left) => State::Data(left - octets as u64),
+            State::Length(left) if left == count as u64 => State::Done,
+            State::Length(left) => State::Length(left - count as u64),
+            State::ChunkData(left) if left == count as u64 => State::DataCarriageReturn,
+            State::ChunkData(left) => State::ChunkData(left - count as u64),
             other => other,
         };
     }
 
-    /// The sender sends no more; whether the body is whole.
-    pub fn ended(&mut self) -> bool {
-        if self.state == State::Close {
+    /// Notes that the sender sends no more, and returns whether the body is complete.
+    pub fn end_of_input(&mut self) -> bool {
+        if self.state == State::UntilClose {
             self.state = State::Done;
         }
-        self.done()
+        self.is_done()
     }
 }
 
-/// Fields that would change how a message is read have no place after its body (RFC 9110 section 6.5.1).
-const NOT_AFTER: [&str; 9] = [
+/// Fields that would change how a message is read are not allowed in its trailer section (RFC 9110 section 6.5.1).
+const FORBIDDEN_TRAILERS: [&str; 9] = [
     "content-length",
     "transfer-encoding",
     "host",
@@ -171,50 +206,56 @@
     "content-range",
 ];
 
-fn fields(octets: &[u8]) -> Result<Vec<Field>, Bad> {
-    let mut fields = [httparse::EMPTY_HEADER; TRAILER_FIELDS];
-    match httparse::parse_headers(octets, &mut fields) {
-        Ok(httparse::Status::Complete((_, fields))) => {
-            let stays = |name: &str| !NOT_AFTER.iter().any(|own| name.eq_ignore_ascii_case(own));
-            let kept = fields.iter().filter(|field| stays(field.name));
-            Ok(kept.map(|field| (field.name.to_owned(), field.value.to_vec())).collect())
-        }
-        _ => Err(Bad::Trailer),
-    }
+/// The fields of a trailer section, without those that are not allowed there.
+fn parse_trailers(section: &[u8]) -> Result<Vec<Field>, Bad> {
+    let mut buffer = [httparse::EMPTY_HEADER; MAX_TRAILER_FIELDS];
+    let Ok(httparse::Status::Complete((_, fields))) = httparse::parse_headers(section, &mut buffer) else {
+        return Err(Bad::Trailer);
+    };
+    let is_allowed =
+        |name: &str| !FORBIDDEN_TRAILERS.iter().any(|forbidden| name.eq_ignore_ascii_case(forbidden));
+    let allowed = fields.iter().filter(|field| is_allowed(field.name));
+    Ok(allowed.map(|field| (field.name.to_owned(), field.value.to_vec())).collect())
 }
 
 /// Frames a body.
 #[derive(Clone, Debug)]
-pub struct Encoder {
+pub struct BodyEncoder {
     framing: Framing,
-    /// Octets that are still owed, where their number was told.
-    owed: u64,
+    /// Bytes still to be written, where the length of the body was announced; else 0.
+    announced_bytes_left: u64,
 }
 
-impl Encoder {
-    /// Frames it so.
+impl BodyEncoder {
+    /// An encoder for this framing.
     pub fn new(framing: Framing) -> Self {
-        Self { framing, owed: if let Framing::Length(length) = framing { length } else { 0 } }
+        let announced_bytes_left = match framing {
+            Framing::Length(length) => length,
+            Framing::Empty | Framing::Chunked | Framing::Close => 0,
+        };
+        Self { framing, announced_bytes_left }
     }
 
-    /// Whether octets of the body go out bare, without any framing between them.
-    pub fn bare(&self) -> bool {
+    /// Whether the bytes of the body leave without framing between them.
+    pub fn is_unframed(&self) -> bool {
         matches!(self.framing, Framing::Length(_) | Framing::Close)
     }
 
-    /// So many octets went out bare.
-    pub fn passed(&mut self, octets: usize) {
-        self.owed = self.owed.saturating_sub(octets as u64);
+    /// Counts bytes of the body that were sent past this encoder.
+    pub fn record_passthrough(&mut self, count: usize) {
+        self.announced_bytes_left = self.announced_bytes_left.saturating_sub(count as u64);
     }
 
-    /// Adds octets of the body.
-    pub fn put(&mut self, data: &[u8], out: &mut Vec<u8>) {
-        self.passed(data.len());
+    /// Appends bytes of the body to `out`, framed.
+    pub fn write(&mut self, data: &[u8], out: &mut Vec<u8>) {
+        self.record_passthrough(data.len());
         match self.framing {
             Framing::Empty => {}
             Framing::Length(_) | Framing::Close => out.extend_from_slice(data),
+            // An empty chunk would end the body.
             Framing::Chunked if data.is_empty() => {}
             Framing::Chunked => {
+                // Writing to memory cannot fail.
                 let _ = write!(out, "{:x}\r\n", data.len());
                 out.extend_from_slice(data);
                 out.extend_from_slice(b"\r\n");
@@ -222,8 +263,11 @@
         }
     }
 
-    /// The body is whole; only now can it look so. False where fewer octets came than were told.
-    pub fn finish(&mut self, trailers: &[Field], out: &mut Vec<u8>) -> bool {
+    /// Appends the end of the body to `out`. Only after this does the body look complete to its receiver.
+    ///
+    /// # Errors
+    /// [`Bad::Length`] if fewer bytes were written than announced.
+    pub fn finish(&mut self, trailers: &[Field], out: &mut Vec<u8>) -> Result<(), Bad> {
         if self.framing == Framing::Chunked {
             out.extend_from_slice(b"0\r\n");
             for (name, value) in trailers {
@@ -234,6 +278,9 @@
             }
             out.extend_from_slice(b"\r\n");
         }
-        self.owed == 0
+        if self.announced_bytes_left > 0 {
+            return Err(Bad::Length);
+        }
+        Ok(())
     }
 }
--- a/crates/frontends/stream/src/body_pipe.rs
+++ b/crates/frontends/stream/src/body_pipe.rs
@@ -4,16 +4,16 @@
 //! The pipe holds what its receiver has not taken yet. Its caller reads no more from the sender than there is room for,
 //! so a slow receiver slows the sender down.
 
-use crate::body_framing::{Decoder, Encoder};
+use crate::body_framing::{BodyDecoder, BodyEncoder};
 use crate::content_coder::ContentCoder;
 use crate::http::{Bad, Field, Framing};
 use crate::output_buffer::OutputBuffer;
 
 /// One direction of a proxied body.
 pub struct BodyPipe {
-    decoder: Decoder,
+    decoder: BodyDecoder,
     coder: ContentCoder,
-    encoder: Encoder,
+    encoder: BodyEncoder,
     /// Input that could not be decoded yet for want of room.
     undecoded: Vec<u8>,
     /// What is to be written to the receiver.
@@ -33,9 +33,9 @@
     /// A body that arrives in the framing `from` and leaves in the framing `to`.
     pub fn new(from: Framing, to: Framing, coder: ContentCoder) -> Self {
         Self {
-            decoder: Decoder::new(from),
+            decoder: BodyDecoder::new(from),
             coder,
-            encoder: Encoder::new(to),
+            encoder: BodyEncoder::new(to),
             undecoded: Vec::new(),
             out: OutputBuffer::default(),
             replay_copy: None,
@@ -94,7 +94,7 @@
     /// How many of the next `length` bytes of input may go to the receiver as they are, without being copied here.
     pub fn passthrough_length(&self, length: usize) -> usize {
         let unchanged = self.coder.is_identity() && self.replay_copy.is_none();
-        let unframed = self.decoder.bare() && self.encoder.bare();
+        let unframed = self.decoder.is_unframed() && self.encoder.is_unframed();
         let nothing_before = self.out.is_empty() && self.undecoded.is_empty();
         if unchanged && unframed && nothing_before {
             self.decoder.available(length)
@@ -108,8 +108,8 @@
     /// # Errors
     /// [`Bad::Length`] if the body ends here and is shorter than its framing said.
     pub fn record_passthrough(&mut self, count: usize) -> Result<(), Bad> {
-        self.decoder.took(count);
-        self.encoder.passed(count);
+        self.decoder.consume(count);
+        self.encoder.record_passthrough(count);
         self.received_bytes += count as u64;
         self.encoded_bytes += count as u64;
         self.finish_at_end()
@@ -123,7 +123,7 @@
     pub fn receive(&mut self, input: &[u8], room: usize) -> Result<usize, Bad> {
         debug_assert!(self.undecoded.is_empty(), "input received before earlier input was decoded");
         let used = self.decode(input, room)?;
-        if used < input.len() && !self.decoder.done() {
+        if used < input.len() && !self.decoder.is_done() {
             self.undecoded.extend_from_slice(&input[used..]);
             return Ok(input.len());
         }
@@ -138,7 +138,7 @@
         let mut input = std::mem::take(&mut self.undecoded);
         let used = self.decode(&input, room)?;
         input.drain(..used);
-        if !self.decoder.done() {
+        if !self.decoder.is_done() {
             self.undecoded = input;
         }
         Ok(())
@@ -147,14 +147,14 @@
     fn decode(&mut self, input: &[u8], room: usize) -> Result<usize, Bad> {
         let mut used = 0;
         loop {
-            used += self.decoder.skip(&input[used..])?;
+            used += self.decoder.skip_framing(&input[used..])?;
             let data_length = self.decoder.available(input.len() - used);
             let data = &input[used..used + data_length];
             if data.is_empty() {
                 break;
             }
             let taken = self.code(data, room)?;
-            self.decoder.took(taken);
+            self.decoder.consume(taken);
             self.received_bytes += taken as u64;
             used += taken;
             if taken < data.len() {
@@ -185,21 +185,19 @@
         if let Some(copy) = &mut self.replay_copy {
             copy.extend_from_slice(data);
         }
-        self.encoder.put(data, self.out.append_to());
+        self.encoder.write(data, self.out.append_to());
     }
 
     /// Ends the outgoing body where the incoming one has ended.
     fn finish_at_end(&mut self) -> Result<(), Bad> {
-        if !self.decoder.done() || self.complete {
+        if !self.decoder.is_done() || self.complete {
             return Ok(());
         }
         let mut coded = Vec::new();
         self.coder.finish(&mut coded)?;
         self.encode(&coded);
-        self.trailers = self.decoder.trailers();
-        if !self.encoder.finish(&self.trailers, self.out.append_to()) {
-            return Err(Bad::Length);
-        }
+        self.trailers = self.decoder.take_trailers();
+        self.encoder.finish(&self.trailers, self.out.append_to())?;
         self.complete = true;
         Ok(())
     }
@@ -223,7 +221,7 @@
     /// # Errors
     /// What is wrong with the end of the body.
     pub fn end_of_input(&mut self) -> Result<bool, Bad> {
-        if self.decoder.ended() {
+        if self.decoder.end_of_input() {
             self.finish_at_end()?;
         }
         Ok(self.complete)
@@ -239,18 +237,18 @@
 
     /// Takes the rest of the body from another sender, in the framing `from`.
     pub fn resume_from(&mut self, from: Framing) {
-        self.decoder = Decoder::new(from);
+        self.decoder = BodyDecoder::new(from);
     }
 
     /// Sends the body again: what waited is dropped, and the copy goes out behind `head`, in the framing `to`.
     pub fn replay(&mut self, head: &[u8], to: Framing) {
         self.out = OutputBuffer::default();
         self.out.append_to().extend_from_slice(head);
-        self.encoder = Encoder::new(to);
+        self.encoder = BodyEncoder::new(to);
         let copy = self.replay_copy.as_deref().unwrap_or(&[]);
-        self.encoder.put(copy, self.out.append_to());
+        self.encoder.write(copy, self.out.append_to());
         if self.complete {
-            self.complete = self.encoder.finish(&self.trailers, self.out.append_to());
+            self.complete = self.encoder.finish(&self.trailers, self.out.append_to()).is_ok();
         }
     }
 }
