--- a/crates/frontends/stream/src/body_framing.rs
+++ b/crates/frontends/stream/src/body_framing.rs
@@ -1,7 +1,7 @@
 //! Framing of message bodies (RFC 9112 sections 6 and 7): a decoder that finds the end of a body however its bytes are
 //! split into reads, and an encoder that frames a body anew.
 
-use crate::http::{Bad, Field, Framing};
+use crate::http::{Field, Framing, MessageError};
 use std::io::Write;
 
 /// The longest extension of one chunk.
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// What is wrong with the framing, or which limit it exceeds.
-    pub fn skip_framing(&mut self, input: &[u8]) -> Result<usize, Bad> {
+    pub fn skip_framing(&mut self, input: &[u8]) -> Result<usize, MessageError> {
         for (position, &byte) in input.iter().enumerate() {
             if matches!(self.state, State::Length(_) | State::UntilClose | State::ChunkData(_) | State::Done)
             {
@@ -109,49 +109,51 @@
     }
 
     /// The state after a byte of framing.
-    fn state_after(&mut self, byte: u8) -> Result<State, Bad> {
+    fn state_after(&mut self, byte: u8) -> Result<State, MessageError> {
         match (self.state, byte) {
             (State::ChunkSize { value, digits }, _) => self.state_after_size_byte(value, digits, byte),
             (State::Extension { .. }, b'\r') => Ok(State::SizeLineFeed),
-            (State::Extension { .. }, b'\n' | 0) => Err(Bad::Extension),
+            (State::Extension { .. }, b'\n' | 0) => Err(MessageError::InvalidExtension),
             (State::Extension { length }, _) => self.state_after_extension_byte(length),
             (State::SizeLineFeed, b'\n') if self.chunk_size == 0 => Ok(State::Trailers),
             (State::SizeLineFeed, b'\n') => Ok(State::ChunkData(self.chunk_size)),
             (State::DataCarriageReturn, b'\r') => Ok(State::DataLineFeed),
             (State::DataLineFeed, b'\n') => Ok(State::ChunkSize { value: 0, digits: 0 }),
-            (State::SizeLineFeed | State::DataCarriageReturn | State::DataLineFeed, _) => Err(Bad::Chunk),
+            (State::SizeLineFeed | State::DataCarriageReturn | State::DataLineFeed, _) => {
+                Err(MessageError::InvalidChunk)
+            }
             (State::Trailers, _) => self.state_after_trailer_byte(byte),
             (State::Length(_) | State::UntilClose | State::ChunkData(_) | State::Done, _) => Ok(self.state),
         }
     }
 
-    fn state_after_size_byte(&mut self, value: u64, digits: u8, byte: u8) -> Result<State, Bad> {
+    fn state_after_size_byte(&mut self, value: u64, digits: u8, byte: u8) -> Result<State, MessageError> {
         if let Some(digit) = (byte as char).to_digit(16) {
             if digits == MAX_SIZE_DIGITS || value > MAX_SIZE_BEFORE_DIGIT {
-                return Err(Bad::ChunkSize);
+                return Err(MessageError::InvalidChunkSize);
             }
             return Ok(State::ChunkSize { value: value << 4 | u64::from(digit), digits: digits + 1 });
         }
         if digits == 0 {
-            return Err(Bad::ChunkSize);
+            return Err(MessageError::InvalidChunkSize);
         }
         self.chunk_size = value;
         match byte {
             b'\r' => Ok(State::SizeLineFeed),
             b';' | b' ' | b'\t' => Ok(State::Extension { length: 1 }),
-            _ => Err(Bad::ChunkSize),
+            _ => Err(MessageError::InvalidChunkSize),
         }
     }
 
-    fn state_after_extension_byte(&mut self, length: usize) -> Result<State, Bad> {
+    fn state_after_extension_byte(&mut self, length: usize) -> Result<State, MessageError> {
         self.total_extension_bytes += 1;
         if length == MAX_EXTENSION_BYTES || self.total_extension_bytes > MAX_TOTAL_EXTENSION_BYTES {
-            return Err(Bad::Extension);
+            return Err(MessageError::InvalidExtension);
         }
         Ok(State::Extension { length: length + 1 })
     }
 
-    fn state_after_trailer_byte(&mut self, byte: u8) -> Result<State, Bad> {
+    fn state_after_trailer_byte(&mut self, byte: u8) -> Result<State, MessageError> {
         self.trailer_bytes.push(byte);
         if self.trailer_bytes == b"\r\n" || self.trailer_bytes.ends_with(b"\r\n\r\n") {
             self.trailers = parse_trailers(&self.trailer_bytes)?;
@@ -159,7 +161,7 @@
             return Ok(State::Done);
         }
         if self.trailer_bytes.len() >= MAX_TRAILER_BYTES {
-            return Err(Bad::Trailer);
+            return Err(MessageError::InvalidTrailer);
         }
         Ok(State::Trailers)
     }
@@ -207,10 +209,10 @@
 ];
 
 /// The fields of a trailer section, without those that are not allowed there.
-fn parse_trailers(section: &[u8]) -> Result<Vec<Field>, Bad> {
+fn parse_trailers(section: &[u8]) -> Result<Vec<Field>, MessageError> {
     let mut buffer = [httparse::EMPTY_HEADER; MAX_TRAILER_FIELDS];
     let Ok(httparse::Status::Complete((_, fields))) = httparse::parse_headers(section, &mut buffer) else {
-        return Err(Bad::Trailer);
+        return Err(MessageError::InvalidTrailer);
     };
     let is_allowed =
         |name: &str| !FORBIDDEN_TRAILERS.iter().any(|forbidden| name.eq_ignore_ascii_case(forbidden));
@@ -266,8 +268,8 @@
     /// Appends the end of the body to `out`. Only after this does the body look complete to its receiver.
     ///
     /// # Errors
-    /// [`Bad::Length`] if fewer bytes were written than announced.
-    pub fn finish(&mut self, trailers: &[Field], out: &mut Vec<u8>) -> Result<(), Bad> {
+    /// [`MessageError::InvalidLength`] if fewer bytes were written than announced.
+    pub fn finish(&mut self, trailers: &[Field], out: &mut Vec<u8>) -> Result<(), MessageError> {
         if self.framing == Framing::Chunked {
             out.extend_from_slice(b"0\r\n");
             for (name, value) in trailers {
@@ -279,7 +281,7 @@
             out.extend_from_slice(b"\r\n");
         }
         if self.announced_bytes_left > 0 {
-            return Err(Bad::Length);
+            return Err(MessageError::InvalidLength);
         }
         Ok(())
     }
--- a/crates/frontends/stream/src/body_pipe.rs
+++ b/crates/frontends/stream/src/body_pipe.rs
@@ -6,7 +6,7 @@
 
 use crate::body_framing::{BodyDecoder, BodyEncoder};
 use crate::content_coder::ContentCoder;
-use crate::http::{Bad, Field, Framing};
+use crate::http::{Field, Framing, MessageError};
 use crate::output_buffer::OutputBuffer;
 
 /// One direction of a proxied body.
@@ -106,8 +106,8 @@
     /// Counts bytes that went to the receiver as they were.
     ///
     /// # Errors
-    /// [`Bad::Length`] if the body ends here and is shorter than its framing said.
-    pub fn record_passthrough(&mut self, count: usize) -> Result<(), Bad> {
+    /// [`MessageError::InvalidLength`] if the body ends here and is shorter than its framing said.
+    pub fn record_passthrough(&mut self, count: usize) -> Result<(), MessageError> {
         self.decoder.consume(count);
         self.encoder.record_passthrough(count);
         self.received_bytes += count as u64;
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// What is wrong with the framing or the content coding of the body.
-    pub fn receive(&mut self, input: &[u8], room: usize) -> Result<usize, Bad> {
+    pub fn receive(&mut self, input: &[u8], room: usize) -> Result<usize, MessageError> {
         debug_assert!(self.undecoded.is_empty(), "input received before earlier input was decoded");
         let used = self.decode(input, room)?;
         if used < input.len() && !self.decoder.is_done() {
@@ -134,7 +134,7 @@
     ///
     /// # Errors
     /// As for [`Self::receive`].
-    pub fn decode_more(&mut self, room: usize) -> Result<(), Bad> {
+    pub fn decode_more(&mut self, room: usize) -> Result<(), MessageError> {
         let mut input = std::mem::take(&mut self.undecoded);
         let used = self.decode(&input, room)?;
         input.drain(..used);
@@ -144,7 +144,7 @@
         Ok(())
     }
 
-    fn decode(&mut self, input: &[u8], room: usize) -> Result<usize, Bad> {
+    fn decode(&mut self, input: &[u8], room: usize) -> Result<usize, MessageError> {
         let mut used = 0;
         loop {
             used += self.decoder.skip_framing(&input[used..])?;
@@ -166,7 +166,7 @@
     }
 
     /// Takes as much of the body as there is room for; all of it where its size does not change.
-    fn code(&mut self, data: &[u8], room: usize) -> Result<usize, Bad> {
+    fn code(&mut self, data: &[u8], room: usize) -> Result<usize, MessageError> {
         if self.coder.is_identity() {
             self.encode(data);
             return Ok(data.len());
@@ -189,7 +189,7 @@
     }
 
     /// Ends the outgoing body where the incoming one has ended.
-    fn finish_at_end(&mut self) -> Result<(), Bad> {
+    fn finish_at_end(&mut self) -> Result<(), MessageError> {
         if !self.decoder.is_done() || self.complete {
             return Ok(());
         }
@@ -205,8 +205,8 @@
     /// Sends out what the content coding holds back, when no input is there for now.
     ///
     /// # Errors
-    /// [`Bad::Coded`] if the body so far is not in its coding.
-    pub fn flush(&mut self) -> Result<(), Bad> {
+    /// [`MessageError::CorruptCoding`] if the body so far is not in its coding.
+    pub fn flush(&mut self) -> Result<(), MessageError> {
         if self.complete || self.coder.is_identity() {
             return Ok(());
         }
@@ -220,7 +220,7 @@
     ///
     /// # Errors
     /// What is wrong with the end of the body.
-    pub fn end_of_input(&mut self) -> Result<bool, Bad> {
+    pub fn end_of_input(&mut self) -> Result<bool, MessageError> {
         if self.decoder.end_of_input() {
             self.finish_at_end()?;
         }
@@ -230,8 +230,8 @@
     /// Starts the body: an empty one is complete at once.
     ///
     /// # Errors
-    /// [`Bad::Length`] if the outgoing framing promised bytes that an empty body does not have.
-    pub fn start(&mut self) -> Result<(), Bad> {
+    /// [`MessageError::InvalidLength`] if the outgoing framing promised bytes that an empty body does not have.
+    pub fn start(&mut self) -> Result<(), MessageError> {
         self.finish_at_end()
     }
 
--- a/crates/frontends/stream/src/content_coder.rs
+++ b/crates/frontends/stream/src/content_coder.rs
@@ -3,7 +3,7 @@
 //! Memory is bounded three ways: by the window of the coding, by the most that one step may produce, and by a limit on
 //! how far a body may grow when it is decoded, so that a small body cannot expand without end (a decompression bomb).
 
-use crate::http::Bad;
+use crate::http::MessageError;
 use flate2::write::{GzDecoder, GzEncoder};
 use flate2::Compression;
 use lynxtally_flow::coding::{Coding, Growth};
@@ -54,14 +54,15 @@
     /// Encodes a body.
     ///
     /// # Errors
-    /// [`Bad::Coding`] if the library refuses its parameters.
-    pub fn encoder(coding: Coding) -> Result<Self, Bad> {
+    /// [`MessageError::UnsupportedCoding`] if the library refuses its parameters.
+    pub fn encoder(coding: Coding) -> Result<Self, MessageError> {
         let transform = match coding {
             Coding::Identity => Transform::Identity,
             Coding::Gzip => Transform::GzipEncode(Box::new(GzEncoder::new(Vec::new(), Compression::fast()))),
             Coding::Zstd => {
-                let mut encoder = ZstdEncoder::new(Vec::new(), ZSTD_LEVEL).map_err(|_| Bad::Coding)?;
-                encoder.window_log(ENCODE_WINDOW_LOG).map_err(|_| Bad::Coding)?;
+                let mut encoder =
+                    ZstdEncoder::new(Vec::new(), ZSTD_LEVEL).map_err(|_| MessageError::UnsupportedCoding)?;
+                encoder.window_log(ENCODE_WINDOW_LOG).map_err(|_| MessageError::UnsupportedCoding)?;
                 Transform::ZstdEncode(Box::new(encoder))
             }
         };
@@ -71,8 +72,8 @@
     /// Decodes a body, which may grow only as far as `growth_limit` allows.
     ///
     /// # Errors
-    /// [`Bad::Coding`] if the library refuses its parameters.
-    pub fn decoder(coding: Coding, growth_limit: Growth) -> Result<Self, Bad> {
+    /// [`MessageError::UnsupportedCoding`] if the library refuses its parameters.
+    pub fn decoder(coding: Coding, growth_limit: Growth) -> Result<Self, MessageError> {
         let transform = match coding {
             Coding::Identity => Transform::Identity,
             Coding::Gzip => Transform::GzipDecode(Box::new(GzDecoder::new(Vec::new()))),
@@ -93,14 +94,14 @@
     /// Takes some of `data`, appends what it becomes to `out`, and returns how many bytes it took.
     ///
     /// # Errors
-    /// [`Bad::Coded`] if the data is not in its coding, [`Bad::Bomb`] if the body grows past its limit.
-    pub fn step(&mut self, data: &[u8], out: &mut Vec<u8>) -> Result<usize, Bad> {
+    /// [`MessageError::CorruptCoding`] if the data is not in its coding, [`MessageError::ExpandsTooFar`] if the body grows past its limit.
+    pub fn step(&mut self, data: &[u8], out: &mut Vec<u8>) -> Result<usize, MessageError> {
         let length_before = out.len();
         let taken = self.transform.step(data, out)?;
         let produced = out.len() - length_before;
         // A decoder that neither takes nor produces anything would be called for ever.
         if taken == 0 && produced == 0 && !data.is_empty() {
-            return Err(Bad::Coded);
+            return Err(MessageError::CorruptCoding);
         }
         self.needs_flush = true;
         self.input_bytes += taken as u64;
@@ -108,30 +109,30 @@
         if self.growth_limit.allows(self.input_bytes, self.output_bytes) {
             Ok(taken)
         } else {
-            Err(Bad::Bomb)
+            Err(MessageError::ExpandsTooFar)
         }
     }
 
     /// Appends what the coding holds back, so that a slow body reaches its receiver without waiting for its end.
     ///
     /// # Errors
-    /// [`Bad::Coded`] if the data so far is not in its coding.
-    pub fn flush(&mut self, out: &mut Vec<u8>) -> Result<(), Bad> {
+    /// [`MessageError::CorruptCoding`] if the data so far is not in its coding.
+    pub fn flush(&mut self, out: &mut Vec<u8>) -> Result<(), MessageError> {
         if !self.needs_flush {
             return Ok(());
         }
         self.needs_flush = false;
         match &mut self.transform {
             Transform::GzipEncode(encoder) => {
-                encoder.flush().map_err(|_| Bad::Coded)?;
+                encoder.flush().map_err(|_| MessageError::CorruptCoding)?;
                 out.append(encoder.get_mut());
             }
             Transform::ZstdEncode(encoder) => {
-                encoder.flush().map_err(|_| Bad::Coded)?;
+                encoder.flush().map_err(|_| MessageError::CorruptCoding)?;
                 out.append(encoder.get_mut());
             }
             Transform::GzipDecode(decoder) => {
-                decoder.flush().map_err(|_| Bad::Coded)?;
+                decoder.flush().map_err(|_| MessageError::CorruptCoding)?;
                 out.append(decoder.get_mut());
             }
             Transform::ZstdDecode(_) | Transform::Identity => {}
@@ -142,25 +143,25 @@
     /// Appends the rest, at the end of the body.
     ///
     /// # Errors
-    /// [`Bad::Coded`] if the coding says that the body is not complete.
-    pub fn finish(&mut self, out: &mut Vec<u8>) -> Result<(), Bad> {
+    /// [`MessageError::CorruptCoding`] if the coding says that the body is not complete.
+    pub fn finish(&mut self, out: &mut Vec<u8>) -> Result<(), MessageError> {
         match &mut self.transform {
             Transform::Identity => {}
             Transform::GzipEncode(encoder) => {
-                encoder.try_finish().map_err(|_| Bad::Coded)?;
+                encoder.try_finish().map_err(|_| MessageError::CorruptCoding)?;
                 out.append(encoder.get_mut());
             }
             Transform::ZstdEncode(encoder) => {
-                encoder.do_finish().map_err(|_| Bad::Coded)?;
+                encoder.do_finish().map_err(|_| MessageError::CorruptCoding)?;
                 out.append(encoder.get_mut());
             }
             Transform::GzipDecode(decoder) => {
-                decoder.try_finish().map_err(|_| Bad::Coded)?;
+                decoder.try_finish().map_err(|_| MessageError::CorruptCoding)?;
                 out.append(decoder.get_mut());
             }
             Transform::ZstdDecode(decoder) => {
                 if !decoder.at_frame_end {
-                    return Err(Bad::Coded);
+                    return Err(MessageError::CorruptCoding);
                 }
             }
         }
@@ -169,24 +170,24 @@
 }
 
 impl Transform {
-    fn step(&mut self, data: &[u8], out: &mut Vec<u8>) -> Result<usize, Bad> {
+    fn step(&mut self, data: &[u8], out: &mut Vec<u8>) -> Result<usize, MessageError> {
         match self {
             Self::Identity => {
                 out.extend_from_slice(data);
                 Ok(data.len())
             }
             Self::GzipEncode(encoder) => {
-                encoder.write_all(data).map_err(|_| Bad::Coded)?;
+                encoder.write_all(data).map_err(|_| MessageError::CorruptCoding)?;
                 out.append(encoder.get_mut());
                 Ok(data.len())
             }
             Self::ZstdEncode(encoder) => {
-                encoder.write_all(data).map_err(|_| Bad::Coded)?;
+                encoder.write_all(data).map_err(|_| MessageError::CorruptCoding)?;
                 out.append(encoder.get_mut());
                 Ok(data.len())
             }
             Self::GzipDecode(decoder) => {
-                let taken = decoder.write(data).map_err(|_| Bad::Coded)?;
+                let taken = decoder.write(data).map_err(|_| MessageError::CorruptCoding)?;
                 out.append(decoder.get_mut());
                 Ok(taken)
             }
@@ -203,14 +204,14 @@
 }
 
 impl ZstdDecoder {
-    fn new() -> Result<Self, Bad> {
-        let mut decoder = RawZstdDecoder::new().map_err(|_| Bad::Coding)?;
+    fn new() -> Result<Self, MessageError> {
+        let mut decoder = RawZstdDecoder::new().map_err(|_| MessageError::UnsupportedCoding)?;
         let max_window = DParameter::WindowLogMax(MAX_DECODE_WINDOW_LOG);
-        decoder.set_parameter(max_window).map_err(|_| Bad::Coding)?;
+        decoder.set_parameter(max_window).map_err(|_| MessageError::UnsupportedCoding)?;
         Ok(Self { decoder: Box::new(decoder), at_frame_end: true })
     }
 
-    fn step(&mut self, data: &[u8], out: &mut Vec<u8>) -> Result<usize, Bad> {
+    fn step(&mut self, data: &[u8], out: &mut Vec<u8>) -> Result<usize, MessageError> {
         let length_before = out.len();
         out.resize(length_before + MAX_STEP_BYTES, 0);
         let mut input = InBuffer::around(data);
@@ -219,11 +220,11 @@
         let taken = input.pos();
         let produced = output.pos();
         out.truncate(length_before + produced);
-        let expected_bytes = result.map_err(|_| Bad::Coded)?;
+        let expected_bytes = result.map_err(|_| MessageError::CorruptCoding)?;
         self.at_frame_end = expected_bytes == 0;
         if self.at_frame_end && taken < data.len() {
             // Another frame follows (RFC 8878 section 3.1).
-            self.decoder.reinit().map_err(|_| Bad::Coded)?;
+            self.decoder.reinit().map_err(|_| MessageError::CorruptCoding)?;
         }
         Ok(taken)
     }
--- a/crates/frontends/stream/src/front.rs
+++ b/crates/frontends/stream/src/front.rs
@@ -1,7 +1,9 @@
 //! The thin driver: a coroutine for each client's connection, one for each connection to an upstream. Either of the two
 //! carries on a stream, both ways, as far as it goes, and then waits on its own socket; what is decided is the owner's.
 
-use crate::http::{Asked, Bad, Framing, Own, HEAD_MOST};
+use crate::http::{
+    BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, ParsedHead, RequestHead, MAX_HEAD_BYTES,
+};
 use crate::owner::{Entering, Moved, Owner, Rooms, Ticket};
 use crate::relay::{Fault, Relay};
 use crate::settings::Checked;
@@ -261,7 +263,7 @@
                 Err(Err(bad)) => {
                     lock(&self.owner).hall.counts.bad += 1;
                     let mut out = Vec::new();
-                    Own::bad(bad).write(&mut out, true, false);
+                    LocalResponse::from_error(bad).write(&mut out, ConnectionUse::Close, BodyUse::Included);
                     return self.last_words(socket, &out);
                 }
             };
@@ -287,18 +289,18 @@
         came: &mut Vec<u8>,
         number: u64,
         latch: &Latch,
-    ) -> Result<Asked, Result<CloseReason, Bad>> {
+    ) -> Result<RequestHead, Result<CloseReason, MessageError>> {
         let mut begun = None;
         loop {
             // Empty lines before a message are allowed for (RFC 9112 section 2.2).
             let blank = came.iter().take_while(|octet| matches!(octet, b'\r' | b'\n')).count();
             came.drain(..blank);
-            if let Some((asked, length)) = Asked::read(came).map_err(Err)? {
+            if let Some(ParsedHead { head: asked, length }) = RequestHead::parse(came).map_err(Err)? {
                 came.drain(..length);
                 return Ok(asked);
             }
             let mut scratch = lock(&self.scratch);
-            let got = socket.read(&mut scratch[..HEAD_MOST + 1]);
+            let got = socket.read(&mut scratch[..MAX_HEAD_BYTES + 1]);
             if let Ok(ReadOutcome::Bytes(octets)) = got {
                 came.extend_from_slice(&scratch[..octets]);
                 continue;
@@ -368,7 +370,7 @@
         self: &Arc<Self>,
         socket: &Arc<Socket>,
         from: IpAddr,
-        asked: Asked,
+        asked: RequestHead,
         came: &mut Vec<u8>,
     ) -> Next {
         let told = match asked.framing {
@@ -376,11 +378,11 @@
             _ => None,
         };
         let customer = self.settings.customer(&asked);
-        let mark = asked.seen.mark.clone();
+        let mark = asked.known.idempotency_key.clone();
         let made = self.settings.stage(&asked).and_then(|stage| {
             let stage_settings = &self.settings.stages[stage];
             if stage_settings.effect == lynxtally::Effect::Deduplicated && mark.is_none() {
-                return Err(Bad::Field("Idempotency-Key"));
+                return Err(MessageError::InvalidField("Idempotency-Key"));
             }
             Ok((stage, Relay::new(asked, stage_settings.plan.clone())?))
         });
@@ -389,7 +391,7 @@
             Err(bad) => {
                 lock(&self.owner).hall.counts.bad += 1;
                 let mut out = Vec::new();
-                Own::bad(bad).write(&mut out, true, false);
+                LocalResponse::from_error(bad).write(&mut out, ConnectionUse::Close, BodyUse::Included);
                 return Next::Close(self.last_words(socket, &out));
             }
         };
@@ -397,7 +399,7 @@
         let entering = Entering { customer, mark, told, caller: caller(from) };
         if !self.with(|owner, now| owner.enter(now, &ticket, entering)) {
             let mut out = Vec::new();
-            Own::new(503, "not taken").write(&mut out, true, false);
+            LocalResponse::new(503, "not taken").write(&mut out, ConnectionUse::Close, BodyUse::Included);
             return Next::Close(self.last_words(socket, &out));
         }
         self.exchange(socket, &ticket, relay, None, told, came)
@@ -520,12 +522,15 @@
             }
             FinalResponse::Rejected { retry_after: hold_off, .. } => {
                 let seconds = (hold_off.secs().ceil() as u64).max(1);
-                Own { back_in: Some(seconds), ..Own::new(503, "not taken; nothing of it was done") }
+                LocalResponse {
+                    retry_after_secs: Some(seconds),
+                    ..LocalResponse::new(503, "not taken; nothing of it was done")
+                }
             }
-            FinalResponse::Completed(_) => Own::new(502, "done before, but its answer is not kept"),
+            FinalResponse::Completed(_) => LocalResponse::new(502, "done before, but its answer is not kept"),
             FinalResponse::Failed => match inner.failed {
-                Some(end) => Own::new(502, format!("the upstream failed: {end}")),
-                None => Own::new(504, "not done in time"),
+                Some(end) => LocalResponse::new(502, format!("the upstream failed: {end}")),
+                None => LocalResponse::new(504, "not done in time"),
             },
         };
         if !inner.relay.answer(&own) {
@@ -537,7 +542,7 @@
     fn fault(&self, inner: &mut Inner, fault: Fault) {
         match fault {
             Fault::Client(bad) => {
-                if !inner.relay.answer(&Own::bad(bad)) {
+                if !inner.relay.answer(&LocalResponse::from_error(bad)) {
                     inner.over = Some(Over::Cut);
                 }
                 // The client's framing is lost: nothing after this can be understood.
--- /dev/null
+++ b/crates/frontends/stream/src/http/request.rs
@@ -0,0 +1,150 @@
+//! Heads of requests: parsed as clients send them, and written for upstreams.
+
+use super::fields::ParsedFields;
+use super::{
+    head_length, write_field, write_framing, Field, Framing, KnownFields, MessageError, ParsedHead,
+    MAX_FIELDS,
+};
+use std::io::Write;
+
+/// The head of a client's request.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct RequestHead {
+    /// The method.
+    pub method: String,
+    /// The target, with its leading slash.
+    pub target: String,
+    /// Whether the client speaks HTTP/1.0.
+    pub is_http_10: bool,
+    /// How the end of the body is known.
+    pub framing: Framing,
+    /// The fields that are read here.
+    pub known: KnownFields,
+    /// The fields that are forwarded.
+    pub fields: Vec<Field>,
+}
+
+/// Asks an upstream for the rest of an object whose first part another one sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RangeRequest<'a> {
+    /// Position of the first byte wanted.
+    pub first: u64,
+    /// Position behind the last byte wanted.
+    pub end: u64,
+    /// The validator of the object that the first part is of.
+    pub validator: &'a str,
+}
+
+/// How a request is forwarded to an upstream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct ForwardedRequest<'a> {
+    /// The framing in which the body is sent.
+    pub framing: Framing,
+    /// Whether the content coding of the body was removed.
+    pub is_decoded: bool,
+    /// The part that is asked for, if not the whole.
+    pub range: Option<RangeRequest<'a>>,
+}
+
+impl RequestHead {
+    /// Parses the head at the start of `bytes`, or returns none while it is not complete.
+    ///
+    /// # Errors
+    /// What is wrong with the head.
+    pub fn parse(bytes: &[u8]) -> Result<Option<ParsedHead<Self>>, MessageError> {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_FIELDS];
+        let mut request = httparse::Request::new(&mut headers);
+        let parsed = request.parse(bytes);
+        let Some(length) = head_length(parsed, bytes.len())? else { return Ok(None) };
+        let ParsedFields { known, forwarded } = ParsedFields::parse(request.headers)?;
+        let is_http_10 = request.version == Some(0);
+        if known.host_count > 1 || (known.host_count == 0 && !is_http_10) {
+            return Err(MessageError::InvalidHost);
+        }
+        let method = request.method.unwrap_or("").to_owned();
+        if method == "CONNECT" || method == "TRACE" {
+            return Err(MessageError::MethodNotAllowed);
+        }
+        let target = request.path.unwrap_or("").to_owned();
+        if !target.starts_with('/') && target != "*" {
+            return Err(MessageError::InvalidTarget);
+        }
+        let framing = request_framing(&known, is_http_10)?;
+        let head = Self { method, target, is_http_10, framing, known, fields: forwarded };
+        Ok(Some(ParsedHead { head, length }))
+    }
+
+    /// Whether the client's connection ends after the response.
+    pub fn closes_connection(&self) -> bool {
+        self.known.closes_connection || (self.is_http_10 && !self.known.keep_alive)
+    }
+
+    /// Whether the response has no body, whatever its head says.
+    pub fn is_head(&self) -> bool {
+        self.method == "HEAD"
+    }
+
+    /// The target without its query.
+    pub fn path(&self) -> &str {
+        self.target.split_once('?').map_or(&self.target, |(path, _)| path)
+    }
+
+    /// The value of a forwarded field.
+    pub fn field(&self, name: &str) -> Option<&[u8]> {
+        self.fields.iter().find(|(own, _)| own.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
+    }
+
+    /// Appends the head for an upstream to `out`, for a connection that carries this request alone.
+    pub fn write(&self, out: &mut Vec<u8>, forwarded: ForwardedRequest) {
+        // Writing to memory cannot fail.
+        let _ = write!(out, "{} {} HTTP/1.1\r\n", self.method, self.target);
+        for (name, value) in &self.fields {
+            if !is_replaced(name, forwarded) {
+                write_field(out, name, value);
+            }
+        }
+        if let Some(RangeRequest { first, end, validator }) = forwarded.range {
+            let _ = write!(out, "Range: bytes={first}-{}\r\nIf-Range: {validator}\r\n", end - 1);
+        }
+        self.write_via(out);
+        let writes_empty_length = self.method != "GET" && self.method != "HEAD";
+        write_framing(out, forwarded.framing, writes_empty_length);
+        out.extend_from_slice(b"Connection: close\r\n\r\n");
+    }
+
+    fn write_via(&self, out: &mut Vec<u8>) {
+        let version = if self.is_http_10 { "1.0" } else { "1.1" };
+        out.extend_from_slice(b"Via: ");
+        if let Some(earlier) = self.field("Via") {
+            out.extend_from_slice(earlier);
+            out.extend_from_slice(b", ");
+        }
+        let _ = write!(out, "{version} lynxtally\r\n");
+    }
+}
+
+/// Whether a field of the client's is left out, as another one takes its place or it is not true any more.
+fn is_replaced(name: &str, forwarded: ForwardedRequest) -> bool {
+    let is = |other: &str| name.eq_ignore_ascii_case(other);
+    if forwarded.is_decoded && is("Content-Encoding") {
+        return true;
+    }
+    if forwarded.range.is_some() && (is("Range") || is("If-Range") || is("Accept-Encoding")) {
+        return true;
+    }
+    is("Via")
+}
+
+fn request_framing(known: &KnownFields, is_http_10: bool) -> Result<Framing, MessageError> {
+    if known.is_chunked && is_http_10 {
+        // HTTP/1.0 has no chunks (RFC 9112 section 6.1).
+        return Err(MessageError::InvalidLength);
+    }
+    if known.is_chunked {
+        return Ok(Framing::Chunked);
+    }
+    match known.content_length {
+        None | Some(0) => Ok(Framing::Empty),
+        Some(length) => Ok(Framing::Length(length)),
+    }
+}
--- a/crates/frontends/stream/src/relay.rs
+++ b/crates/frontends/stream/src/relay.rs
@@ -3,7 +3,10 @@
 
 use crate::body_pipe::BodyPipe;
 use crate::content_coder::ContentCoder;
-use crate::http::{Asked, Bad, Framing, Own, Reply, GO_ON, HEAD_MOST};
+use crate::http::{
+    BodyUse, ConnectionUse, ContentRange, ForwardedRequest, Framing, LocalResponse, MessageError, ParsedHead,
+    RangeRequest, RequestHead, ResponseHead, CONTINUE_RESPONSE, MAX_HEAD_BYTES,
+};
 use crate::output_buffer::OutputBuffer;
 use lynxtally_flow::coding::{Coding, Growth};
 use lynxtally_flow::resume::{Changed, Piece};
@@ -29,16 +32,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The client's.
-    Client(Bad),
+    Client(MessageError),
     /// The upstream's.
-    Upstream(Bad),
+    Upstream(MessageError),
     /// The object of a download that was to be gone on with is another now.
     Changed(Changed),
 }
 
 /// One stream.
 pub struct Relay {
-    asked: Asked,
+    asked: RequestHead,
     plan: Plan,
     /// What goes up; its head is the first in it.
     pub up: BodyPipe,
@@ -47,7 +50,7 @@
     first: OutputBuffer,
     /// The head of the answer, as it comes.
     head: Vec<u8>,
-    reply: Option<Reply>,
+    reply: Option<ResponseHead>,
     /// The upstream's answer as it goes down.
     down: Option<BodyPipe>,
     /// Whether what comes after a cut is the rest of the answer, not another.
@@ -63,15 +66,18 @@
 
 impl Relay {
     /// A stream that begins.
-    pub fn new(asked: Asked, plan: Plan) -> Result<Self, Bad> {
+    pub fn new(asked: RequestHead, plan: Plan) -> Result<Self, MessageError> {
         if matches!(asked.framing, Framing::Length(length) if length > plan.body_most) {
-            return Err(Bad::BodyLarge);
+            return Err(MessageError::BodyTooLarge);
         }
-        let seen = &asked.seen;
-        let decodes =
-            asked.framing != Framing::Empty && !seen.coded_otherwise && !plan.takes.contains(&seen.coding);
+        let seen = &asked.known;
+        let decodes = asked.framing != Framing::Empty
+            && !seen.has_other_coding
+            && !plan.takes.contains(&seen.content_coding);
         let coder = match decodes {
-            true if seen.coding != Coding::Identity => ContentCoder::decoder(seen.coding, plan.growth)?,
+            true if seen.content_coding != Coding::Identity => {
+                ContentCoder::decoder(seen.content_coding, plan.growth)?
+            }
             _ => ContentCoder::identity(),
         };
         let up_framing = if coder.is_identity() { asked.framing } else { Framing::Chunked };
@@ -79,9 +85,11 @@
         if plan.keep {
             up.keep_copy();
         }
-        asked.write(up.out.append_to(), up_framing, up_framing != asked.framing, None);
+        let forwarded =
+            ForwardedRequest { framing: up_framing, is_decoded: up_framing != asked.framing, range: None };
+        asked.write(up.out.append_to(), forwarded);
         up.start()?;
-        let (last, copy) = (asked.last(), (plan.copy_most > 0).then(Vec::new));
+        let (last, copy) = (asked.closes_connection(), (plan.copy_most > 0).then(Vec::new));
         Ok(Self {
             asked,
             plan,
@@ -100,19 +108,19 @@
     }
 
     /// What was asked.
-    pub fn asked(&self) -> &Asked {
+    pub fn asked(&self) -> &RequestHead {
         &self.asked
     }
 
     /// What the upstream answered.
-    pub fn reply(&self) -> Option<&Reply> {
+    pub fn reply(&self) -> Option<&ResponseHead> {
         self.reply.as_ref()
     }
 
     /// The stream is let in: a client that waits for a word sends its body now.
     pub fn let_in(&mut self) {
-        if self.asked.seen.expects && !self.up.is_complete() && self.up.received_bytes() == 0 {
-            self.first.append_to().extend_from_slice(GO_ON);
+        if self.asked.known.expects_continue && !self.up.is_complete() && self.up.received_bytes() == 0 {
+            self.first.append_to().extend_from_slice(CONTINUE_RESPONSE);
         }
     }
 
@@ -155,7 +163,7 @@
         let large = self.up.received_bytes() > most
             || (self.up_framing != self.asked.framing && self.up.encoded_bytes() > most);
         if large {
-            Err(Fault::Client(Bad::BodyLarge))
+            Err(Fault::Client(MessageError::BodyTooLarge))
         } else {
             Ok(())
         }
@@ -167,26 +175,26 @@
             let used = down.receive(octets, room).map_err(Fault::Upstream)?;
             // What comes past the answer's end is nobody's.
             return if used < octets.len() && !down.is_complete() {
-                Err(Fault::Upstream(Bad::Length))
+                Err(Fault::Upstream(MessageError::InvalidLength))
             } else {
                 Ok(())
             };
         }
         self.head.extend_from_slice(octets);
         loop {
-            let read = Reply::read(&self.head, &self.asked.method).map_err(Fault::Upstream)?;
-            let Some((reply, length)) = read else {
-                let large = self.head.len() >= HEAD_MOST;
-                return if large { Err(Fault::Upstream(Bad::HeadLarge)) } else { Ok(()) };
+            let read = ResponseHead::parse(&self.head, &self.asked.method).map_err(Fault::Upstream)?;
+            let Some(ParsedHead { head: reply, length }) = read else {
+                let large = self.head.len() >= MAX_HEAD_BYTES;
+                return if large { Err(Fault::Upstream(MessageError::HeadTooLarge)) } else { Ok(()) };
             };
             let octets: Vec<u8> = self.head.drain(..length).collect::<Vec<u8>>();
             drop(octets);
             match reply.status {
                 // After a change of protocols nothing here can be read; we ask for none.
-                101 => return Err(Fault::Upstream(Bad::Head)),
+                101 => return Err(Fault::Upstream(MessageError::InvalidHead)),
                 100 | 102 | 104 => {}
-                ..=199 if self.asked.old || self.rest.is_some() => {}
-                ..=199 => reply.write(self.first.append_to(), Framing::Empty, None, false),
+                ..=199 if self.asked.is_http_10 || self.rest.is_some() => {}
+                ..=199 => reply.write(self.first.append_to(), Framing::Empty, None, ConnectionUse::KeepAlive),
                 _ => {
                     let body = std::mem::take(&mut self.head);
                     return self.answered(reply, &body, room);
@@ -195,14 +203,13 @@
         }
     }
 
-    fn answered(&mut self, reply: Reply, body: &[u8], room: usize) -> Result<(), Fault> {
+    fn answered(&mut self, reply: ResponseHead, body: &[u8], room: usize) -> Result<(), Fault> {
         if let Some(piece) = self.rest.take() {
-            let down = self.down.as_mut().ok_or(Fault::Upstream(Bad::Head))?;
-            let told = reply.fields.iter().find(|(name, _)| name.eq_ignore_ascii_case("Content-Range"));
-            let told = told.and_then(|(_, value)| std::str::from_utf8(value).ok());
+            let down = self.down.as_mut().ok_or(Fault::Upstream(MessageError::InvalidHead))?;
+            let told = reply.field("Content-Range").and_then(|value| std::str::from_utf8(value).ok());
             let passed = down.received_bytes();
             piece
-                .goes_on(passed, reply.status, reply.seen.validator.as_deref(), told)
+                .goes_on(passed, reply.status, reply.known.strong_validator.as_deref(), told)
                 .map_err(Fault::Changed)?;
             let left = piece.end - piece.first - passed;
             if !matches!(reply.framing, Framing::Length(length) if length == left)
@@ -222,7 +229,7 @@
         let framing = match reply.framing {
             Framing::Empty => Framing::Empty,
             Framing::Length(_) if coding.is_none() => reply.framing,
-            _ if self.asked.old => Framing::Close,
+            _ if self.asked.is_http_10 => Framing::Close,
             _ => Framing::Chunked,
         };
         self.last |= framing == Framing::Close;
@@ -230,7 +237,7 @@
             .map_or_else(|| Ok(ContentCoder::identity()), ContentCoder::encoder)
             .map_err(Fault::Upstream)?;
         let mut down = BodyPipe::new(reply.framing, framing, coder);
-        reply.write(down.out.append_to(), framing, coding, self.last);
+        reply.write(down.out.append_to(), framing, coding, ConnectionUse::closing_if(self.last));
         down.start().map_err(Fault::Upstream)?;
         down.receive(body, room).map_err(Fault::Upstream)?;
         (self.reply, self.down) = (Some(reply), Some(down));
@@ -238,19 +245,20 @@
     }
 
     /// The coding that we give to an answer.
-    fn coding(&self, reply: &Reply) -> Option<Coding> {
-        let (asked, seen) = (&self.asked.seen, &reply.seen);
-        let liked = Some(asked.accepts).filter(|coding| *coding != Coding::Identity)?;
+    fn coding(&self, reply: &ResponseHead) -> Option<Coding> {
+        let (asked, seen) = (&self.asked.known, &reply.known);
+        let liked = Some(asked.accepted_coding).filter(|coding| *coding != Coding::Identity)?;
         let least = self.plan.code_from?;
         let long = match reply.framing {
             Framing::Empty => false,
             Framing::Length(length) => length >= least,
             Framing::Chunked | Framing::Close => true,
         };
-        let own = seen.coding != Coding::Identity || seen.coded_otherwise;
-        let parts = asked.ranged || seen.ranged;
-        let touchable = !asked.untouchable && !seen.untouchable && !self.asked.old;
-        let shrinks = seen.kind.starts_with("text/") || SHRINK.iter().any(|end| seen.kind.ends_with(end));
+        let own = seen.content_coding != Coding::Identity || seen.has_other_coding;
+        let parts = asked.is_ranged || seen.is_ranged;
+        let touchable = !asked.no_transform && !seen.no_transform && !self.asked.is_http_10;
+        let shrinks =
+            seen.media_type.starts_with("text/") || SHRINK.iter().any(|end| seen.media_type.ends_with(end));
         (reply.status == 200 && long && !own && !parts && touchable && shrinks).then_some(liked)
     }
 
@@ -338,13 +346,17 @@
     }
 
     /// An answer of our own instead of the upstream's; false where that has begun.
-    pub fn answer(&mut self, own: &Own) -> bool {
+    pub fn answer(&mut self, own: &LocalResponse) -> bool {
         if self.begun() {
             return false;
         }
         let last = self.last();
         (self.own, self.last) = (true, last);
-        own.write(self.first.append_to(), last, self.asked.method == "HEAD");
+        own.write(
+            self.first.append_to(),
+            ConnectionUse::closing_if(last),
+            BodyUse::for_request(self.asked.is_head()),
+        );
         true
     }
 
@@ -367,8 +379,12 @@
     /// Sends all of it again, to another upstream.
     pub fn again(&mut self) {
         let mut head = Vec::new();
-        let plain = self.up_framing != self.asked.framing;
-        self.asked.write(&mut head, self.up_framing, plain, None);
+        let forwarded = ForwardedRequest {
+            framing: self.up_framing,
+            is_decoded: self.up_framing != self.asked.framing,
+            range: None,
+        };
+        self.asked.write(&mut head, forwarded);
         self.up.replay(&head, self.up_framing);
         self.head.clear();
     }
@@ -376,13 +392,15 @@
     /// What is known of the object that is coming down, if the rest of it can be asked for elsewhere.
     pub fn piece(&self) -> Option<(Piece, u64)> {
         let (reply, down) = (self.reply.as_ref()?, self.down.as_ref()?);
-        let validator = reply.seen.validator.clone()?;
+        let validator = reply.known.strong_validator.clone()?;
         let Framing::Length(length) = reply.framing else { return None };
-        let coded = reply.seen.coding != Coding::Identity || reply.seen.coded_otherwise;
-        let piece = match (reply.status, reply.seen.part) {
-            (200, _) if reply.seen.parts => Piece { validator, first: 0, end: length, whole: Some(length) },
-            (206, Some((first, last, whole))) if last - first + 1 == length => {
-                Piece { validator, first, end: last + 1, whole }
+        let coded = reply.known.content_coding != Coding::Identity || reply.known.has_other_coding;
+        let piece = match (reply.status, reply.known.content_range) {
+            (200, _) if reply.known.accepts_ranges => {
+                Piece { validator, first: 0, end: length, whole: Some(length) }
+            }
+            (206, Some(ContentRange { first, last, complete_length })) if last - first + 1 == length => {
+                Piece { validator, first, end: last + 1, whole: complete_length }
             }
             _ => return None,
         };
@@ -396,7 +414,9 @@
         let passed = self.came_down();
         let Some((first, end)) = piece.rest(passed) else { return };
         let mut head = Vec::new();
-        self.asked.write(&mut head, Framing::Empty, false, Some((first, end, &piece.validator)));
+        let range = RangeRequest { first, end, validator: &piece.validator };
+        let forwarded = ForwardedRequest { framing: Framing::Empty, is_decoded: false, range: Some(range) };
+        self.asked.write(&mut head, forwarded);
         self.up.drop_copy();
         self.up.replay(&head, Framing::Empty);
         self.head.clear();
--- a/crates/frontends/stream/src/settings.rs
+++ b/crates/frontends/stream/src/settings.rs
@@ -1,6 +1,6 @@
 //! What a stream server is told: decoded, checked and given defaults here and nowhere else.
 
-use crate::http::{Asked, Bad};
+use crate::http::{MessageError, RequestHead};
 use crate::relay::Plan;
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
 use lynxtally_flow::coding::{Coding, Growth};
@@ -553,13 +553,13 @@
 
 impl Checked {
     /// The stage that takes a stream.
-    pub fn stage(&self, asked: &Asked) -> Result<usize, Bad> {
+    pub fn stage(&self, asked: &RequestHead) -> Result<usize, MessageError> {
         self.stage_of(&asked.method, asked.path())
     }
 
     /// The stage that takes a stream of this method and path.
-    pub fn stage_of(&self, method: &str, path: &str) -> Result<usize, Bad> {
-        self.stages.iter().position(|stage| stage.takes(method, path)).ok_or(Bad::Stage)
+    pub fn stage_of(&self, method: &str, path: &str) -> Result<usize, MessageError> {
+        self.stages.iter().position(|stage| stage.takes(method, path)).ok_or(MessageError::NoMatchingClass)
     }
 
     /// The stage of what only asks about an upload.
@@ -568,7 +568,7 @@
     }
 
     /// The customer that a stream is of. One that is not known has no share of its own, and is none.
-    pub fn customer(&self, asked: &Asked) -> Option<usize> {
+    pub fn customer(&self, asked: &RequestHead) -> Option<usize> {
         let name = asked.field(self.customer_field.as_deref()?)?;
         self.customers.iter().position(|own| own.as_bytes() == name)
     }
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -4,7 +4,7 @@
 use crate::body_pipe::BodyPipe;
 use crate::content_coder::ContentCoder;
 use crate::front::{caller, Front, Next, Source};
-use crate::http::{Asked, Bad, Framing, Own};
+use crate::http::{BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, RequestHead, UploadState};
 use crate::owner::{Entering, Moved, Ticket};
 use crate::relay::Relay;
 use crate::upload_archive::{unix_seconds, ArchiveError, OperationResult, PendingOperation, UploadArchive};
@@ -38,7 +38,7 @@
     /// All of the message is here.
     Whole,
     /// An answer of our own is owed.
-    Own(Own),
+    Own(LocalResponse),
     /// The client is gone.
     Gone(CloseReason),
 }
@@ -53,30 +53,30 @@
     sum: u32,
 }
 
-fn refused(refused: Refused, stands: Option<(u64, bool)>) -> Own {
+fn refused(refused: Refused, stands: Option<UploadState>) -> LocalResponse {
     let bad = match refused {
-        Refused::Unknown => Bad::Upload,
-        Refused::Offset(_) | Refused::Taken => Bad::Offset,
-        Refused::Long => Bad::BodyLarge,
-        Refused::Quota => Bad::Quota,
+        Refused::Unknown => MessageError::UnknownUpload,
+        Refused::Offset(_) | Refused::Taken => MessageError::OffsetMismatch,
+        Refused::Long => MessageError::BodyTooLarge,
+        Refused::Quota => MessageError::QuotaExceeded,
     };
-    Own { stands, ..Own::bad(bad) }
+    LocalResponse { upload_state: stands, ..LocalResponse::from_error(bad) }
 }
 
 impl<P: Scheduler + Send + 'static> Front<P> {
     /// Whether a message begins an upload that can be gone on with, or is about one.
-    pub(crate) fn is_upload(&self, asked: &Asked) -> bool {
-        let begins = asked.seen.upload.complete.is_some()
+    pub(crate) fn is_upload(&self, asked: &RequestHead) -> bool {
+        let begins = asked.known.upload.complete.is_some()
             && matches!(asked.method.as_str(), "POST" | "PUT")
             && self.settings.stage(asked).is_ok_and(|stage| self.settings.stages[stage].resumable);
         begins || asked.path().starts_with(PLACE)
     }
 
     /// Answers with words of our own, and ends the connection where something of the body is still to come.
-    fn say(&self, socket: &Arc<Socket>, asked: &Asked, own: &Own, whole: bool) -> Next {
-        let last = asked.last() || !whole;
+    fn say(&self, socket: &Arc<Socket>, asked: &RequestHead, own: &LocalResponse, whole: bool) -> Next {
+        let last = asked.closes_connection() || !whole;
         let mut out = Vec::new();
-        own.write(&mut out, last, asked.method == "HEAD");
+        own.write(&mut out, ConnectionUse::closing_if(last), BodyUse::for_request(asked.is_head()));
         if last {
             return Next::Close(self.last_words(socket, &out));
         }
@@ -103,23 +103,23 @@
         archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
         from: IpAddr,
-        asked: Asked,
+        asked: RequestHead,
         came: &mut Vec<u8>,
     ) -> Next {
         let whole = asked.framing == Framing::Empty;
-        let bad = |bad: Bad| {
+        let bad = |bad: MessageError| {
             lock(&self.owner).hall.counts.bad += 1;
-            self.say(socket, &asked, &Own::bad(bad), whole)
+            self.say(socket, &asked, &LocalResponse::from_error(bad), whole)
         };
         let known = id(asked.path());
         let stage = match (known, asked.path().starts_with(PLACE)) {
-            (None, true) => return bad(Bad::Upload),
+            (None, true) => return bad(MessageError::UnknownUpload),
             (None, false) => self.settings.stage(&asked),
             // What goes on with one is of the stage that it began in.
             (Some(id), _) if asked.method == "PATCH" => {
                 let what = lock(&archive.uploads).get(id).map(|upload| upload.what.clone());
-                let began = what.as_deref().and_then(|what| Asked::read(what).ok().flatten());
-                began.ok_or(Bad::Upload).and_then(|(began, _)| self.settings.stage(&began))
+                let began = what.as_deref().and_then(|what| RequestHead::parse(what).ok().flatten());
+                began.ok_or(MessageError::UnknownUpload).and_then(|began| self.settings.stage(&began.head))
             }
             (Some(_), _) => Ok(self.settings.asking()),
         };
@@ -133,11 +133,11 @@
         };
         let ticket = Arc::new(Ticket::new(stage, socket.waker()));
         let customer = self.settings.customer(&asked);
-        let mark = asked.seen.mark.clone().or_else(|| known.map(place));
+        let mark = asked.known.idempotency_key.clone().or_else(|| known.map(place));
         let entering =
             Entering { customer, mark: mark.filter(|_| known.is_none()), told, caller: caller(from) };
         if !self.with(|owner, now| owner.enter(now, &ticket, entering)) {
-            return self.say(socket, &asked, &Own::new(503, "not taken"), whole);
+            return self.say(socket, &asked, &LocalResponse::new(503, "not taken"), whole);
         }
         // Nothing is read before the module has let it in.
         while !ticket.running() {
@@ -161,14 +161,16 @@
                     },
                     "DELETE" if lock(&archive.uploads).get(id).is_some() => {
                         archive.remove(id);
-                        Some(Own::new(204, ""))
+                        Some(LocalResponse::new(204, ""))
                     }
-                    "DELETE" => Some(Own::bad(Bad::Upload)),
-                    _ => Some(Own::bad(Bad::Method)),
+                    "DELETE" => Some(LocalResponse::from_error(MessageError::UnknownUpload)),
+                    _ => Some(LocalResponse::from_error(MessageError::MethodNotAllowed)),
                 };
                 let own = own.unwrap_or_else(|| match self.durable(archive, socket, id) {
-                    Ok(()) => Own { stands: stands(archive, id), ..Own::new(204, "") },
-                    Err(what) => Own::new(500, what.to_string()),
+                    Ok(()) => {
+                        LocalResponse { upload_state: stands(archive, id), ..LocalResponse::new(204, "") }
+                    }
+                    Err(what) => LocalResponse::new(500, what.to_string()),
                 });
                 self.with(|owner, now| owner.ended(now, &ticket, RunEnd::Completed(Vec::new())));
                 self.say(socket, &asked, &own, whole)
@@ -183,12 +185,12 @@
         archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
         ticket: &Arc<Ticket>,
-        asked: &Asked,
+        asked: &RequestHead,
         came: &mut Vec<u8>,
     ) -> Next {
         let id = rand::rng().random::<UploadId>();
-        let complete = asked.seen.upload.complete == Some(true);
-        let length = asked.seen.upload.length.or(match asked.framing {
+        let complete = asked.known.upload.complete == Some(true);
+        let length = asked.known.upload.length.or(match asked.framing {
             Framing::Length(length) if complete => Some(length),
             Framing::Empty if complete => Some(0),
             _ => None,
@@ -213,11 +215,21 @@
         let waker = socket.waker();
         if let Err(what) = self.await_it(socket, &archive.record(entry, move || waker.wakeup())) {
             lock(&archive.uploads).gone(id);
-            return self.end(socket, ticket, asked, &Own::new(500, what.to_string()), RunEnd::Failed);
+            return self.end(
+                socket,
+                ticket,
+                asked,
+                &LocalResponse::new(500, what.to_string()),
+                RunEnd::Failed,
+            );
         }
         let mut out = Vec::new();
-        if !asked.old {
-            Own { place: Some(place(id)), ..Own::new(104, "") }.write(&mut out, false, true);
+        if !asked.is_http_10 {
+            LocalResponse { location: Some(place(id)), ..LocalResponse::new(104, "") }.write(
+                &mut out,
+                ConnectionUse::KeepAlive,
+                BodyUse::Omitted,
+            );
         }
         if let Err(end) = self.put(socket, &out) {
             self.with(|owner, now| owner.gone(now, ticket));
@@ -234,16 +246,32 @@
         socket: &Arc<Socket>,
         ticket: &Arc<Ticket>,
         id: UploadId,
-        asked: &Asked,
+        asked: &RequestHead,
         came: &mut Vec<u8>,
     ) -> Next {
-        let upload = asked.seen.upload;
+        let upload = asked.known.upload;
         let (Some(offset), Some(complete)) = (upload.offset, upload.complete) else {
-            let bad = Bad::Field(if upload.offset.is_none() { "Upload-Offset" } else { "Upload-Complete" });
-            return self.end(socket, ticket, asked, &Own::bad(bad), RunEnd::Unavailable(HOLD_OFF));
+            let bad = MessageError::InvalidField(if upload.offset.is_none() {
+                "Upload-Offset"
+            } else {
+                "Upload-Complete"
+            });
+            return self.end(
+                socket,
+                ticket,
+                asked,
+                &LocalResponse::from_error(bad),
+                RunEnd::Unavailable(HOLD_OFF),
+            );
         };
-        if asked.seen.kind != "application/partial-upload" {
-            return self.end(socket, ticket, asked, &Own::bad(Bad::Coding), RunEnd::Unavailable(HOLD_OFF));
+        if asked.known.media_type != "application/partial-upload" {
+            return self.end(
+                socket,
+                ticket,
+                asked,
+                &LocalResponse::from_error(MessageError::UnsupportedCoding),
+                RunEnd::Unavailable(HOLD_OFF),
+            );
         }
         let told = upload.length.or(match asked.framing {
             Framing::Length(length) if complete => offset.checked_add(length),
@@ -269,7 +297,14 @@
     }
 
     /// Ends a run with words of our own.
-    fn end(&self, socket: &Arc<Socket>, ticket: &Arc<Ticket>, asked: &Asked, own: &Own, end: RunEnd) -> Next {
+    fn end(
+        &self,
+        socket: &Arc<Socket>,
+        ticket: &Arc<Ticket>,
+        asked: &RequestHead,
+        own: &LocalResponse,
+        end: RunEnd,
+    ) -> Next {
         self.with(|owner, now| owner.ended(now, ticket, end));
         self.say(socket, asked, own, asked.framing == Framing::Empty)
     }
@@ -297,15 +332,24 @@
     }
 
     /// Archives what one message brings; then answers how far the upload is or, where it is whole, passes it on.
-    fn store(self: &Arc<Self>, mut doing: Doing, asked: &Asked, came: &mut Vec<u8>, status: u16) -> Next {
+    fn store(
+        self: &Arc<Self>,
+        mut doing: Doing,
+        asked: &RequestHead,
+        came: &mut Vec<u8>,
+        status: u16,
+    ) -> Next {
         let (archive, socket, ticket, id) = (doing.archive, doing.socket, doing.ticket, doing.id);
         let mut pipe = BodyPipe::new(asked.framing, Framing::Close, ContentCoder::identity());
         let mut stored = self.take_in(&mut doing, &mut pipe, asked, came);
-        if let (Stored::Whole, Some(true)) = (&stored, asked.seen.upload.complete) {
+        if let (Stored::Whole, Some(true)) = (&stored, asked.known.upload.complete) {
             match lock(&archive.uploads).complete(id, doing.holder) {
                 Ok(true) => {}
                 Ok(false) => {
-                    stored = Stored::Own(Own { stands: stands(archive, id), ..Own::bad(Bad::Length) })
+                    stored = Stored::Own(LocalResponse {
+                        upload_state: stands(archive, id),
+                        ..LocalResponse::from_error(MessageError::InvalidLength)
+                    })
                 }
                 Err(what) => stored = Stored::Own(refused(what, stands(archive, id))),
             }
@@ -317,14 +361,18 @@
                 self.with(|owner, now| owner.gone(now, ticket));
                 return Next::Close(end);
             }
-            (_, Err(what)) => Own::new(500, what.to_string()),
+            (_, Err(what)) => LocalResponse::new(500, what.to_string()),
             (Stored::Own(own), _) => own,
-            (Stored::Whole, Ok(())) if asked.seen.upload.complete == Some(true) => {
+            (Stored::Whole, Ok(())) if asked.known.upload.complete == Some(true) => {
                 return self.pass_on(archive, socket, ticket, id, came);
             }
             (Stored::Whole, Ok(())) => {
                 let place = (status == 201).then(|| place(id));
-                let own = Own { stands: stands(archive, id), place, ..Own::new(status, "") };
+                let own = LocalResponse {
+                    upload_state: stands(archive, id),
+                    location: place,
+                    ..LocalResponse::new(status, "")
+                };
                 self.with(|owner, now| owner.ended(now, ticket, RunEnd::Completed(Vec::new())));
                 return self.say(socket, asked, &own, true);
             }
@@ -333,16 +381,22 @@
         self.say(socket, asked, &own, pipe.is_complete())
     }
 
-    fn take_in(&self, doing: &mut Doing, pipe: &mut BodyPipe, asked: &Asked, came: &mut Vec<u8>) -> Stored {
+    fn take_in(
+        &self,
+        doing: &mut Doing,
+        pipe: &mut BodyPipe,
+        asked: &RequestHead,
+        came: &mut Vec<u8>,
+    ) -> Stored {
         let (archive, socket, ticket, id) = (doing.archive, doing.socket, doing.ticket, doing.id);
         let mut on_its_way: Option<(usize, PendingOperation)> = None;
-        if asked.seen.expects && asked.framing != Framing::Empty && came.is_empty() {
-            if let Err(end) = self.put(socket, crate::http::GO_ON) {
+        if asked.known.expects_continue && asked.framing != Framing::Empty && came.is_empty() {
+            if let Err(end) = self.put(socket, crate::http::CONTINUE_RESPONSE) {
                 return Stored::Gone(end);
             }
         }
         if let Err(bad) = pipe.start() {
-            return Stored::Own(Own::bad(bad));
+            return Stored::Own(LocalResponse::from_error(bad));
         }
         loop {
             if let Some(answer) = ticket.answer() {
@@ -356,7 +410,7 @@
                 on_its_way = None;
                 moved.up_took = octets as u64;
                 if let Err(what) = done {
-                    return Stored::Own(Own::new(500, what.to_string()));
+                    return Stored::Own(LocalResponse::new(500, what.to_string()));
                 }
             }
             let rooms = lock(&self.owner).rooms(ticket);
@@ -382,7 +436,12 @@
                     moved.came = octets.len() as u64;
                     match pipe.receive(&octets, room) {
                         Ok(used) => drop(came.splice(..0, octets[used..].iter().copied())),
-                        Err(bad) => return Stored::Own(Own { stands: stands(archive, id), ..Own::bad(bad) }),
+                        Err(bad) => {
+                            return Stored::Own(LocalResponse {
+                                upload_state: stands(archive, id),
+                                ..LocalResponse::from_error(bad)
+                            })
+                        }
                     }
                 }
             }
@@ -456,9 +515,9 @@
             // The head that was kept lacks only its end.
             what.truncate(what.len() - 2);
             what.extend_from_slice(format!("Content-Length: {length}\r\n\r\n").as_bytes());
-            Some((Asked::read(&what).ok()??.0, length))
+            Some((RequestHead::parse(&what).ok()??.head, length))
         });
-        let made = asked.ok_or(Bad::Upload).and_then(|(asked, length)| {
+        let made = asked.ok_or(MessageError::UnknownUpload).and_then(|(asked, length)| {
             let stage = self.settings.stage(&asked)?;
             Ok((Relay::new(asked, self.settings.stages[stage].plan.clone())?, length))
         });
@@ -472,7 +531,7 @@
                 archive.remove(id);
                 self.with(|owner, now| owner.ended(now, ticket, RunEnd::Failed));
                 let mut out = Vec::new();
-                Own::bad(bad).write(&mut out, true, false);
+                LocalResponse::from_error(bad).write(&mut out, ConnectionUse::Close, BodyUse::Included);
                 Next::Close(self.last_words(socket, &out))
             }
         }
@@ -482,24 +541,34 @@
 /// When one that was refused for what it is may come again.
 const HOLD_OFF: lynxtally::Span = lynxtally::Span::from_millis(1000);
 
-fn stands(archive: &UploadArchive, id: UploadId) -> Option<(u64, bool)> {
-    lock(&archive.uploads).get(id).map(|upload| (upload.offset, upload.whole))
+fn stands(archive: &UploadArchive, id: UploadId) -> Option<UploadState> {
+    lock(&archive.uploads)
+        .get(id)
+        .map(|upload| UploadState { offset: upload.offset, is_complete: upload.whole })
 }
 
 /// What a client is told that was not let in, or whose time ran out.
-fn owed(answer: &FinalResponse, stands: Option<(u64, bool)>) -> Own {
+fn owed(answer: &FinalResponse, stands: Option<UploadState>) -> LocalResponse {
     match answer {
         FinalResponse::Rejected { retry_after: hold_off, .. } => {
             let back_in = Some((hold_off.secs().ceil() as u64).max(1));
-            Own { back_in, stands, ..Own::new(503, "not taken; nothing of it was done") }
+            LocalResponse {
+                retry_after_secs: back_in,
+                upload_state: stands,
+                ..LocalResponse::new(503, "not taken; nothing of it was done")
+            }
         }
         // Where it stands it can be gone on with.
-        _ => Own { back_in: Some(1), stands, ..Own::new(503, "not done in time") },
+        _ => LocalResponse {
+            retry_after_secs: Some(1),
+            upload_state: stands,
+            ..LocalResponse::new(503, "not done in time")
+        },
     }
 }
 
 /// What is kept of the message that began an upload: all that its upstream is to see, but for the body's length.
-fn keep(asked: &Asked) -> Vec<u8> {
+fn keep(asked: &RequestHead) -> Vec<u8> {
     let mut text = String::new();
     let _ = write!(text, "{} {} HTTP/1.1\r\n", asked.method, asked.target);
     let mut what = text.into_bytes();
