--- a/crates/frontends/stream/src/front.rs
+++ b/crates/frontends/stream/src/front.rs
@@ -5,7 +5,7 @@
     BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, ParsedHead, RequestHead, MAX_HEAD_BYTES,
 };
 use crate::owner::{Entering, Moved, Owner, Rooms, Ticket};
-use crate::relay::{Fault, Relay};
+use crate::proxied_request::{Fault, Relay};
 use crate::settings::Checked;
 use crate::upload_archive::{PendingOperation, UploadArchive};
 use lynxtally::Span;
--- a/crates/frontends/stream/src/lib.rs
+++ b/crates/frontends/stream/src/lib.rs
@@ -1,7 +1,7 @@
 //! Long bodies both ways: HTTP/1.1 streams between clients and upstreams, behind the decision module, in flat memory,
 //! with one final outcome each.
 //!
-//! The codec ([`http`], [`body_framing`], [`content_coder`]) and the proxy's state ([`body_pipe`], [`relay`]) are state machines
+//! The codec ([`http`], [`body_framing`], [`content_coder`]) and the proxy's state ([`body_pipe`], [`proxied_request`]) are state machines
 //! fed bytes; [`front`] is the driver; what is chosen is chosen in `lynxtally-flow` and in the module.
 
 #![forbid(unsafe_code)]
@@ -13,7 +13,7 @@
 pub mod http;
 pub mod output_buffer;
 pub mod owner;
-pub mod relay;
+pub mod proxied_request;
 pub mod server;
 pub mod settings;
 pub mod upload_archive;
--- a/crates/frontends/stream/src/settings.rs
+++ b/crates/frontends/stream/src/settings.rs
@@ -1,7 +1,7 @@
 //! What a stream server is told: decoded, checked and given defaults here and nowhere else.
 
 use crate::http::{MessageError, RequestHead};
-use crate::relay::Plan;
+use crate::proxied_request::Plan;
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
 use lynxtally_flow::coding::{Coding, Growth};
 use lynxtally_flow::uploads::UploadLimits;
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -6,7 +6,7 @@
 use crate::front::{caller, Front, Next, Source};
 use crate::http::{BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, RequestHead, UploadState};
 use crate::owner::{Entering, Moved, Ticket};
-use crate::relay::Relay;
+use crate::proxied_request::Relay;
 use crate::upload_archive::{unix_seconds, ArchiveError, OperationResult, PendingOperation, UploadArchive};
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::{Refused, Upload, UploadId};
--- a/crates/frontends/stream/tests/codec.rs
+++ b/crates/frontends/stream/tests/codec.rs
@@ -5,7 +5,7 @@
 use lynxtally_stream::body_pipe::BodyPipe;
 use lynxtally_stream::content_coder::ContentCoder;
 use lynxtally_stream::http::{Framing, MessageError, ParsedHead, RequestHead, ResponseHead};
-use lynxtally_stream::relay::{Fault, Plan, Relay};
+use lynxtally_stream::proxied_request::{Fault, Plan, Relay};
 use lynxtally_test_doubles::stream::piece;
 use proptest::prelude::*;
 
