--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -44,7 +44,7 @@
         self.usual_call_secs += difference_secs * gain;
     }
 
-    /// Takes in a successful call, however slow: only failures narrow the window. The budget bounds slow ones.
+    /// Takes in a successful call, however slow: only failures narrow the window; the budget bounds the rest.
     pub fn call_succeeded(&mut self, took: Span) {
         self.size += 1.0 / self.size;
         self.learn_call_secs(took.secs() - self.usual_call_secs);
