--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -351,7 +351,7 @@
                 "; {} changes kept, {} leases, {} repeats known",
                 snapshot.history.len(),
                 snapshot.leases.len(),
-                snapshot.marks.len()
+                snapshot.known_updates.len()
             );
         }
     }
--- a/crates/core/zones/src/lib.rs
+++ b/crates/core/zones/src/lib.rs
@@ -1,5 +1,9 @@
-//! The fleet's names, without I/O: zones as immutable versions, zone files, updates, leases, transfers, and the
-//! choices about them. Octets and sockets are a front's business.
+//! The DNS zone store, without I/O: zones as immutable versions, zone files, dynamic updates (RFC 2136), leases of
+//! records (RFC 9664), zone transfers (RFC 5936, RFC 1995) and the decisions about them. The wire format and sockets
+//! belong to the DNS frontend.
+//!
+//! [`zone_store::ZoneStore`] holds one zone; [`lookup::lookup`] answers a question from one version of it;
+//! [`secondary`] keeps a zone in step with its primaries; [`rate_limit`] finds the clients that ask too much.
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/zones/src/lookup.rs
+++ b/crates/core/zones/src/lookup.rs
@@ -1,7 +1,7 @@
 //! What a version answers to a question: RFC 1034 section 4.3.2, wildcards by RFC 4592, DNAME by RFC 6672,
 //! names that are not there by RFC 2308. All of an answer comes from one version.
 
-use crate::name::Starts;
+use crate::name::LabelOffsets;
 use crate::name_tree::Node;
 use crate::record::{unpack, RecordSet};
 use crate::record_type::{replace_end, RecordType};
@@ -79,7 +79,7 @@
 }
 
 fn find_name<'a>(zone: &'a Zone, name: &[u8], kind: RecordType) -> NameMatch<'a> {
-    let starts = Starts::of(name);
+    let starts = LabelOffsets::of(name);
     let below = starts.count() - zone.apex().labels().count();
     let mut node: &Node = zone.root();
     for n in (0..below).rev() {
--- a/crates/core/zones/src/name.rs
+++ b/crates/core/zones/src/name.rs
@@ -6,9 +6,9 @@
 use std::fmt;
 
 /// The longest name, in octets.
-pub const NAME_MOST: usize = 255;
+pub const MAX_NAME_LENGTH: usize = 255;
 /// The longest label, in octets.
-pub const LABEL_MOST: usize = 63;
+pub const MAX_LABEL_LENGTH: usize = 63;
 
 /// A name.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -17,7 +17,7 @@
 
 /// Why a text or some octets are no name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BadName {
+pub enum NameError {
     /// Nothing at all.
     Empty,
     /// A label without an octet.
@@ -36,7 +36,7 @@
     LabelKind,
 }
 
-impl fmt::Display for BadName {
+impl fmt::Display for NameError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
             Self::Empty => "an empty name",
@@ -51,7 +51,7 @@
     }
 }
 
-impl std::error::Error for BadName {}
+impl std::error::Error for NameError {}
 
 /// The labels of a name in wire form, the leftmost first, without the root's.
 pub fn labels(wire: &[u8]) -> impl Iterator<Item = &[u8]> {
@@ -65,12 +65,12 @@
 }
 
 /// Where each label of a name begins, the leftmost first; room on the stack for any name.
-pub struct Starts {
+pub struct LabelOffsets {
     at: [u8; 128],
     count: usize,
 }
 
-impl Starts {
+impl LabelOffsets {
     /// Those of a name in wire form.
     pub fn of(wire: &[u8]) -> Self {
         let (mut starts, mut at) = (Self { at: [0; 128], count: 0 }, 0);
@@ -100,26 +100,26 @@
     }
 
     /// Takes octets in wire form that hold one whole name without a pointer and nothing else.
-    pub fn from_wire(wire: &[u8]) -> Result<Self, BadName> {
+    pub fn from_wire(wire: &[u8]) -> Result<Self, NameError> {
         let (name, rest) = Self::split(wire)?;
         if rest.is_empty() {
             Ok(name)
         } else {
-            Err(BadName::Short)
+            Err(NameError::Short)
         }
     }
 
     /// Takes the name at the start of some octets; gives what stands behind it too.
-    pub fn split(wire: &[u8]) -> Result<(Self, &[u8]), BadName> {
+    pub fn split(wire: &[u8]) -> Result<(Self, &[u8]), NameError> {
         let mut at = 0;
         loop {
-            let length = *wire.get(at).ok_or(BadName::Short)? as usize;
-            if length > LABEL_MOST {
-                return Err(BadName::LabelKind);
+            let length = *wire.get(at).ok_or(NameError::Short)? as usize;
+            if length > MAX_LABEL_LENGTH {
+                return Err(NameError::LabelKind);
             }
             at += 1 + length;
-            if at > NAME_MOST {
-                return Err(BadName::Long);
+            if at > MAX_NAME_LENGTH {
+                return Err(NameError::Long);
             }
             if length == 0 {
                 break;
@@ -130,22 +130,22 @@
 
     /// Reads a name as text (RFC 1035 section 5.1): `@` is the origin, a name without a last dot is relative to
     /// it, `\.` and `\DDD` are octets.
-    pub fn parse(text: &[u8], origin: Option<&Name>) -> Result<Self, BadName> {
+    pub fn parse(text: &[u8], origin: Option<&Name>) -> Result<Self, NameError> {
         if text == b"@" {
-            return origin.cloned().ok_or(BadName::Relative);
+            return origin.cloned().ok_or(NameError::Relative);
         }
         if text == b"." {
             return Ok(Self::root());
         }
         if text.is_empty() {
-            return Err(BadName::Empty);
+            return Err(NameError::Empty);
         }
         let mut wire = Vec::with_capacity(text.len() + 2 + origin.map_or(0, |origin| origin.0.len()));
         let (mut start, mut at) = (0, 0);
         wire.push(0);
         let close = |wire: &mut Vec<u8>, start: usize| match wire.len() - start - 1 {
-            0 => Err(BadName::EmptyLabel),
-            length if length > LABEL_MOST => Err(BadName::LongLabel),
+            0 => Err(NameError::EmptyLabel),
+            length if length > MAX_LABEL_LENGTH => Err(NameError::LongLabel),
             length => {
                 wire[start] = length as u8;
                 Ok(())
@@ -164,7 +164,7 @@
                     at += 1;
                 }
                 b'\\' => {
-                    let (octet, used) = escape(&text[at..]).ok_or(BadName::Escape)?;
+                    let (octet, used) = escape(&text[at..]).ok_or(NameError::Escape)?;
                     wire.push(octet.to_ascii_lowercase());
                     at += used;
                 }
@@ -173,18 +173,18 @@
                     at += 1;
                 }
             }
-            if wire.len() > NAME_MOST {
-                return Err(BadName::Long);
+            if wire.len() > MAX_NAME_LENGTH {
+                return Err(NameError::Long);
             }
         }
         close(&mut wire, start)?;
-        wire.extend_from_slice(&origin.ok_or(BadName::Relative)?.0);
+        wire.extend_from_slice(&origin.ok_or(NameError::Relative)?.0);
         Self::bounded(wire)
     }
 
-    fn bounded(wire: Vec<u8>) -> Result<Self, BadName> {
-        if wire.len() > NAME_MOST {
-            return Err(BadName::Long);
+    fn bounded(wire: Vec<u8>) -> Result<Self, NameError> {
+        if wire.len() > MAX_NAME_LENGTH {
+            return Err(NameError::Long);
         }
         Ok(Self(wire.into()))
     }
@@ -211,9 +211,9 @@
     }
 
     /// The name one label below.
-    pub fn child(&self, label: &[u8]) -> Result<Name, BadName> {
-        if label.is_empty() || label.len() > LABEL_MOST {
-            return Err(if label.is_empty() { BadName::EmptyLabel } else { BadName::LongLabel });
+    pub fn child(&self, label: &[u8]) -> Result<Name, NameError> {
+        if label.is_empty() || label.len() > MAX_LABEL_LENGTH {
+            return Err(if label.is_empty() { NameError::EmptyLabel } else { NameError::LongLabel });
         }
         let mut wire = Vec::with_capacity(1 + label.len() + self.0.len());
         wire.push(label.len() as u8);
@@ -245,9 +245,9 @@
 }
 
 impl TryFrom<Vec<u8>> for Name {
-    type Error = String;
-    fn try_from(wire: Vec<u8>) -> Result<Self, String> {
-        Self::from_wire(&wire).map_err(|bad| bad.to_string())
+    type Error = NameError;
+    fn try_from(wire: Vec<u8>) -> Result<Self, NameError> {
+        Self::from_wire(&wire)
     }
 }
 
@@ -258,9 +258,9 @@
 }
 
 impl std::str::FromStr for Name {
-    type Err = BadName;
+    type Err = NameError;
     /// Reads an absolute name; the last dot may be left out.
-    fn from_str(text: &str) -> Result<Self, BadName> {
+    fn from_str(text: &str) -> Result<Self, NameError> {
         Self::parse(text.as_bytes(), Some(&Self::root()))
     }
 }
@@ -268,8 +268,8 @@
 /// The canonical order (RFC 4034 section 6.1): by label from the root down.
 impl Ord for Name {
     fn cmp(&self, other: &Self) -> Ordering {
-        let (a, b) = (Starts::of(&self.0), Starts::of(&other.0));
-        fn label<'a>(wire: &'a [u8], starts: &Starts, n: usize) -> &'a [u8] {
+        let (a, b) = (LabelOffsets::of(&self.0), LabelOffsets::of(&other.0));
+        fn label<'a>(wire: &'a [u8], starts: &LabelOffsets, n: usize) -> &'a [u8] {
             let at = starts.at(starts.count() - 1 - n);
             &wire[at + 1..at + 1 + wire[at] as usize]
         }
--- a/crates/core/zones/src/rate_limit.rs
+++ b/crates/core/zones/src/rate_limit.rs
@@ -24,7 +24,7 @@
 }
 
 /// A count keeps this part of itself from one turn to the next; so it stands for about two turns.
-const KEPT: f32 = 0.5;
+const FADE_PER_TURN: f32 = 0.5;
 
 /// The part of an address by which askers are counted: 24 bits of IPv4, 56 of IPv6.
 pub fn prefix(address: IpAddr) -> u64 {
@@ -45,7 +45,7 @@
     }
 
     /// How many octets it takes.
-    pub fn octets(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.cells.len() * std::mem::size_of::<(f32, u32)>()
     }
 
@@ -67,7 +67,7 @@
     fn faded((count, turn): (f32, u32), now: u32) -> f32 {
         match now.saturating_sub(turn) {
             0 => count,
-            past => count * KEPT.powi(past.min(64) as i32),
+            past => count * FADE_PER_TURN.powi(past.min(64) as i32),
         }
     }
 
@@ -93,7 +93,7 @@
     }
 
     fn total_at(&self, turn: u32) -> f64 {
-        self.total * f64::from(KEPT.powi(turn.saturating_sub(self.total_turn).min(64) as i32))
+        self.total * f64::from(FADE_PER_TURN.powi(turn.saturating_sub(self.total_turn).min(64) as i32))
     }
 
     /// The count of all.
@@ -118,7 +118,7 @@
     }
 
     /// Counts one question; tells whether it is beyond the prefix's share.
-    pub fn beyond(&mut self, now: Instant, prefix: u64) -> bool {
+    pub fn exceeds_share(&mut self, now: Instant, prefix: u64) -> bool {
         let count = self.sketch.add(now, prefix);
         count > self.least && count > self.sketch.total(now) * self.share
     }
--- a/crates/core/zones/src/record_type.rs
+++ b/crates/core/zones/src/record_type.rs
@@ -326,7 +326,7 @@
 }
 
 /// The most octets that a record's data can have.
-pub const DATA_MOST: usize = 65_535;
+pub const MAX_DATA_LENGTH: usize = 65_535;
 
 impl RecordType {
     /// Reads data as text. Names in it are relative to the origin.
@@ -375,7 +375,7 @@
         if at < words.len() {
             return Err(bad(at, format!("more than {self} data needs")));
         }
-        if out.len() > DATA_MOST {
+        if out.len() > MAX_DATA_LENGTH {
             return Err(bad(0, "data of over 65535 octets".to_owned()));
         }
         Ok(out)
@@ -398,7 +398,7 @@
     /// Takes data in wire form without pointers, checked and with names in lower case; none where it is not
     /// well made.
     pub fn canonical(self, data: &[u8]) -> Option<Vec<u8>> {
-        if data.len() > DATA_MOST {
+        if data.len() > MAX_DATA_LENGTH {
             return None;
         }
         let mut out = data.to_vec();
@@ -452,5 +452,5 @@
     }
     let mut out = name[..name.len() - end.len()].to_vec();
     out.extend_from_slice(by);
-    (out.len() <= crate::name::NAME_MOST).then_some(out)
+    (out.len() <= crate::name::MAX_NAME_LENGTH).then_some(out)
 }
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -123,7 +123,7 @@
 }
 
 /// The longest time to live (RFC 2181 section 8).
-const TTL_MOST: u32 = (1 << 31) - 1;
+const MAX_TTL: u32 = (1 << 31) - 1;
 
 impl Update {
     /// Reads the sections of an update for a zone (RFC 2136 sections 3.2 and 3.4.1).
@@ -186,7 +186,7 @@
                 Ok(UpdateOperation::DeleteName(name.clone()))
             }
             _ if kind.is_meta() => Err(UpdateError::Malformed),
-            UpdateClass::Zone if *ttl <= TTL_MOST => Ok(UpdateOperation::AddRecord(Record {
+            UpdateClass::Zone if *ttl <= MAX_TTL => Ok(UpdateOperation::AddRecord(Record {
                 name: name.clone(),
                 kind: *kind,
                 ttl: *ttl,
--- a/crates/core/zones/src/zone.rs
+++ b/crates/core/zones/src/zone.rs
@@ -1,6 +1,6 @@
 //! A zone is an immutable version. A change makes the next one, which shares with it all that did not change.
 
-use crate::name::{within, Name, Starts};
+use crate::name::{within, LabelOffsets, Name};
 use crate::name_tree::{each, edit, Cursor, Node};
 use crate::record::{Record, RecordSet};
 use crate::record_type::RecordType;
@@ -109,7 +109,7 @@
         if !within(name, self.apex.wire()) {
             return None;
         }
-        let starts = Starts::of(name);
+        let starts = LabelOffsets::of(name);
         let label = |n: usize| &name[starts.at(n) + 1..][..name[starts.at(n)] as usize];
         Some((0..starts.count() - self.apex_labels).rev().map(label).collect())
     }
--- a/crates/core/zones/src/zone_store/known_updates.rs
+++ b/crates/core/zones/src/zone_store/known_updates.rs
@@ -17,31 +17,31 @@
     pub(super) fn add(
         &mut self,
         now: Instant,
-        mark: UpdateId,
+        update_id: UpdateId,
         result: Result<Serial, UpdateError>,
         limits: &ZoneStoreLimits,
     ) {
-        let over = |at: Instant| now - at > limits.marks_for;
-        while self.by_time.len() >= limits.marks.max(1)
+        let over = |at: Instant| now - at > limits.deduplication_window;
+        while self.by_time.len() >= limits.known_updates.max(1)
             || self.by_time.front().is_some_and(|(at, _)| over(*at))
         {
-            let Some((_, mark)) = self.by_time.pop_front() else { break };
-            self.known.remove(&mark);
+            let Some((_, update_id)) = self.by_time.pop_front() else { break };
+            self.known.remove(&update_id);
         }
-        if self.known.insert(mark, (now, result)).is_none() {
-            self.by_time.push_back((now, mark));
+        if self.known.insert(update_id, (now, result)).is_none() {
+            self.by_time.push_back((now, update_id));
         }
     }
 
     pub(super) fn get(
         &self,
         now: Instant,
-        mark: &UpdateId,
+        update_id: &UpdateId,
         limits: &ZoneStoreLimits,
     ) -> Option<Result<Serial, UpdateError>> {
         // What is over its time may still stand in the table.
-        let (since, result) = self.known.get(mark)?;
-        (now - *since <= limits.marks_for).then_some(*result)
+        let (since, result) = self.known.get(update_id)?;
+        (now - *since <= limits.deduplication_window).then_some(*result)
     }
 
     /// All that are known and how each was answered, the oldest first.
--- a/crates/core/zones/src/zone_store/log_entry.rs
+++ b/crates/core/zones/src/zone_store/log_entry.rs
@@ -26,7 +26,7 @@
         /// What changed.
         change: Change,
         /// By what a repeat is known.
-        mark: Option<UpdateId>,
+        update_id: Option<UpdateId>,
         /// For how many seconds what was added is held; 0 for good.
         lease: u32,
         /// Records that were held before and are there for good now.
@@ -62,7 +62,7 @@
     /// The last changes.
     pub history: Vec<Change>,
     /// Repeats known, and how their first was answered.
-    pub marks: Vec<(UpdateId, Result<Serial, UpdateError>)>,
+    pub known_updates: Vec<(UpdateId, Result<Serial, UpdateError>)>,
     /// What is held, and for how many seconds.
     pub leases: Vec<(Name, RecordType, Vec<u8>, u32)>,
 }
--- a/crates/core/zones/src/zone_store/mod.rs
+++ b/crates/core/zones/src/zone_store/mod.rs
@@ -25,7 +25,7 @@
 use crate::zone::Zone;
 use known_updates::KnownUpdates;
 use lynxtally::{Instant, Span};
-use reload::put_on;
+use reload::merge_changes;
 use std::collections::{BTreeSet, VecDeque};
 use std::fmt;
 use std::sync::Arc;
@@ -36,9 +36,9 @@
     /// Records that the log of changes names at most.
     pub history: usize,
     /// For how long a repeat is known.
-    pub marks_for: Span,
+    pub deduplication_window: Span,
     /// How many repeats are known at most.
-    pub marks: usize,
+    pub known_updates: usize,
     /// Records in one zone at most.
     pub records: usize,
     /// How leases are kept.
@@ -49,8 +49,8 @@
     fn default() -> Self {
         Self {
             history: 100_000,
-            marks_for: Span::from_millis(300_000),
-            marks: 100_000,
+            deduplication_window: Span::from_millis(300_000),
+            known_updates: 100_000,
             records: 10_000_000,
             leases: LeaseLimits::default(),
         }
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpdateOutcome {
     /// The serial that holds it, or why it is refused. It is answered once all entries below
-    /// [`ZoneStore::answered_at`] are durable.
+    /// [`ZoneStore::answer_after`] are durable.
     pub result: Result<Serial, UpdateError>,
     /// What must be durable for it.
     pub entry: Option<ZoneLogEntry>,
@@ -99,33 +99,33 @@
     base: Zone,
     base_file: String,
     /// With all accepted steps, durable or not.
-    tip: Zone,
+    latest: Zone,
     /// What answers come from.
-    live: Arc<Zone>,
+    current: Arc<Zone>,
     /// Steps that wait to be durable: the number that must be, and the version.
     waiting: VecDeque<(u64, Arc<Zone>, Option<Arc<Change>>)>,
     history: ChangeHistory,
-    marks: KnownUpdates,
+    known_updates: KnownUpdates,
     leases: LeaseTable,
     frozen: Option<FreezeReason>,
     /// What a new base changed, until its entry is on the log.
-    based: Option<Arc<Change>>,
+    reload_change: Option<Arc<Change>>,
 }
 
 impl ZoneStore {
     /// A zone as its file has it.
     pub fn new(base: Zone, base_file: String, limits: ZoneStoreLimits) -> Self {
         Self {
-            tip: base.clone(),
-            live: Arc::new(base.clone()),
+            latest: base.clone(),
+            current: Arc::new(base.clone()),
             base,
             base_file,
             waiting: VecDeque::new(),
             history: ChangeHistory::new(limits.history),
-            marks: KnownUpdates::default(),
+            known_updates: KnownUpdates::default(),
             leases: LeaseTable::new(limits.leases),
             frozen: None,
-            based: None,
+            reload_change: None,
             limits,
         }
     }
@@ -137,19 +137,20 @@
         snapshot: Snapshot,
         limits: ZoneStoreLimits,
     ) -> Result<Self, ChangeError> {
-        let tip = if snapshot.overlay.is_empty() { base.clone() } else { snapshot.overlay.apply(&base)? };
-        let mut keeper = Self::new(base, snapshot.base, limits);
-        keeper.tip = tip;
-        keeper.live = Arc::new(keeper.tip.clone());
-        snapshot.history.into_iter().for_each(|change| keeper.history.push(Arc::new(change)));
-        for (mark, result) in snapshot.marks {
-            keeper.marks.add(now, mark, result, &limits);
+        let latest =
+            if snapshot.overlay.is_empty() { base.clone() } else { snapshot.overlay.apply(&base)? };
+        let mut store = Self::new(base, snapshot.base, limits);
+        store.latest = latest;
+        store.current = Arc::new(store.latest.clone());
+        snapshot.history.into_iter().for_each(|change| store.history.push(Arc::new(change)));
+        for (update_id, result) in snapshot.known_updates {
+            store.known_updates.add(now, update_id, result, &limits);
         }
         for (name, kind, data, secs) in snapshot.leases {
-            keeper.leases.hold(now, &name, kind, &data, Span::from_secs(f64::from(secs)));
+            store.leases.hold(now, &name, kind, &data, Span::from_secs(f64::from(secs)));
         }
-        keeper.leases.restart(now);
-        Ok(keeper)
+        store.leases.restart(now);
+        Ok(store)
     }
 
     /// Applies an entry that stands on the log. A new base must be at hand.
@@ -160,12 +161,12 @@
         base: impl FnOnce(&str) -> Option<Zone>,
     ) -> Result<(), ZoneLogError> {
         let change = match entry {
-            ZoneLogEntry::Changed { change, mark, lease, kept } => {
-                if let Some(mark) = mark {
-                    self.marks.add(now, mark, Ok(change.to), &self.limits);
+            ZoneLogEntry::Changed { change, update_id, lease, kept } => {
+                if let Some(update_id) = update_id {
+                    self.known_updates.add(now, update_id, Ok(change.to), &self.limits);
                 }
                 let span = (lease > 0).then(|| Span::from_secs(f64::from(lease)));
-                self.lease(now, change.gone(), change.fresh(), span);
+                self.renew_leases(now, change.gone(), change.fresh(), span);
                 kept.iter().for_each(|(name, kind, data)| self.leases.release(name, *kind, data));
                 change
             }
@@ -175,23 +176,25 @@
             }
             ZoneLogEntry::Based { base: file, serial, since } => {
                 let new = base(&file).ok_or_else(|| ZoneLogError::MissingBase(file.clone()))?;
-                let seen = since.reversed().apply(&self.tip)?;
-                let outline = ReloadInput { base: self.base.clone(), tip: seen };
-                self.put_base(file, outline.merge(new), since, serial, &mut Vec::new());
-                self.based.take().into_iter().for_each(|change| self.history.push(change));
-                self.live = Arc::new(self.tip.clone());
+                let seen = since.reversed().apply(&self.latest)?;
+                let input = ReloadInput { base: self.base.clone(), latest: seen };
+                self.install_base(file, input.merge(new), since, serial, &mut Vec::new());
+                self.reload_change.take().into_iter().for_each(|change| self.history.push(change));
+                self.current = Arc::new(self.latest.clone());
                 return Ok(());
             }
             ZoneLogEntry::Followed { base: file } => {
                 let new = base(&file).ok_or_else(|| ZoneLogError::MissingBase(file.clone()))?;
                 self.history.clear();
-                (self.base, self.base_file, self.tip) = (new.clone(), file, new);
-                self.live = Arc::new(self.tip.clone());
+                self.base = new.clone();
+                self.base_file = file;
+                self.latest = new;
+                self.current = Arc::new(self.latest.clone());
                 return Ok(());
             }
         };
-        self.tip = change.apply(&self.tip)?;
-        self.live = Arc::new(self.tip.clone());
+        self.latest = change.apply(&self.latest)?;
+        self.current = Arc::new(self.latest.clone());
         self.history.push(Arc::new(change));
         Ok(())
     }
@@ -202,9 +205,9 @@
         Snapshot {
             form: FORM,
             base: self.base_file.clone(),
-            overlay: between(&self.base, &self.live),
+            overlay: between(&self.base, &self.current),
             history: self.history.all().map(|change| (**change).clone()).collect(),
-            marks: self.marks.all().collect(),
+            known_updates: self.known_updates.all().collect(),
             leases: self
                 .leases
                 .all()
@@ -214,13 +217,13 @@
     }
 
     /// The version in force.
-    pub fn live(&self) -> &Arc<Zone> {
-        &self.live
+    pub fn current(&self) -> &Arc<Zone> {
+        &self.current
     }
 
     /// The newest version, durable or not.
-    pub fn tip(&self) -> &Zone {
-        &self.tip
+    pub fn latest(&self) -> &Zone {
+        &self.latest
     }
 
     /// The file as last read.
@@ -234,21 +237,21 @@
     }
 
     /// What leads on from a version to the one in force; none where the log does not reach back to it.
-    pub fn since(&self, serial: Serial) -> Option<Vec<Arc<Change>>> {
-        if serial == self.live.serial() {
+    pub fn changes_since(&self, serial: Serial) -> Option<Vec<Arc<Change>>> {
+        if serial == self.current.serial() {
             return Some(Vec::new());
         }
         self.history.since(serial)
     }
 
     /// Whether all accepted steps are durable.
-    pub fn settled(&self) -> bool {
+    pub fn is_durable(&self) -> bool {
         self.waiting.is_empty()
     }
 
     /// Below which number all entries must be durable before an update judged now is answered: what it was
     /// judged by must outlast a restart, also where it changed nothing itself.
-    pub fn answered_at(&self) -> u64 {
+    pub fn answer_after(&self) -> u64 {
         self.waiting.back().map_or(0, |(number, ..)| *number)
     }
 
@@ -284,16 +287,18 @@
         update: &Update,
         grants: &[Grant],
         key: Option<&Name>,
-        mark: Option<UpdateId>,
+        update_id: Option<UpdateId>,
         lease: Option<Span>,
     ) -> UpdateOutcome {
         let lease = lease.map(|asked| self.leases.granted(asked));
-        if let Some(result) = mark.and_then(|mark| self.marks.get(now, &mark, &self.limits)) {
+        if let Some(result) =
+            update_id.and_then(|update_id| self.known_updates.get(now, &update_id, &self.limits))
+        {
             return UpdateOutcome { result, entry: None, lease, repeat: true };
         }
         let judged = match &self.frozen {
             Some(_) => Err(UpdateError::Frozen),
-            None => update.judge(&self.tip, grants, key),
+            None => update.judge(&self.latest, grants, key),
         };
         let judged = judged.and_then(|next| match next {
             Some((zone, _)) if zone.records() > self.limits.records => Err(UpdateError::NotAllowed),
@@ -302,14 +307,14 @@
         let (result, entry) = match judged {
             Err(refusal) => (Err(refusal), None),
             Ok(None) => {
-                let kept = self.freed(update, lease);
-                (Ok(self.tip.serial()), (!kept.is_empty()).then_some(ZoneLogEntry::Kept(kept)))
+                let kept = self.made_permanent(update, lease);
+                (Ok(self.latest.serial()), (!kept.is_empty()).then_some(ZoneLogEntry::Kept(kept)))
             }
             Ok(Some((next, change))) => {
-                let kept = self.freed(update, lease);
-                self.tip = next;
+                let kept = self.made_permanent(update, lease);
+                self.latest = next;
                 let secs = lease.map_or(0, |span| span.secs().round() as u32);
-                (Ok(change.to), Some(ZoneLogEntry::Changed { change, mark, lease: secs, kept }))
+                (Ok(change.to), Some(ZoneLogEntry::Changed { change, update_id, lease: secs, kept }))
             }
         };
         if result.is_ok() {
@@ -318,16 +323,16 @@
                 _ => None,
             });
             let change = entry.as_ref().and_then(ZoneLogEntry::change);
-            self.lease(now, change.into_iter().flat_map(Change::gone), added, lease);
+            self.renew_leases(now, change.into_iter().flat_map(Change::gone), added, lease);
         }
-        if let Some(mark) = mark.filter(|_| result != Err(UpdateError::Frozen)) {
-            self.marks.add(now, mark, result, &self.limits);
+        if let Some(update_id) = update_id.filter(|_| result != Err(UpdateError::Frozen)) {
+            self.known_updates.add(now, update_id, result, &self.limits);
         }
         UpdateOutcome { result, entry, lease, repeat: false }
     }
 
     /// Records that are held and that an update without a lease adds again: they are there for good from then on.
-    fn freed(&self, update: &Update, lease: Option<Span>) -> Vec<LeasedRecord> {
+    fn made_permanent(&self, update: &Update, lease: Option<Span>) -> Vec<LeasedRecord> {
         let of = |edit: &UpdateOperation| match edit {
             UpdateOperation::AddRecord(record) if lease.is_none() && self.leases.holds(record) => {
                 Some((record.name.clone(), record.kind, record.data.clone()))
@@ -338,7 +343,7 @@
     }
 
     /// Holds what was added, and lets go of what was removed.
-    fn lease<'a>(
+    fn renew_leases<'a>(
         &mut self,
         now: Instant,
         gone: impl Iterator<Item = &'a Record>,
@@ -355,35 +360,36 @@
     }
 
     /// Takes out what ran out; none where nothing goes.
-    pub fn lapse(&mut self, now: Instant) -> (Option<ZoneLogEntry>, LeaseExpiry) {
+    pub fn expire_leases(&mut self, now: Instant) -> (Option<ZoneLogEntry>, LeaseExpiry) {
         if self.frozen.is_some() {
             return (None, LeaseExpiry::default());
         }
-        let lapse = self.leases.lapse(now, &self.tip);
+        let lapse = self.leases.lapse(now, &self.latest);
         let edits = lapse
             .gone
             .iter()
             .map(|(name, kind, data)| UpdateOperation::DeleteRecord(name.clone(), *kind, data.clone()));
         let update = Update { needs: Vec::new(), edits: edits.collect() };
-        let next = if update.edits.is_empty() { None } else { update.apply(&self.tip) };
+        let next = if update.edits.is_empty() { None } else { update.apply(&self.latest) };
         let entry = next.map(|(next, change)| {
-            self.tip = next;
-            ZoneLogEntry::Changed { change, mark: None, lease: 0, kept: Vec::new() }
+            self.latest = next;
+            ZoneLogEntry::Changed { change, update_id: None, lease: 0, kept: Vec::new() }
         });
         (entry, lapse)
     }
 
     /// An entry was added to the log; once all below this number are durable, its version is in force.
-    pub fn added(&mut self, up_to: u64, entry: &ZoneLogEntry) {
-        let change = self.based.take().or_else(|| entry.change().map(|change| Arc::new(change.clone())));
-        self.waiting.push_back((up_to, Arc::new(self.tip.clone()), change));
+    pub fn entry_appended(&mut self, up_to: u64, entry: &ZoneLogEntry) {
+        let change =
+            self.reload_change.take().or_else(|| entry.change().map(|change| Arc::new(change.clone())));
+        self.waiting.push_back((up_to, Arc::new(self.latest.clone()), change));
     }
 
     /// All entries below this number are durable; tells whether another version is in force now.
     pub fn durable(&mut self, up_to: u64) -> bool {
         let mut moved = false;
         while let Some((_, zone, change)) = self.waiting.pop_front_if(|(number, ..)| *number <= up_to) {
-            self.live = zone;
+            self.current = zone;
             change.into_iter().for_each(|change| self.history.push(change));
             moved = true;
         }
@@ -391,39 +397,39 @@
     }
 
     /// The log failed: what waits is not durable and never will be, and nothing more is taken.
-    pub fn lost(&mut self, why: String) {
+    pub fn log_failed(&mut self, why: String) {
         self.waiting.clear();
-        self.tip = (*self.live).clone();
+        self.latest = (*self.current).clone();
         self.freeze(FreezeReason::LogFailed(why));
     }
 
     /// What making a new base ready needs.
-    pub fn outline(&self) -> ReloadInput {
-        ReloadInput { base: self.base.clone(), tip: self.tip.clone() }
+    pub fn reload_input(&self) -> ReloadInput {
+        ReloadInput { base: self.base.clone(), latest: self.latest.clone() }
     }
 
     /// Takes a new base over: what was accepted since it was made ready is put on too, and all of it is the next
     /// version. Costs as much as was accepted meanwhile. The versions that are not needed any more come out: to
     /// let go of them may take long.
-    pub fn rebase(
+    pub fn reload(
         &mut self,
         base_file: String,
         ready: PreparedReload,
     ) -> (ZoneLogEntry, Vec<ReloadConflict>, Vec<Zone>) {
         let mut conflicts = ready.conflicts.clone();
-        let retired = vec![self.base.clone(), self.tip.clone(), ready.seen.clone()];
-        let since = if ready.seen.is_same(&self.tip) {
-            Change { from: self.tip.serial(), to: self.tip.serial(), ..Change::default() }
+        let retired = vec![self.base.clone(), self.latest.clone(), ready.seen.clone()];
+        let since = if ready.seen.is_same(&self.latest) {
+            Change { from: self.latest.serial(), to: self.latest.serial(), ..Change::default() }
         } else {
-            between(&ready.seen, &self.tip)
+            between(&ready.seen, &self.latest)
         };
         // Never back, whatever the file says.
-        let serial = serial_after(self.tip.serial(), ready.base.serial());
-        self.put_base(base_file.clone(), ready, since.clone(), serial, &mut conflicts);
+        let serial = serial_after(self.latest.serial(), ready.base.serial());
+        self.install_base(base_file.clone(), ready, since.clone(), serial, &mut conflicts);
         (ZoneLogEntry::Based { base: base_file, serial, since }, conflicts, retired)
     }
 
-    fn put_base(
+    fn install_base(
         &mut self,
         file: String,
         ready: PreparedReload,
@@ -432,36 +438,45 @@
         conflicts: &mut Vec<ReloadConflict>,
     ) {
         let PreparedReload { base, mut merged, change, .. } = ready;
-        put_on(&mut merged, &since, None, conflicts);
+        merge_changes(&mut merged, &since, None, conflicts);
         merged.renumber(serial);
         // Where nothing was accepted meanwhile the change stands as it is; else it is looked at anew, at the
         // names that are touched, of which the apex with its serial always is one.
         let mut touched: BTreeSet<&Name> = since.names().collect();
         touched.insert(merged.apex());
         let same = |record: &Record| !touched.contains(&record.name);
-        let mut whole = between_at(&self.tip, &merged, touched.iter().copied());
+        let mut whole = between_at(&self.latest, &merged, touched.iter().copied());
         whole.removed.extend(change.removed.into_iter().filter(same));
         whole.added.extend(change.added.into_iter().filter(same));
-        (self.base, self.base_file, self.tip) = (base, file, merged);
-        self.based = Some(Arc::new(whole));
+        self.base = base;
+        self.base_file = file;
+        self.latest = merged;
+        self.reload_change = Some(Arc::new(whole));
     }
 
     /// A whole version from the primary is the next one, and the base too.
-    pub fn follow(&mut self, base_file: String, version: Zone, change: Change) -> (ZoneLogEntry, Vec<Zone>) {
-        let retired = vec![self.base.clone(), self.tip.clone()];
-        (self.base, self.base_file, self.tip) = (version.clone(), base_file.clone(), version);
-        self.based = Some(Arc::new(change));
+    pub fn replace_from_primary(
+        &mut self,
+        base_file: String,
+        version: Zone,
+        change: Change,
+    ) -> (ZoneLogEntry, Vec<Zone>) {
+        let retired = vec![self.base.clone(), self.latest.clone()];
+        self.base = version.clone();
+        self.base_file = base_file.clone();
+        self.latest = version;
+        self.reload_change = Some(Arc::new(change));
         (ZoneLogEntry::Followed { base: base_file }, retired)
     }
 
     /// Changes from the primary lead to the next version; the base stays.
-    pub fn follow_changes(&mut self, changes: &[Change]) -> Result<ZoneLogEntry, ChangeError> {
-        let mut next = self.tip.clone();
+    pub fn apply_from_primary(&mut self, changes: &[Change]) -> Result<ZoneLogEntry, ChangeError> {
+        let mut next = self.latest.clone();
         for change in changes {
             next = change.apply(&next)?;
         }
-        let change = between(&self.tip, &next);
-        self.tip = next;
-        Ok(ZoneLogEntry::Changed { change, mark: None, lease: 0, kept: Vec::new() })
+        let change = between(&self.latest, &next);
+        self.latest = next;
+        Ok(ZoneLogEntry::Changed { change, update_id: None, lease: 0, kept: Vec::new() })
     }
 }
--- a/crates/core/zones/src/zone_store/reload.rs
+++ b/crates/core/zones/src/zone_store/reload.rs
@@ -70,13 +70,13 @@
 #[derive(Clone, Debug)]
 pub struct ReloadInput {
     pub(super) base: Zone,
-    pub(super) tip: Zone,
+    pub(super) latest: Zone,
 }
 
 impl ReloadInput {
     /// Makes a new base ready; costs as much as the file is long, so it is done aside. Changes accepted since are
-    /// put on in [`super::ZoneStore::rebase`].
-    pub fn ready(&self, base: Zone) -> Result<PreparedReload, ReloadError> {
+    /// put on in [`super::ZoneStore::reload`].
+    pub fn prepare(&self, base: Zone) -> Result<PreparedReload, ReloadError> {
         let (file, before) = (base.serial(), self.base.serial());
         if file != before && !file.newer_than(before) {
             return Err(ReloadError::Lower { file, before });
@@ -90,16 +90,16 @@
     pub(super) fn merge(&self, base: Zone) -> PreparedReload {
         let mut conflicts = Vec::new();
         let mut merged = base.clone();
-        let overlay = between(&self.base, &self.tip);
-        put_on(&mut merged, &overlay, Some((&self.base, &base)), &mut conflicts);
-        let change = between(&self.tip, &merged);
-        PreparedReload { base, merged, change, seen: self.tip.clone(), conflicts }
+        let overlay = between(&self.base, &self.latest);
+        merge_changes(&mut merged, &overlay, Some((&self.base, &base)), &mut conflicts);
+        let change = between(&self.latest, &merged);
+        PreparedReload { base, merged, change, seen: self.latest.clone(), conflicts }
     }
 }
 
 /// Puts accepted changes on another version. Where the file changed the same set, the accepted change stands,
 /// and the meeting is told.
-pub(super) fn put_on(
+pub(super) fn merge_changes(
     zone: &mut Zone,
     change: &Change,
     bases: Option<(&Zone, &Zone)>,
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -102,7 +102,7 @@
         zone: usize,
         name: String,
         rotation: Rotation,
-        keeper: Box<ZoneStore>,
+        store: Box<ZoneStore>,
     },
     Drop(#[allow(dead_code)] Vec<Zone>),
 }
@@ -440,12 +440,12 @@
 ) -> Result<ZoneState, String> {
     let name = journal_name(zone);
     let (mut journal, found) = WriteAheadLog::open(folder, &name).map_err(|fault| fault.to_string())?;
-    let limits = settings.limits.keeper();
+    let limits = settings.limits.zone_store_limits();
     if let Some(cut) = &found.torn_tail {
         warn!(zone = %zone.apex, file = cut.file, at = cut.offset, octets = cut.length, "an entry that broke off was cut off");
     }
     let mut damage: Vec<String> = found.damage.iter().map(ToString::to_string).collect();
-    let mut keeper = match found.snapshot {
+    let mut store = match found.snapshot {
         None if found.entries.is_empty() => None,
         None => {
             damage.push(format!("{name}: entries without a snapshot"));
@@ -459,15 +459,15 @@
             Some(restored.map_err(|misfit| format!("{name}: {misfit}"))?)
         }
     };
-    if let Some(keeper) = &mut keeper {
+    if let Some(store) = &mut store {
         for entry in &found.entries {
             let entry = decode(entry).map_err(|fault| fault.to_string())?;
-            if let Err(what) = keeper.replay(now, entry, |file| read_base(folder, file)) {
+            if let Err(what) = store.replay(now, entry, |file| read_base(folder, file)) {
                 damage.push(format!("{name}: {what}"));
                 break;
             }
         }
-        info!(zone = %zone.apex, serial = %keeper.live().serial(), entries = found.entries.len(), "taken from its log");
+        info!(zone = %zone.apex, serial = %store.current().serial(), entries = found.entries.len(), "taken from its log");
     } else if let Some(path) = &zone.file {
         let base = read_file(path, zone)?;
         let file = write_base(folder, &name, &base)?;
@@ -475,35 +475,35 @@
         let rotation = journal.rotate();
         WriteAheadLog::write_snapshot(folder, &name, rotation, &encode(&made.snapshot()))
             .map_err(|fault| fault.to_string())?;
-        info!(zone = %zone.apex, serial = %made.live().serial(), records = made.live().records(), "read from its file");
-        keeper = Some(made);
+        info!(zone = %zone.apex, serial = %made.current().serial(), records = made.current().records(), "read from its file");
+        store = Some(made);
     }
     if let Some(what) = damage.first() {
         error!(zone = %zone.apex, what, "the log is damaged: the zone is served as far as it could be read, and frozen");
-        if let Some(keeper) = &mut keeper {
-            keeper.freeze(FreezeReason::LogFailed(what.clone()));
+        if let Some(store) = &mut store {
+            store.freeze(FreezeReason::LogFailed(what.clone()));
         }
     }
     let follows = !zone.primaries.is_empty();
     if follows {
-        if let Some(keeper) = &mut keeper {
-            keeper.freeze(FreezeReason::Secondary);
+        if let Some(store) = &mut store {
+            store.freeze(FreezeReason::Secondary);
         }
     }
-    let soa = keeper.as_ref().and_then(|keeper| keeper.live().soa());
+    let soa = store.as_ref().and_then(|store| store.current().soa());
     let times = settings.limits.times();
     let seed = || rand::rng().random();
     let follower = follows.then(|| SecondaryZone::new(now, zone.primaries.len(), soa, times, seed()));
     let notices = NotifySender::new(zone.notify.len(), times, seed());
-    Ok(ZoneState::new(zone.clone(), keeper, journal, follower, notices))
+    Ok(ZoneState::new(zone.clone(), store, journal, follower, notices))
 }
 
 fn do_aside(state: &Path, todo: Aside, ear: &Ear) {
     match todo {
         Aside::Drop(versions) => drop(versions),
-        Aside::Snapshot { zone, name, rotation, keeper } => {
+        Aside::Snapshot { zone, name, rotation, store } => {
             let done = folder(state).and_then(|mut folder| {
-                let octets = encode(&keeper.snapshot());
+                let octets = encode(&store.snapshot());
                 WriteAheadLog::write_snapshot(&mut folder, &name, rotation, &octets)
                     .map_err(|fault| fault.to_string())?;
                 clean_bases(state, &mut folder, &name);
@@ -514,7 +514,7 @@
         Aside::Reread { zone, settings, outline, answer } => {
             let path = settings.file.clone().unwrap_or_default();
             let done = read_file(&path, &settings).and_then(|base| {
-                let ready = outline.ready(base).map_err(|stale| format!("{}: {stale}", path.display()))?;
+                let ready = outline.prepare(base).map_err(|stale| format!("{}: {stale}", path.display()))?;
                 let file = write_base(&mut folder(state)?, &journal_name(&settings), &ready.base)?;
                 Ok((file, Box::new(ready)))
             });
@@ -692,7 +692,7 @@
             Body::Update { .. } => stage::UPDATE,
             Body::Transfer(_) if !udp => stage::TRANSFER,
             Body::Notify(_) => stage::NOTIFY,
-            _ if self.shares.beyond(now, prefix(from.ip())) => {
+            _ if self.shares.exceeds_share(now, prefix(from.ip())) => {
                 self.beyond += 1;
                 stage::BEYOND
             }
@@ -792,9 +792,9 @@
     }
 
     fn rotate(&mut self, zone: usize, asked: bool) {
-        if let Some((rotation, keeper)) = self.serving.rotate(zone, asked) {
+        if let Some((rotation, store)) = self.serving.rotate(zone, asked) {
             let name = journal_name(&self.serving.zones[zone].settings);
-            let _ = self.aside.send(Aside::Snapshot { zone, name, rotation, keeper: Box::new(keeper) });
+            let _ = self.aside.send(Aside::Snapshot { zone, name, rotation, store: Box::new(store) });
         }
     }
 
@@ -806,19 +806,17 @@
         let unknown = || control::error("no such zone");
         let said = match verb {
             Verb::Status => self.counters(),
-            Verb::Freeze(zone) => {
-                match zone_of(&zone).and_then(|at| self.serving.zones[at].keeper.as_mut()) {
-                    Some(keeper) => {
-                        keeper.freeze(FreezeReason::Operator);
-                        "{\"frozen\":true}".to_owned()
-                    }
-                    None => unknown(),
+            Verb::Freeze(zone) => match zone_of(&zone).and_then(|at| self.serving.zones[at].store.as_mut()) {
+                Some(store) => {
+                    store.freeze(FreezeReason::Operator);
+                    "{\"frozen\":true}".to_owned()
                 }
-            }
-            Verb::Thaw(zone) => match zone_of(&zone).and_then(|at| self.serving.zones[at].keeper.as_mut()) {
-                Some(keeper) => match keeper.thaw() {
+                None => unknown(),
+            },
+            Verb::Thaw(zone) => match zone_of(&zone).and_then(|at| self.serving.zones[at].store.as_mut()) {
+                Some(store) => match store.thaw() {
                     true => "{\"frozen\":false}".to_owned(),
-                    false => control::error(&keeper.frozen().map_or(String::new(), ToString::to_string)),
+                    false => control::error(&store.frozen().map_or(String::new(), ToString::to_string)),
                 },
                 None => unknown(),
             },
@@ -843,17 +841,17 @@
 
     fn reread(&mut self, at: usize, answer: Option<Sender<String>>) -> Result<(), &'static str> {
         let zone = &mut self.serving.zones[at];
-        let (Some(keeper), Some(_)) = (&zone.keeper, &zone.settings.file) else {
+        let (Some(store), Some(_)) = (&zone.store, &zone.settings.file) else {
             return Err("the zone has no file");
         };
         if zone.reading {
             return Err("the file is being read already");
         }
-        if matches!(keeper.frozen(), Some(FreezeReason::LogFailed(_))) {
+        if matches!(store.frozen(), Some(FreezeReason::LogFailed(_))) {
             return Err("the zone's log failed");
         }
         zone.reading = true;
-        let (settings, outline) = (Box::new(zone.settings.clone()), Box::new(keeper.outline()));
+        let (settings, outline) = (Box::new(zone.settings.clone()), Box::new(store.reload_input()));
         let _ = self.aside.send(Aside::Reread { zone: at, settings, outline, answer });
         Ok(())
     }
@@ -872,7 +870,7 @@
                 self.notify(at);
                 let zone = &self.serving.zones[at];
                 let next = [
-                    zone.keeper.as_ref().filter(|k| k.frozen().is_none()).and_then(|k| k.leases().next()),
+                    zone.store.as_ref().filter(|k| k.frozen().is_none()).and_then(|k| k.leases().next()),
                     zone.follower.as_ref().map(SecondaryZone::next_due),
                     zone.notices.next_due(),
                 ];
@@ -905,7 +903,7 @@
         };
         let (apex, ear, state) = (settings.apex.clone(), self.ear.clone(), self.settings.state.clone());
         let (name, most) = (journal_name(settings), self.settings.limits.records);
-        let have = zone.keeper.as_ref().map(|keeper| keeper.live().clone());
+        let have = zone.store.as_ref().map(|store| store.current().clone());
         let id = rand::rng().random();
         std::thread::spawn(move || {
             let Some(from) = from else {
@@ -951,7 +949,7 @@
                 fits
             }
             Followed::Whole(file, zone, change) => {
-                let first = self.serving.zones[at].keeper.is_none();
+                let first = self.serving.zones[at].store.is_none();
                 let limits = self.settings.limits;
                 let retired = self.serving.follow(at, file, *zone, *change, &limits);
                 let _ = self.aside.send(Aside::Drop(retired));
@@ -963,8 +961,8 @@
             }
         };
         let zone = &mut self.serving.zones[at];
-        if let (true, Some(follower), Some(keeper)) = (brought, &mut zone.follower, &zone.keeper) {
-            if let Some(soa) = keeper.tip().soa() {
+        if let (true, Some(follower), Some(store)) = (brought, &mut zone.follower, &zone.store) {
+            if let Some(soa) = store.latest().soa() {
                 info!(zone = %zone.settings.apex, serial = %soa.serial, "followed its primary");
                 follower.took(now, soa);
             }
@@ -974,8 +972,8 @@
 
     fn first_snapshot(&mut self, at: usize) {
         let zone = &mut self.serving.zones[at];
-        let Some(keeper) = &zone.keeper else { return };
-        let (name, octets) = (journal_name(&zone.settings), encode(&keeper.snapshot()));
+        let Some(store) = &zone.store else { return };
+        let (name, octets) = (journal_name(&zone.settings), encode(&store.snapshot()));
         let rotation = Rotation { generation: 0, first_entry: 0 };
         let done = folder(&self.settings.state).and_then(|mut folder| {
             WriteAheadLog::write_snapshot(&mut folder, &name, rotation, &octets)
@@ -991,7 +989,7 @@
         let now = self.serving.now;
         let zone = &mut self.serving.zones[at];
         let due = zone.notices.due(now);
-        let soa = zone.keeper.as_ref().and_then(|keeper| keeper.live().soa_record());
+        let soa = zone.store.as_ref().and_then(|store| store.current().soa_record());
         let Some(soa) = soa else { return };
         for (target, serial) in due {
             let (ear, soa, apex) = (self.ear.clone(), soa.clone(), zone.settings.apex.clone());
@@ -1050,17 +1048,17 @@
 
 fn zone_status(zone: &ZoneState) -> String {
     let apex = &zone.settings.apex;
-    let Some(keeper) = &zone.keeper else { return format!("{{\"apex\":\"{apex}\",\"serial\":null}}") };
-    let live = keeper.live();
-    let frozen = keeper.frozen().map_or(String::new(), |why| why.to_string().replace('"', "'"));
+    let Some(store) = &zone.store else { return format!("{{\"apex\":\"{apex}\",\"serial\":null}}") };
+    let live = store.current();
+    let frozen = store.frozen().map_or(String::new(), |why| why.to_string().replace('"', "'"));
     format!(
         "{{\"apex\":\"{apex}\",\"serial\":{},\"records\":{},\"names\":{},\"leases\":{},\"suspect\":{},\
          \"log_octets\":{},\"frozen\":\"{frozen}\",\"served\":{}}}",
         live.serial(),
         live.records(),
         live.names(),
-        keeper.leases().len(),
-        keeper.leases().suspect().is_some(),
+        store.leases().len(),
+        store.leases().suspect().is_some(),
         zone.journal.bytes_since_snapshot(),
         zone.served().is_some(),
     )
--- a/crates/frontends/dns/src/serving.rs
+++ b/crates/frontends/dns/src/serving.rs
@@ -90,7 +90,7 @@
     /// Its settings.
     pub settings: settings::Zone,
     /// Its versions; none before a secondary has one.
-    pub keeper: Option<ZoneStore>,
+    pub store: Option<ZoneStore>,
     /// Its log.
     pub journal: WriteAheadLog,
     /// Where it follows primaries.
@@ -113,7 +113,7 @@
     /// A zone as it was found.
     pub fn new(
         settings: settings::Zone,
-        keeper: Option<ZoneStore>,
+        store: Option<ZoneStore>,
         journal: WriteAheadLog,
         follower: Option<SecondaryZone>,
         notices: NotifySender,
@@ -121,7 +121,7 @@
         let durable = journal.next_number();
         Self {
             settings,
-            keeper,
+            store,
             journal,
             follower,
             notices,
@@ -137,14 +137,14 @@
     /// The version that answers come from; none where it may not be served.
     pub fn served(&self) -> Option<&Arc<Zone>> {
         let fit = self.follower.as_ref().is_none_or(SecondaryZone::serves);
-        self.keeper.as_ref().filter(|_| fit).map(ZoneStore::live)
+        self.store.as_ref().filter(|_| fit).map(ZoneStore::current)
     }
 
     /// Puts an entry on the log.
     fn log(&mut self, entry: &ZoneLogEntry) {
         let number = self.journal.append(&encode(entry));
-        if let Some(keeper) = &mut self.keeper {
-            keeper.added(number + 1, entry);
+        if let Some(store) = &mut self.store {
+            store.entry_appended(number + 1, entry);
         }
     }
 }
@@ -319,7 +319,7 @@
             zone.deferred.push_back((task, number));
             return;
         }
-        let Some(keeper) = &mut zone.keeper else {
+        let Some(store) = &mut zone.store else {
             return self.answer_update(task, number, ask, Err(Code::FAIL), None);
         };
         if zone.settings.grants.is_empty() || ask.key().is_none() {
@@ -333,11 +333,11 @@
         };
         let lease = ask.asked.edns.as_ref().and_then(|edns| edns.lease);
         let lease = lease.filter(|secs| *secs > 0).map(|secs| Span::from_secs(f64::from(secs)));
-        let taken = keeper.update(now, &update, &zone.settings.grants, ask.key(), Some(*mark), lease);
+        let taken = store.update(now, &update, &zone.settings.grants, ask.key(), Some(*mark), lease);
         if let Some(entry) = &taken.entry {
             zone.log(entry);
         }
-        let up_to = zone.keeper.as_ref().map_or(0, ZoneStore::answered_at);
+        let up_to = zone.store.as_ref().map_or(0, ZoneStore::answer_after);
         let lease = taken.lease.filter(|_| taken.result.is_ok());
         zone.pending.push_back(Pending { task, number, up_to, result: taken.result, lease });
         self.counts.repeats += u64::from(taken.repeat);
@@ -384,10 +384,10 @@
     pub fn durable(&mut self, at: usize, up_to: u64) -> bool {
         let (now, zone) = (self.now, &mut self.zones[at]);
         zone.durable = zone.durable.max(up_to);
-        let moved = zone.keeper.as_mut().is_some_and(|keeper| keeper.durable(up_to));
+        let moved = zone.store.as_mut().is_some_and(|store| store.durable(up_to));
         if moved {
             self.counts.versions += 1;
-            if let Some(serial) = zone.keeper.as_ref().map(|keeper| keeper.live().serial()) {
+            if let Some(serial) = zone.store.as_ref().map(|store| store.current().serial()) {
                 zone.notices.wanted(now, serial);
             }
         }
@@ -397,12 +397,12 @@
     /// A zone's log failed: nothing that waits for it will be durable, and it takes nothing more.
     pub fn log_failed(&mut self, at: usize, why: &str) {
         let zone = &mut self.zones[at];
-        if matches!(zone.keeper.as_ref().and_then(ZoneStore::frozen), Some(FreezeReason::LogFailed(_))) {
+        if matches!(zone.store.as_ref().and_then(ZoneStore::frozen), Some(FreezeReason::LogFailed(_))) {
             return;
         }
         error!(zone = %zone.settings.apex, why, "the log failed; the zone takes no updates and serves what it has");
-        if let Some(keeper) = &mut zone.keeper {
-            keeper.lost(why.to_owned());
+        if let Some(store) = &mut zone.store {
+            store.log_failed(why.to_owned());
         }
         // They may be on the disk or not: nobody can promise either.
         for Pending { task, number, .. } in zone.pending.drain(..) {
@@ -422,7 +422,7 @@
     pub fn rotate(&mut self, at: usize, asked: bool) -> Option<(Rotation, ZoneStore)> {
         let (log_most, zone) = (self.log_most, &mut self.zones[at]);
         zone.rotate |= !zone.snapshotting && (asked || zone.journal.bytes_since_snapshot() > log_most);
-        let keeper = zone.keeper.as_ref().filter(|keeper| keeper.settled())?.clone();
+        let store = zone.store.as_ref().filter(|store| store.is_durable())?.clone();
         if !zone.rotate || zone.durable < zone.journal.next_number() {
             return None;
         }
@@ -434,7 +434,7 @@
                 self.update(task, number, &ask);
             }
         }
-        Some((rotation, keeper))
+        Some((rotation, store))
     }
 
     /// Takes out what ran out of its lease.
@@ -443,8 +443,8 @@
         if zone.rotate {
             return;
         }
-        let Some(keeper) = &mut zone.keeper else { return };
-        let (entry, lapse) = keeper.lapse(now);
+        let Some(store) = &mut zone.store else { return };
+        let (entry, lapse) = store.expire_leases(now);
         let apex = &zone.settings.apex;
         match lapse.turned {
             Some(true) => warn!(%apex, "many leases ran out together: the path is suspect, all names stay"),
@@ -463,8 +463,8 @@
     /// Takes a file over that was read again. Versions that are not needed any more come out.
     pub fn rebase(&mut self, at: usize, file: String, ready: PreparedReload) -> Vec<Zone> {
         let zone = &mut self.zones[at];
-        let Some(keeper) = &mut zone.keeper else { return Vec::new() };
-        let (entry, conflicts, retired) = keeper.rebase(file, ready);
+        let Some(store) = &mut zone.store else { return Vec::new() };
+        let (entry, conflicts, retired) = store.reload(file, ready);
         for conflict in conflicts {
             warn!(zone = %zone.settings.apex, "file and updates meet: {conflict}");
         }
@@ -482,16 +482,16 @@
         limits: &settings::Limits,
     ) -> Vec<Zone> {
         let zone = &mut self.zones[at];
-        match &mut zone.keeper {
-            Some(keeper) => {
-                let (entry, retired) = keeper.follow(file, version, change);
+        match &mut zone.store {
+            Some(store) => {
+                let (entry, retired) = store.replace_from_primary(file, version, change);
                 zone.log(&entry);
                 retired
             }
             None => {
-                let mut keeper = ZoneStore::new(version, file.clone(), limits.keeper());
-                keeper.freeze(FreezeReason::Secondary);
-                zone.keeper = Some(keeper);
+                let mut store = ZoneStore::new(version, file.clone(), limits.zone_store_limits());
+                store.freeze(FreezeReason::Secondary);
+                zone.store = Some(store);
                 zone.log(&ZoneLogEntry::Followed { base: file });
                 Vec::new()
             }
@@ -501,8 +501,8 @@
     /// Takes changes from a primary over; false where they don't fit.
     pub fn follow_changes(&mut self, at: usize, changes: &[Change]) -> bool {
         let zone = &mut self.zones[at];
-        let Some(keeper) = &mut zone.keeper else { return false };
-        match keeper.follow_changes(changes) {
+        let Some(store) = &mut zone.store else { return false };
+        match store.apply_from_primary(changes) {
             Ok(entry) => {
                 zone.log(&entry);
                 true
@@ -583,7 +583,7 @@
                 let version = zone.and_then(|zone| Some((zone, zone.served()?.clone())));
                 // Expired since it was let in: told that it failed, not tried again and again.
                 let Some((zone, version)) = version else { return self.fail(task, number) };
-                let changes = from.and_then(|from| zone.keeper.as_ref()?.since(from));
+                let changes = from.and_then(|from| zone.store.as_ref()?.changes_since(from));
                 let from = *from;
                 let writer = codec::Transfer::new(&work.asked, version, from, changes, work.signer.clone());
                 work.streaming.store(true, Ordering::Relaxed);
--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -432,10 +432,10 @@
     }
 
     /// What a zone's keeper is held to.
-    pub fn keeper(&self) -> zone_store::ZoneStoreLimits {
+    pub fn zone_store_limits(&self) -> zone_store::ZoneStoreLimits {
         let mut limits = zone_store::ZoneStoreLimits {
             history: self.history,
-            marks_for: Span::from_secs(self.repeats_s as f64),
+            deduplication_window: Span::from_secs(self.repeats_s as f64),
             records: self.records,
             ..zone_store::ZoneStoreLimits::default()
         };
--- a/crates/testing/benchmarks/src/names.rs
+++ b/crates/testing/benchmarks/src/names.rs
@@ -282,7 +282,7 @@
     let _ = writeln!(
         out,
         "| sketch, 4 rows of 4,096 | {} | {counting:.0} | {mean:.0}, {worst:.0} |",
-        sketch.octets() / 1024
+        sketch.memory_bytes() / 1024
     );
     let _ = writeln!(
         out,
