--- a/crates/frontends/stream/src/front.rs
+++ b/crates/frontends/stream/src/front.rs
@@ -5,7 +5,7 @@
     BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, ParsedHead, RequestHead, MAX_HEAD_BYTES,
 };
 use crate::owner::{Entering, Moved, Owner, Rooms, Ticket};
-use crate::proxied_request::{Fault, Relay};
+use crate::proxied_request::{ProxiedRequest, ProxyError};
 use crate::settings::Checked;
 use crate::upload_archive::{PendingOperation, UploadArchive};
 use lynxtally::Span;
@@ -101,7 +101,7 @@
 }
 
 struct Inner {
-    relay: Relay,
+    relay: ProxiedRequest,
     source: Option<Source>,
     /// What came from the client and is not used yet.
     left: Vec<u8>,
@@ -384,7 +384,7 @@
             if stage_settings.effect == lynxtally::Effect::Deduplicated && mark.is_none() {
                 return Err(MessageError::InvalidField("Idempotency-Key"));
             }
-            Ok((stage, Relay::new(asked, stage_settings.plan.clone())?))
+            Ok((stage, ProxiedRequest::new(asked, stage_settings.plan.clone())?))
         });
         let (stage, relay) = match made {
             Ok(made) => made,
@@ -410,7 +410,7 @@
         self: &Arc<Self>,
         socket: &Arc<Socket>,
         ticket: &Arc<Ticket>,
-        relay: Relay,
+        relay: ProxiedRequest,
         source: Option<Source>,
         told: Option<u64>,
         came: &mut Vec<u8>,
@@ -438,7 +438,7 @@
         let mut begun = false;
         let over = loop {
             if ticket.running() && !std::mem::replace(&mut begun, true) {
-                lock(&exchange.inner).relay.let_in();
+                lock(&exchange.inner).relay.on_admitted();
                 self.ascend(&exchange, told);
             }
             self.hear(&exchange);
@@ -458,16 +458,18 @@
     /// A stream is over for its client: the owner hears of it, and the upstream is let go.
     fn close(&self, exchange: &Arc<Exchange>, over: Over, came: &mut Vec<u8>) -> Next {
         let mut inner = lock(&exchange.inner);
-        let (last, whole) = (inner.relay.last(), inner.relay.up.is_complete());
+        let (last, whole) = (inner.relay.closes_connection(), inner.relay.request_body.is_complete());
         let ticket = &exchange.ticket;
-        if let Some(upstream) = inner.upstream.take().filter(|_| !whole || !inner.relay.answer_whole()) {
+        if let Some(upstream) =
+            inner.upstream.take().filter(|_| !whole || !inner.relay.is_response_complete())
+        {
             // What is cut must not look whole.
             upstream.reset_on_close();
         }
-        let well = inner.relay.reply().map(|reply| reply.status < 500);
-        let answered = well.is_some() && inner.relay.answer_whole();
+        let well = inner.relay.response().map(|reply| reply.status < 500);
+        let answered = well.is_some() && inner.relay.is_response_complete();
         let effect = lock(&self.owner).effect(ticket);
-        let copy = inner.relay.copy();
+        let copy = inner.relay.take_response_copy();
         *came = std::mem::take(&mut inner.left);
         let next = match over {
             Over::Answered if last || inner.pipelined || inner.client_ended => None,
@@ -517,7 +519,7 @@
         }
         let own = match answer {
             FinalResponse::Completed(octets) if !octets.is_empty() => {
-                inner.relay.replay(&octets);
+                inner.relay.replay_response(&octets);
                 return;
             }
             FinalResponse::Rejected { retry_after: hold_off, .. } => {
@@ -533,26 +535,26 @@
                 None => LocalResponse::new(504, "not done in time"),
             },
         };
-        if !inner.relay.answer(&own) {
+        if !inner.relay.respond_locally(&own) {
             inner.over = Some(Over::Cut);
         }
     }
 
     /// A fault within a stream: the client's is answered, or cuts; the upstream's is judged elsewhere.
-    fn fault(&self, inner: &mut Inner, fault: Fault) {
+    fn fault(&self, inner: &mut Inner, fault: ProxyError) {
         match fault {
-            Fault::Client(bad) => {
-                if !inner.relay.answer(&LocalResponse::from_error(bad)) {
+            ProxyError::Client(bad) => {
+                if !inner.relay.respond_locally(&LocalResponse::from_error(bad)) {
                     inner.over = Some(Over::Cut);
                 }
                 // The client's framing is lost: nothing after this can be understood.
                 inner.client_ended = true;
             }
-            Fault::Upstream(bad) => {
+            ProxyError::Upstream(bad) => {
                 debug!(%bad, "an upstream's answer can't be read");
                 (inner.failed, inner.up_ended) = (Some(CloseReason::Malformed), true);
             }
-            Fault::Changed(changed) => {
+            ProxyError::ObjectChanged(changed) => {
                 debug!(?changed, "the rest of a download is of another object");
                 (inner.failed, inner.up_ended) = (Some(CloseReason::AddressChanged), true);
             }
@@ -566,7 +568,7 @@
         if inner.over.is_some() {
             return Pumped::Over;
         }
-        if !exchange.ticket.running() && !inner.relay.begun() {
+        if !exchange.ticket.running() && !inner.relay.has_response_begun() {
             if exchange.client.is_broken() {
                 inner.over = Some(Over::Gone(CloseReason::Reset));
                 return Pumped::Over;
@@ -579,35 +581,36 @@
         let mut scratch = lock(&self.scratch);
         let mut again = true;
         while again && inner.over.is_none() && budget > 0 {
-            let before = inner.relay.to_client().len();
+            let before = inner.relay.client_output().len();
             let mut step = self.go_up(exchange, inner, rooms, &mut scratch, &mut moved);
             step += self.go_down(exchange, inner, rooms, &mut scratch, &mut moved);
             // What was added without anything having moved has to be offered to the client still.
-            again = step > 0 || inner.relay.to_client().len() > before;
-            if inner.relay.done() {
+            again = step > 0 || inner.relay.client_output().len() > before;
+            if inner.relay.is_done() {
                 // What the client sends from now on is its next message.
                 break;
             }
             budget = budget.saturating_sub(step);
         }
         drop(scratch);
-        if inner.over.is_none() && inner.relay.done() {
+        if inner.over.is_none() && inner.relay.is_done() {
             inner.over = Some(Over::Answered);
         }
-        moved.up_held = inner.relay.up.buffered_bytes() + inner.left.len() as u64;
-        moved.down_held = inner.relay.held_down();
-        moved.waits_client = inner.relay.wants_client() && moved.up_held < rooms.up && !inner.client_ended;
+        moved.up_held = inner.relay.request_body.buffered_bytes() + inner.left.len() as u64;
+        moved.down_held = inner.relay.buffered_response_bytes();
+        moved.waits_client =
+            inner.relay.wants_request_body() && moved.up_held < rooms.up && !inner.client_ended;
         let credit = rooms.credit.is_none_or(|credit| credit > moved.down_took);
-        moved.more = !credit && !inner.relay.to_client().is_empty();
+        moved.more = !credit && !inner.relay.client_output().is_empty();
         let mut owner = lock(&self.owner);
         let now = self.clock.now();
         owner.moved(now, &exchange.ticket, moved);
-        if inner.relay.up.kept_copy().is_some_and(|kept| kept.len() as u64 > inner.kept) {
-            let kept = inner.relay.up.kept_copy().map_or(0, <[u8]>::len) as u64;
+        if inner.relay.request_body.kept_copy().is_some_and(|kept| kept.len() as u64 > inner.kept) {
+            let kept = inner.relay.request_body.kept_copy().map_or(0, <[u8]>::len) as u64;
             if owner.keep(&exchange.ticket, kept - inner.kept) {
                 inner.kept = kept;
             } else {
-                inner.relay.up.drop_copy();
+                inner.relay.request_body.drop_copy();
             }
         }
         drop(owner);
@@ -642,9 +645,9 @@
         let mut step = 0;
         let upstream = inner.upstream.clone().filter(|_| !inner.up_closed);
         if let Some(upstream) = &upstream {
-            match upstream.write(inner.relay.up.out.front()) {
+            match upstream.write(inner.relay.request_body.out.front()) {
                 Ok(octets) => {
-                    inner.relay.up.out.consume(octets);
+                    inner.relay.request_body.out.consume(octets);
                     inner.sent(octets);
                     moved.up_took += octets as u64;
                     step += octets;
@@ -655,23 +658,26 @@
         }
         // An upstream that takes no more and was sent something gets no more of this body; the rest is read and dropped.
         // One that was sent nothing may be replaced by another, which is to get all of it: what waits is not dropped.
-        let deaf = inner.up_closed && (inner.sent_up > 0 || inner.relay.begun());
-        let dumb = deaf || inner.relay.refused();
-        if dumb && !inner.relay.up.out.is_empty() {
-            let octets = inner.relay.up.out.len();
-            inner.relay.up.out.consume(octets);
-        }
-        let held = inner.relay.up.buffered_bytes();
-        let room = if inner.relay.refused() { WATCH as u64 } else { rooms.up.saturating_sub(held + FRAMING) }
-            as usize;
+        let deaf = inner.up_closed && (inner.sent_up > 0 || inner.relay.has_response_begun());
+        let dumb = deaf || inner.relay.is_body_refused();
+        if dumb && !inner.relay.request_body.out.is_empty() {
+            let octets = inner.relay.request_body.out.len();
+            inner.relay.request_body.out.consume(octets);
+        }
+        let held = inner.relay.request_body.buffered_bytes();
+        let room = if inner.relay.is_body_refused() {
+            WATCH as u64
+        } else {
+            rooms.up.saturating_sub(held + FRAMING)
+        } as usize;
         if inner.client_ended || exchange.ticket.answered() {
             return step;
         }
-        if inner.relay.up.has_undecoded() {
+        if inner.relay.request_body.has_undecoded() {
             if room > 0 {
-                let before = inner.relay.up.buffered_bytes();
-                match inner.relay.go_on_up(room) {
-                    Ok(()) => step += usize::from(inner.relay.up.buffered_bytes() != before),
+                let before = inner.relay.request_body.buffered_bytes();
+                match inner.relay.decode_more_request_body(room) {
+                    Ok(()) => step += usize::from(inner.relay.request_body.buffered_bytes() != before),
                     Err(fault) => self.fault(inner, fault),
                 }
             }
@@ -680,7 +686,7 @@
         if inner.source.is_some() {
             return step + self.draw(exchange, inner, room);
         }
-        if inner.relay.wants_client() {
+        if inner.relay.wants_request_body() {
             if room == 0 {
                 return step;
             }
@@ -707,14 +713,14 @@
             moved.came += octets as u64;
             step += octets;
             let mut at = 0;
-            let straight = inner.relay.up.passthrough_length(octets);
+            let straight = inner.relay.request_body.passthrough_length(octets);
             if let Some(upstream) = upstream.filter(|_| straight > 0 && !dumb) {
                 match upstream.write(&scratch[..straight]) {
                     Ok(written) => {
                         at = written;
                         inner.sent(written);
                         moved.up_took += written as u64;
-                        if let Err(fault) = inner.relay.passed_up(written) {
+                        if let Err(fault) = inner.relay.record_request_passthrough(written) {
                             self.fault(inner, fault);
                         }
                     }
@@ -722,7 +728,7 @@
                 }
             }
             if at < octets {
-                match inner.relay.from_client(&scratch[at..octets], room) {
+                match inner.relay.receive_request_body(&scratch[at..octets], room) {
                     Ok(used) if at + used < octets => {
                         // Past the body's end: the next message came before this one was answered.
                         let rest = scratch[at + used..octets].to_vec();
@@ -759,7 +765,8 @@
         if exchange.client.is_broken() {
             inner.over = Some(Over::Gone(CloseReason::Reset));
         }
-        let Some(source) = inner.source.as_mut().filter(|_| room > 0 && inner.relay.wants_client()) else {
+        let Some(source) = inner.source.as_mut().filter(|_| room > 0 && inner.relay.wants_request_body())
+        else {
             return 0;
         };
         if let Some(done) = source.awaited.as_ref().and_then(PendingOperation::take) {
@@ -787,7 +794,7 @@
         }
         let rest = source.ready.split_off(room.min(source.ready.len()));
         let octets = std::mem::replace(&mut source.ready, rest);
-        match inner.relay.from_client(&octets, room) {
+        match inner.relay.receive_request_body(&octets, room) {
             Ok(_) => octets.len(),
             Err(fault) => {
                 self.fault(inner, fault);
@@ -810,12 +817,12 @@
             Some(credit) => credit.saturating_sub(moved.down_took) as usize,
             None => usize::MAX,
         };
-        let waiting = inner.relay.to_client();
+        let waiting = inner.relay.client_output();
         let length = waiting.len().min(credit(moved));
         if length > 0 {
             match exchange.client.write(&waiting[..length]) {
                 Ok(octets) => {
-                    inner.relay.sent_down(octets);
+                    inner.relay.consume_client_output(octets);
                     moved.down_took += octets as u64;
                     step += octets;
                 }
@@ -826,11 +833,11 @@
             }
         }
         let Some(upstream) =
-            inner.upstream.clone().filter(|_| !inner.up_ended && !inner.relay.answer_whole())
+            inner.upstream.clone().filter(|_| !inner.up_ended && !inner.relay.is_response_complete())
         else {
             return step;
         };
-        let room = rooms.down.saturating_sub(inner.relay.held_down() + FRAMING) as usize;
+        let room = rooms.down.saturating_sub(inner.relay.buffered_response_bytes() + FRAMING) as usize;
         if room == 0 {
             return step;
         }
@@ -839,13 +846,13 @@
             Ok(ReadOutcome::Bytes(octets)) => {
                 step += octets;
                 let mut at = 0;
-                let straight = inner.relay.straight_down(octets).min(credit(moved));
+                let straight = inner.relay.response_passthrough_length(octets).min(credit(moved));
                 if straight > 0 {
                     match exchange.client.write(&scratch[..straight]) {
                         Ok(written) => {
                             at = written;
                             moved.down_took += written as u64;
-                            if let Err(fault) = inner.relay.passed_down(written) {
+                            if let Err(fault) = inner.relay.record_response_passthrough(written) {
                                 self.fault(inner, fault);
                             }
                         }
@@ -856,15 +863,15 @@
                     }
                 }
                 if at < octets {
-                    inner.relay.from_upstream(&scratch[at..octets], room)
+                    inner.relay.receive_response(&scratch[at..octets], room)
                 } else {
                     Ok(())
                 }
             }
-            Ok(ReadOutcome::WouldBlock) => inner.relay.flush_down(),
+            Ok(ReadOutcome::WouldBlock) => inner.relay.flush_response(),
             Ok(ReadOutcome::EndOfStream) => {
                 inner.up_ended = true;
-                inner.relay.upstream_ended().map(|whole| {
+                inner.relay.end_of_response().map(|whole| {
                     inner.failed = (!whole).then_some(CloseReason::Truncated);
                 })
             }
@@ -931,23 +938,23 @@
                 return;
             }
             (inner.upstream, inner.failed) = (None, Some(end));
-            if inner.relay.begun() {
+            if inner.relay.has_response_begun() {
                 let piece = inner
                     .relay
-                    .piece()
+                    .resumable_download()
                     .filter(|_| end != CloseReason::AddressChanged && end != CloseReason::Malformed);
                 let may = piece.filter(|_| lock(&self.owner).may_go_on(self.clock.now(), &not));
-                let Some((piece, _)) = may else {
+                let Some(piece) = may else {
                     drop(inner);
                     return self.fall(exchange);
                 };
                 inner.renew_connection();
-                inner.relay.ask_rest(piece);
+                inner.relay.request_rest(piece);
             } else {
                 let sent = Sent {
                     octets: inner.sent_up,
                     head: inner.sent_up > 0,
-                    held: inner.relay.held(),
+                    held: inner.relay.can_resend_body(),
                     answered: false,
                 };
                 if !lock(&self.owner).may_repeat(self.clock.now(), ticket, &not, sent) {
@@ -956,7 +963,7 @@
                 }
                 inner.renew_connection();
                 if sent.octets > 0 {
-                    inner.relay.again();
+                    inner.relay.resend();
                 }
             }
         }
@@ -965,7 +972,7 @@
     /// No upstream is left to try: the stream ends, as one that never ran where nothing went up.
     fn fall(&self, exchange: &Exchange) {
         let inner = lock(&exchange.inner);
-        let untouched = !inner.ever_sent && !inner.relay.begun();
+        let untouched = !inner.ever_sent && !inner.relay.has_response_begun();
         drop(inner);
         let end = if untouched { RunEnd::Unavailable(Span::from_secs(1.0)) } else { RunEnd::Failed };
         self.with(|owner, now| owner.ended(now, &exchange.ticket, end));
--- a/crates/frontends/stream/src/settings.rs
+++ b/crates/frontends/stream/src/settings.rs
@@ -1,7 +1,7 @@
 //! What a stream server is told: decoded, checked and given defaults here and nowhere else.
 
 use crate::http::{MessageError, RequestHead};
-use crate::proxied_request::Plan;
+use crate::proxied_request::ForwardingSettings;
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
 use lynxtally_flow::coding::{Coding, Growth};
 use lynxtally_flow::uploads::UploadLimits;
@@ -259,7 +259,7 @@
     /// Whether uploads can be gone on with.
     pub resumable: bool,
     /// What its streams are given.
-    pub plan: Plan,
+    pub plan: ForwardingSettings,
 }
 
 /// All settings, checked.
@@ -529,13 +529,13 @@
             effect,
             utility: self.utility,
             resumable: self.resumable,
-            plan: Plan {
-                body_most: self.body_mb << 20,
-                takes: takes.to_vec(),
-                code_from: Some(file.coding.code_from_kb << 10).filter(|from| *from > 0),
-                growth: Growth { ratio: file.coding.ratio, slack: file.coding.slack_kb << 10 },
-                keep: effect == Effect::Idempotent && file.limits.spool_each_kb > 0,
-                copy_most: if effect == Effect::Deduplicated { COPY_MOST } else { 0 },
+            plan: ForwardingSettings {
+                max_body_bytes: self.body_mb << 20,
+                upstream_codings: takes.to_vec(),
+                min_encoded_bytes: Some(file.coding.code_from_kb << 10).filter(|from| *from > 0),
+                growth_limit: Growth { ratio: file.coding.ratio, slack: file.coding.slack_kb << 10 },
+                keeps_body_copy: effect == Effect::Idempotent && file.limits.spool_each_kb > 0,
+                max_response_copy_bytes: if effect == Effect::Deduplicated { COPY_MOST } else { 0 },
             },
         })
     }
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -6,7 +6,7 @@
 use crate::front::{caller, Front, Next, Source};
 use crate::http::{BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, RequestHead, UploadState};
 use crate::owner::{Entering, Moved, Ticket};
-use crate::proxied_request::Relay;
+use crate::proxied_request::ProxiedRequest;
 use crate::upload_archive::{unix_seconds, ArchiveError, OperationResult, PendingOperation, UploadArchive};
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::{Refused, Upload, UploadId};
@@ -519,7 +519,7 @@
         });
         let made = asked.ok_or(MessageError::UnknownUpload).and_then(|(asked, length)| {
             let stage = self.settings.stage(&asked)?;
-            Ok((Relay::new(asked, self.settings.stages[stage].plan.clone())?, length))
+            Ok((ProxiedRequest::new(asked, self.settings.stages[stage].plan.clone())?, length))
         });
         match made {
             Ok((relay, end)) => {
