--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,10 +1,10 @@
 //! May this request start?
 //!
-//! The rule is the greedy selection of the SLICE paper (docs/design.md cites it): queued requests stand in the order of their rates,
-//! utility over demand, and the highest start until one no longer fits under the learned throughput, or the
-//! machine would not survive it (see `capacity`). One that is not expected to respond in time is given up in
-//! place of being started (see `deadline`). Where the queue itself exceeds the memory, the lowest rates are
-//! rejected.
+//! The rule is the greedy selection of the SLICE paper (docs/design.md cites it): queued requests stand in
+//! the order of their rates, utility over demand, and the highest start until one no longer fits under the
+//! learned throughput, or the machine would not survive it (see `capacity`). One that is not expected to
+//! respond in time is given up in place of being started (see `deadline`). Where the queue itself exceeds the
+//! memory, the lowest rates are rejected.
 
 use super::final_response::RetryAdvice;
 use super::Policy;
