--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -126,8 +126,9 @@
     fn fade(&mut self, now: Instant) {
         let past = (now - self.faded) / self.usual;
         let keep = (-past).exp();
-        (self.renewed, self.lapsed, self.faded) =
-            (self.renewed * keep, self.lapsed * keep, self.faded.max(now));
+        self.renewed *= keep;
+        self.lapsed *= keep;
+        self.faded = self.faded.max(now);
     }
 
     /// A record is held from now on for so long, again or for the first time.
@@ -241,7 +242,9 @@
         for ((name, kind, data), span) in all {
             self.hold(now, &name, kind, &data, span);
         }
-        (self.renewed, self.lapsed, self.faded) = (0.0, 0.0, now);
+        self.renewed = 0.0;
+        self.lapsed = 0.0;
+        self.faded = now;
     }
 
     /// The records among these that a lease holds, as they would be renewed.
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -117,9 +117,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Update {
     /// What must hold.
-    pub needs: Vec<Prerequisite>,
+    pub prerequisites: Vec<Prerequisite>,
     /// What is done then.
-    pub edits: Vec<UpdateOperation>,
+    pub operations: Vec<UpdateOperation>,
 }
 
 /// The longest time to live (RFC 2181 section 8).
@@ -127,19 +127,23 @@
 
 impl Update {
     /// Reads the sections of an update for a zone (RFC 2136 sections 3.2 and 3.4.1).
-    pub fn read(apex: &Name, needs: &[UpdateRecord], edits: &[UpdateRecord]) -> Result<Self, UpdateError> {
+    pub fn read(
+        apex: &Name,
+        prerequisites: &[UpdateRecord],
+        operations: &[UpdateRecord],
+    ) -> Result<Self, UpdateError> {
         let mut update = Self::default();
-        for raw in needs {
-            update.need(apex, raw)?;
+        for raw in prerequisites {
+            update.prerequisite(apex, raw)?;
         }
-        for raw in edits {
-            let edit = Self::edit(apex, raw)?;
-            update.edits.push(edit);
+        for raw in operations {
+            let operation = Self::operation(apex, raw)?;
+            update.operations.push(operation);
         }
         Ok(update)
     }
 
-    fn need(&mut self, apex: &Name, raw: &UpdateRecord) -> Result<(), UpdateError> {
+    fn prerequisite(&mut self, apex: &Name, raw: &UpdateRecord) -> Result<(), UpdateError> {
         let UpdateRecord { name, kind, sense, ttl, data } = raw;
         if *ttl != 0 {
             return Err(UpdateError::Malformed);
@@ -148,7 +152,7 @@
             return Err(UpdateError::OutOfZone);
         }
         let plain = kind.is_meta();
-        let need = match sense {
+        let prerequisite = match sense {
             UpdateClass::Any | UpdateClass::None if !data.is_empty() => return Err(UpdateError::Malformed),
             UpdateClass::Any if *kind == RecordType::ANY => Prerequisite::NameInUse(name.clone()),
             UpdateClass::None if *kind == RecordType::ANY => Prerequisite::NameNotInUse(name.clone()),
@@ -158,8 +162,8 @@
             UpdateClass::Zone => {
                 let data = kind.canonical(data).ok_or(UpdateError::Malformed)?;
                 // All records of one set make one need.
-                for need in &mut self.needs {
-                    if let Prerequisite::SetEquals(own, of, all) = need {
+                for prerequisite in &mut self.prerequisites {
+                    if let Prerequisite::SetEquals(own, of, all) = prerequisite {
                         if own == name && of == kind {
                             all.push(data);
                             return Ok(());
@@ -170,11 +174,11 @@
             }
             UpdateClass::Other => return Err(UpdateError::Malformed),
         };
-        self.needs.push(need);
+        self.prerequisites.push(prerequisite);
         Ok(())
     }
 
-    fn edit(apex: &Name, raw: &UpdateRecord) -> Result<UpdateOperation, UpdateError> {
+    fn operation(apex: &Name, raw: &UpdateRecord) -> Result<UpdateOperation, UpdateError> {
         let UpdateRecord { name, kind, sense, ttl, data } = raw;
         if !name.is_within(apex) {
             return Err(UpdateError::OutOfZone);
@@ -202,9 +206,9 @@
 
     /// Whether all that must hold does (RFC 2136 section 3.2.5).
     pub fn holds(&self, zone: &Zone) -> Result<(), UpdateError> {
-        for need in &self.needs {
+        for prerequisite in &self.prerequisites {
             let used = |name: &Name| zone.node(name.wire()).is_some_and(|node| !node.sets().is_empty());
-            match need {
+            match prerequisite {
                 Prerequisite::NameInUse(name) if !used(name) => return Err(UpdateError::NameMissing),
                 Prerequisite::NameNotInUse(name) if used(name) => return Err(UpdateError::NameExists),
                 Prerequisite::SetExists(name, kind) if zone.set(name, *kind).is_none() => {
@@ -232,7 +236,7 @@
     /// version that changed has a newer serial, also where the update brings none.
     pub fn apply(&self, zone: &Zone) -> Option<(Zone, Change)> {
         let mut next = zone.clone();
-        self.edits.iter().for_each(|edit| apply(&mut next, edit));
+        self.operations.iter().for_each(|operation| apply(&mut next, operation));
         finish(zone, next)
     }
 
@@ -244,7 +248,7 @@
         key: Option<&Name>,
     ) -> Result<Option<(Zone, Change)>, UpdateError> {
         self.holds(zone)?;
-        if !self.edits.iter().all(|edit| allowed(grants, key, edit)) {
+        if !self.operations.iter().all(|operation| allowed(grants, key, operation)) {
             return Err(UpdateError::NotAllowed);
         }
         Ok(self.apply(zone))
@@ -263,8 +267,8 @@
     Some((next, change))
 }
 
-fn apply(zone: &mut Zone, edit: &UpdateOperation) {
-    match edit {
+fn apply(zone: &mut Zone, operation: &UpdateOperation) {
+    match operation {
         UpdateOperation::AddRecord(record) if record.kind == RecordType::SOA => {
             let newer = Soa::of(&record.data).is_some_and(|soa| soa.serial.newer_than(zone.serial()));
             if record.name == *zone.apex() && newer {
@@ -342,8 +346,8 @@
 }
 
 /// Whether some key may make an edit. Taking a name out whole needs a grant for all kinds.
-pub fn allowed(grants: &[Grant], key: Option<&Name>, edit: &UpdateOperation) -> bool {
-    let (name, kind) = edit.about();
+pub fn allowed(grants: &[Grant], key: Option<&Name>, operation: &UpdateOperation) -> bool {
+    let (name, kind) = operation.about();
     grants.iter().any(|grant| {
         let kinds = match kind {
             Some(kind) if grant.kinds.is_empty() => !matches!(kind, RecordType::SOA | RecordType::NS),
--- a/crates/core/zones/src/zone_store/mod.rs
+++ b/crates/core/zones/src/zone_store/mod.rs
@@ -318,7 +318,7 @@
             }
         };
         if result.is_ok() {
-            let added = update.edits.iter().filter_map(|edit| match edit {
+            let added = update.operations.iter().filter_map(|operation| match operation {
                 UpdateOperation::AddRecord(record) => Some(record),
                 _ => None,
             });
@@ -333,13 +333,13 @@
 
     /// Records that are held and that an update without a lease adds again: they are there for good from then on.
     fn made_permanent(&self, update: &Update, lease: Option<Span>) -> Vec<LeasedRecord> {
-        let of = |edit: &UpdateOperation| match edit {
+        let of = |operation: &UpdateOperation| match operation {
             UpdateOperation::AddRecord(record) if lease.is_none() && self.leases.holds(record) => {
                 Some((record.name.clone(), record.kind, record.data.clone()))
             }
             _ => None,
         };
-        update.edits.iter().filter_map(of).collect()
+        update.operations.iter().filter_map(of).collect()
     }
 
     /// Holds what was added, and lets go of what was removed.
@@ -365,12 +365,12 @@
             return (None, LeaseExpiry::default());
         }
         let lapse = self.leases.lapse(now, &self.latest);
-        let edits = lapse
+        let operations = lapse
             .gone
             .iter()
             .map(|(name, kind, data)| UpdateOperation::DeleteRecord(name.clone(), *kind, data.clone()));
-        let update = Update { needs: Vec::new(), edits: edits.collect() };
-        let next = if update.edits.is_empty() { None } else { update.apply(&self.latest) };
+        let update = Update { prerequisites: Vec::new(), operations: operations.collect() };
+        let next = if update.operations.is_empty() { None } else { update.apply(&self.latest) };
         let entry = next.map(|(next, change)| {
             self.latest = next;
             ZoneLogEntry::Changed { change, update_id: None, lease: 0, kept: Vec::new() }
