--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -4,7 +4,7 @@
 use crate::{Failed, Format};
 use lynxtally_dns::client::Client;
 use lynxtally_dns::codec::Question;
-use lynxtally_zones::record_type::{read_time, Token};
+use lynxtally_zones::record_data::{read_time, Token};
 use lynxtally_zones::update::{UpdateClass, UpdateRecord};
 use lynxtally_zones::{Name, RecordType};
 use rand::Rng;
--- a/crates/core/zones/src/lib.rs
+++ b/crates/core/zones/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod name_tree;
 pub mod rate_limit;
 pub mod record;
+pub mod record_data;
 pub mod record_type;
 pub mod secondary;
 pub mod serial;
--- a/crates/core/zones/src/lookup.rs
+++ b/crates/core/zones/src/lookup.rs
@@ -1,10 +1,10 @@
 //! What a version answers to a question: RFC 1034 section 4.3.2, wildcards by RFC 4592, DNAME by RFC 6672,
 //! names that are not there by RFC 2308. All of an answer comes from one version.
 
-use crate::name::LabelOffsets;
+use crate::name::{replace_end, LabelOffsets};
 use crate::name_tree::Node;
 use crate::record::{unpack, RecordSet};
-use crate::record_type::{replace_end, RecordType};
+use crate::record_type::RecordType;
 use crate::zone::Zone;
 use smallvec::SmallVec;
 use std::borrow::Cow;
@@ -14,12 +14,12 @@
 /// How many targets' addresses go along at most.
 const MAX_TARGETS: usize = 16;
 
-/// Records of one owner and kind as they go out.
+/// Records of one owner and type as they go out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseSet<'a> {
     /// The owner, in wire form.
     pub owner: Cow<'a, [u8]>,
-    /// The kind.
+    /// The type.
     pub kind: RecordType,
     /// The time to live.
     pub ttl: u32,
@@ -44,7 +44,7 @@
     /// There are records.
     #[default]
     Found,
-    /// The name is there, or names below it, but nothing of the kind.
+    /// The name is there, or names below it, but nothing of the type.
     NoData,
     /// The name is not there.
     NoName,
@@ -150,7 +150,7 @@
                     found.answer.push(ResponseSet::of(at, set));
                     at = Cow::Borrowed(next);
                 } else {
-                    // Of all kinds one is enough (RFC 8482 section 4.1).
+                    // Of all types one is enough (RFC 8482 section 4.1).
                     let set = if kind == RecordType::ANY { node.sets().first() } else { node.set(kind) };
                     let Some(set) = set else {
                         found.outcome = Outcome::NoData;
--- a/crates/core/zones/src/name.rs
+++ b/crates/core/zones/src/name.rs
@@ -320,3 +320,13 @@
         write_text(&self.0, f)
     }
 }
+
+/// A name with one end replaced by another (RFC 6672 section 2.2); none where it grows too long.
+pub fn replace_end(name: &[u8], end: &[u8], by: &[u8]) -> Option<Vec<u8>> {
+    if !within(name, end) || labels(name).count() == labels(end).count() {
+        return None;
+    }
+    let mut out = name[..name.len() - end.len()].to_vec();
+    out.extend_from_slice(by);
+    (out.len() <= MAX_NAME_LENGTH).then_some(out)
+}
--- a/crates/core/zones/src/name_tree.rs
+++ b/crates/core/zones/src/name_tree.rs
@@ -35,17 +35,17 @@
         &self.label
     }
 
-    /// Its records, by kind.
+    /// Its records, by type.
     pub fn sets(&self) -> &[RecordSet] {
         &self.sets
     }
 
-    /// The same, to be changed; they stay in ascending order of their kinds.
+    /// The same, to be changed; they stay in ascending order of their types.
     pub(crate) fn sets_mut(&mut self) -> &mut SmallVec<[RecordSet; 1]> {
         &mut self.sets
     }
 
-    /// Those of one kind.
+    /// Those of one type.
     pub fn set(&self, kind: RecordType) -> Option<&RecordSet> {
         self.sets.iter().find(|set| set.kind == kind)
     }
--- a/crates/core/zones/src/record.rs
+++ b/crates/core/zones/src/record.rs
@@ -11,7 +11,7 @@
 pub struct Record {
     /// Its owner.
     pub name: Name,
-    /// Its kind.
+    /// Its type.
     pub kind: RecordType,
     /// For how long it may be kept, in seconds.
     pub ttl: u32,
@@ -38,10 +38,10 @@
     }
 }
 
-/// All records of one owner and kind; they have one time to live (RFC 2181 section 5.2).
+/// All records of one owner and type; they have one time to live (RFC 2181 section 5.2).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordSet {
-    /// The kind.
+    /// The type.
     pub kind: RecordType,
     /// The time to live, in seconds.
     pub ttl: u32,
--- /dev/null
+++ b/crates/core/zones/src/record_data.rs
@@ -0,0 +1,318 @@
+//! The data of resource records: read from text, checked in wire form and written as text (RFC 1035 section 5.1). Data
+//! of a type that is not in the table of [`RecordType`] is opaque and written as RFC 3597 says.
+
+use crate::name::{escape, write_text, Name};
+use crate::record_type::{Field, RecordType};
+use std::fmt::{self, Write};
+use std::net::{Ipv4Addr, Ipv6Addr};
+
+/// A word of a text: as it stands, with escapes, and whether it stood in quotes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Token<'a> {
+    /// The text between the quotes or spaces.
+    pub text: &'a [u8],
+    /// Whether it stood in quotes.
+    pub quoted: bool,
+}
+
+/// What is wrong with data as text: which word, and what.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct InvalidRecordData {
+    /// The word's number; past the last one where something is missing.
+    pub word: usize,
+    /// What is wrong.
+    pub what: String,
+}
+
+/// A time in seconds, with units as in `1h30m` or without; up to 2^31 - 1 (RFC 2181 section 8).
+pub fn read_time(text: &[u8]) -> Option<u32> {
+    let (mut total, mut number, mut digits) = (0_u64, 0_u64, false);
+    for octet in text {
+        match octet {
+            b'0'..=b'9' => {
+                number = number.checked_mul(10)?.checked_add(u64::from(octet - b'0'))?;
+                digits = true;
+            }
+            _ if digits => {
+                let unit = match octet.to_ascii_lowercase() {
+                    b's' => 1,
+                    b'm' => 60,
+                    b'h' => 3600,
+                    b'd' => 86_400,
+                    b'w' => 604_800,
+                    _ => return None,
+                };
+                total = total.checked_add(number.checked_mul(unit)?)?;
+                (number, digits) = (0, false);
+            }
+            _ => return None,
+        }
+    }
+    let total = total.checked_add(number)?;
+    (!text.is_empty() && total < 1 << 31).then_some(total as u32)
+}
+
+/// The octets that a string stands for.
+fn octets(text: &[u8]) -> Option<Vec<u8>> {
+    let (mut out, mut at) = (Vec::with_capacity(text.len()), 0);
+    while at < text.len() {
+        let (octet, used) = if text[at] == b'\\' { escape(&text[at..])? } else { (text[at], 1) };
+        out.push(octet);
+        at += used;
+    }
+    Some(out)
+}
+
+fn number<T: TryFrom<u64>>(text: &[u8]) -> Option<T> {
+    let digits = !text.is_empty() && text.iter().all(u8::is_ascii_digit);
+    let text = std::str::from_utf8(text).ok().filter(|_| digits)?;
+    text.parse::<u64>().ok().and_then(|value| T::try_from(value).ok())
+}
+
+fn string(out: &mut Vec<u8>, text: &[u8]) -> Result<(), &'static str> {
+    let octets = octets(text).ok_or("a backslash that begins no escape")?;
+    let length = u8::try_from(octets.len()).map_err(|_| "a string of over 255 octets")?;
+    out.push(length);
+    out.extend_from_slice(&octets);
+    Ok(())
+}
+
+fn parsed<T: std::str::FromStr>(text: &[u8]) -> Option<T> {
+    std::str::from_utf8(text).ok()?.parse().ok()
+}
+
+impl Field {
+    /// Reads one word into octets.
+    fn read(self, word: Token, origin: Option<&Name>, out: &mut Vec<u8>) -> Result<(), String> {
+        let text = word.text;
+        let shown = || String::from_utf8_lossy(text).into_owned();
+        let none = |what: &str| format!("{:?} is no {what}", shown());
+        match self {
+            Self::Name => {
+                let name = Name::parse(text, origin).map_err(|bad| format!("{bad}: {:?}", shown()))?;
+                out.extend_from_slice(name.wire());
+            }
+            Self::U8 => out.push(number(text).ok_or_else(|| none("number from 0 to 255"))?),
+            Self::U16 => {
+                let value: u16 = number(text).ok_or_else(|| none("number from 0 to 65535"))?;
+                out.extend(value.to_be_bytes());
+            }
+            Self::U32 => {
+                let value: u32 = number(text).ok_or_else(|| none("number of 32 bits"))?;
+                out.extend(value.to_be_bytes());
+            }
+            Self::Time => {
+                let value = read_time(text).ok_or_else(|| none("time in seconds"))?;
+                out.extend(value.to_be_bytes());
+            }
+            Self::V4 => {
+                let address: Ipv4Addr = parsed(text).ok_or_else(|| none("IPv4 address"))?;
+                out.extend(address.octets());
+            }
+            Self::V6 => {
+                let address: Ipv6Addr = parsed(text).ok_or_else(|| none("IPv6 address"))?;
+                out.extend(address.octets());
+            }
+            Self::Text | Self::Texts => string(out, text)?,
+            Self::Tag => {
+                if text.is_empty() || !text.iter().all(u8::is_ascii_alphanumeric) {
+                    return Err(none("word of letters and digits"));
+                }
+                string(out, text)?;
+            }
+            Self::Bare => {
+                out.extend(octets(text).ok_or_else(|| "a backslash that begins no escape".to_owned())?);
+            }
+            Self::Base64 | Self::Hex => unreachable!("read with all words that are left"),
+        }
+        Ok(())
+    }
+
+    /// How many octets of some data it takes, if it is well made.
+    fn length(self, data: &[u8]) -> Option<usize> {
+        let fixed = |n: usize| (data.len() >= n).then_some(n);
+        match self {
+            Self::Name => Name::split(data).ok().map(|(_, rest)| data.len() - rest.len()),
+            Self::U8 => fixed(1),
+            Self::U16 => fixed(2),
+            Self::U32 | Self::Time | Self::V4 => fixed(4),
+            Self::V6 => fixed(16),
+            Self::Text => fixed(1 + usize::from(*data.first()?)),
+            // What could be had over the wire and not be written in a zone file would cost the whole file.
+            Self::Tag => fixed(1 + usize::from(*data.first()?))
+                .filter(|length| *length > 1 && data[1..*length].iter().all(u8::is_ascii_alphanumeric)),
+            Self::Texts => {
+                let mut at = 0;
+                while at < data.len() {
+                    at += 1 + usize::from(data[at]);
+                }
+                (at == data.len() && at > 0).then_some(at)
+            }
+            Self::Bare | Self::Base64 | Self::Hex => Some(data.len()),
+        }
+    }
+
+    fn write(self, data: &[u8], f: &mut String) -> fmt::Result {
+        let u16_at = |at: usize| u16::from_be_bytes([data[at], data[at + 1]]);
+        match self {
+            Self::Name => write_text(data, f),
+            Self::U8 => write!(f, "{}", data[0]),
+            Self::U16 => write!(f, "{}", u16_at(0)),
+            Self::U32 | Self::Time => {
+                write!(f, "{}", u32::from_be_bytes([data[0], data[1], data[2], data[3]]))
+            }
+            Self::V4 => write!(f, "{}", Ipv4Addr::new(data[0], data[1], data[2], data[3])),
+            Self::V6 => {
+                let parts: [u16; 8] = std::array::from_fn(|n| u16_at(2 * n));
+                write!(f, "{}", Ipv6Addr::from(parts))
+            }
+            Self::Text => quoted(&data[1..], f),
+            Self::Tag => f.write_str(&String::from_utf8_lossy(&data[1..])),
+            Self::Bare => quoted(data, f),
+            Self::Texts => {
+                let mut at = 0;
+                while at < data.len() {
+                    let end = at + 1 + usize::from(data[at]);
+                    f.write_str(if at > 0 { " " } else { "" })?;
+                    quoted(&data[at + 1..end], f)?;
+                    at = end;
+                }
+                Ok(())
+            }
+            Self::Base64 => f.write_str(&data_encoding::BASE64.encode(data)),
+            Self::Hex => f.write_str(&data_encoding::HEXUPPER.encode(data)),
+        }
+    }
+}
+
+fn quoted(octets: &[u8], f: &mut String) -> fmt::Result {
+    f.write_char('"')?;
+    for &octet in octets {
+        match octet {
+            b'"' | b'\\' => write!(f, "\\{}", octet as char)?,
+            b' '..=b'~' => f.write_char(octet as char)?,
+            _ => write!(f, "\\{octet:03}")?,
+        }
+    }
+    f.write_char('"')
+}
+
+/// The most octets that a record's data can have.
+pub const MAX_DATA_LENGTH: usize = 65_535;
+
+impl RecordType {
+    /// Reads data as text. Names in it are relative to the origin.
+    pub fn read(self, words: &[Token], origin: Option<&Name>) -> Result<Vec<u8>, InvalidRecordData> {
+        let bad = |word: usize, what: String| InvalidRecordData { word, what };
+        if words.first().is_some_and(|word| word.text == b"\\#" && !word.quoted) {
+            return self.read_opaque(words);
+        }
+        let Some(fields) = self.fields() else {
+            let what = format!("data of the kind {self} is written as \\# LENGTH HEX (RFC 3597)");
+            return Err(bad(0, what));
+        };
+        let mut out = Vec::new();
+        let mut at = 0;
+        for field in fields {
+            let missing = || bad(at, format!("{self} data ends early"));
+            match field {
+                Field::Base64 | Field::Hex => {
+                    let text: Vec<u8> = words[at..].iter().flat_map(|word| word.text).copied().collect();
+                    let text = if *field == Field::Hex { text.to_ascii_uppercase() } else { text };
+                    let coding =
+                        if *field == Field::Hex { &data_encoding::HEXUPPER } else { &data_encoding::BASE64 };
+                    let name = if *field == Field::Hex { "hex" } else { "base64" };
+                    if text.is_empty() {
+                        return Err(missing());
+                    }
+                    out.extend(coding.decode(&text).map_err(|_| bad(at, format!("no {name}")))?);
+                    at = words.len();
+                }
+                Field::Texts => {
+                    if at == words.len() {
+                        return Err(missing());
+                    }
+                    while at < words.len() {
+                        field.read(words[at], origin, &mut out).map_err(|what| bad(at, what))?;
+                        at += 1;
+                    }
+                }
+                _ => {
+                    let word = *words.get(at).ok_or_else(missing)?;
+                    field.read(word, origin, &mut out).map_err(|what| bad(at, what))?;
+                    at += 1;
+                }
+            }
+        }
+        if at < words.len() {
+            return Err(bad(at, format!("more than {self} data needs")));
+        }
+        if out.len() > MAX_DATA_LENGTH {
+            return Err(bad(0, "data of over 65535 octets".to_owned()));
+        }
+        Ok(out)
+    }
+
+    fn read_opaque(self, words: &[Token]) -> Result<Vec<u8>, InvalidRecordData> {
+        let bad = |word: usize, what: &str| InvalidRecordData { word, what: what.to_owned() };
+        let length: u16 = words
+            .get(1)
+            .and_then(|word| number(word.text))
+            .ok_or_else(|| bad(1, "\\# is not followed by a length"))?;
+        let text: Vec<u8> = words[2..].iter().flat_map(|word| word.text.to_ascii_uppercase()).collect();
+        let data = data_encoding::HEXUPPER.decode(&text).map_err(|_| bad(2, "no hex"))?;
+        if data.len() != usize::from(length) {
+            return Err(bad(1, &format!("the length says {length}, the data has {} octets", data.len())));
+        }
+        self.canonical(&data).ok_or_else(|| bad(2, &format!("octets that are no {self} data")))
+    }
+
+    /// Takes data in wire form without pointers, checked and with names in lower case; none where it is not
+    /// well made.
+    pub fn canonical(self, data: &[u8]) -> Option<Vec<u8>> {
+        if data.len() > MAX_DATA_LENGTH {
+            return None;
+        }
+        let mut out = data.to_vec();
+        let mut at = 0;
+        for field in self.fields().unwrap_or(&[]) {
+            let length = field.length(&data[at..])?;
+            if *field == Field::Name {
+                out[at..at + length].make_ascii_lowercase();
+            }
+            at += length;
+        }
+        (at == data.len() || self.fields().is_none()).then_some(out)
+    }
+
+    /// Writes data as text.
+    pub fn write(self, data: &[u8]) -> String {
+        let mut text = String::new();
+        // A string takes whatever is written to it.
+        let Some(fields) = self.fields() else {
+            let _ = write!(text, "\\# {} {}", data.len(), data_encoding::HEXUPPER.encode(data));
+            return text;
+        };
+        let mut at = 0;
+        for field in fields {
+            let length = field.length(&data[at..]).unwrap_or(data.len() - at);
+            if at > 0 {
+                text.push(' ');
+            }
+            let _ = field.write(&data[at..at + length], &mut text);
+            at += length;
+        }
+        text
+    }
+
+    /// The name in its data whose addresses go along with an answer (RFC 1035 section 3.3, RFC 2782).
+    pub fn target(self, data: &[u8]) -> Option<&[u8]> {
+        let at = match self {
+            Self::NS | Self::CNAME | Self::DNAME | Self::PTR => 0,
+            Self::MX | Self::AFSDB | Self::KX => 2,
+            Self::SRV => 6,
+            _ => return None,
+        };
+        data.get(at..)
+    }
+}
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -64,7 +64,7 @@
 pub struct UpdateRecord {
     /// The owner.
     pub name: Name,
-    /// The kind.
+    /// The type.
     pub kind: RecordType,
     /// What its class field says.
     pub sense: UpdateClass,
@@ -81,7 +81,7 @@
     NameInUse(Name),
     /// The name has none.
     NameNotInUse(Name),
-    /// There is a set of the kind.
+    /// There is a set of the type.
     SetExists(Name, RecordType),
     /// There is none.
     SetMissing(Name, RecordType),
@@ -103,7 +103,7 @@
 }
 
 impl UpdateOperation {
-    /// The name that it changes, and the kind where it is about one.
+    /// The name that it changes, and the type where it is about one.
     pub fn about(&self) -> (&Name, Option<RecordType>) {
         match self {
             Self::AddRecord(record) => (&record.name, Some(record.kind)),
@@ -341,11 +341,11 @@
     pub key: Name,
     /// Which names.
     pub scope: Scope,
-    /// Which kinds; empty means all but SOA and NS.
+    /// Which types; empty means all but SOA and NS.
     pub kinds: Vec<RecordType>,
 }
 
-/// Whether some key may make an edit. Taking a name out whole needs a grant for all kinds.
+/// Whether some key may make an edit. Taking a name out whole needs a grant for all types.
 pub fn allowed(grants: &[Grant], key: Option<&Name>, operation: &UpdateOperation) -> bool {
     let (name, kind) = operation.about();
     grants.iter().any(|grant| {
--- a/crates/core/zones/src/zone.rs
+++ b/crates/core/zones/src/zone.rs
@@ -15,7 +15,7 @@
 pub enum RecordError {
     /// Its owner is not in the zone.
     OutOfZone,
-    /// The kind is for messages only.
+    /// The type is for messages only.
     Meta(RecordType),
     /// An alias beside other data, or other data beside an alias (RFC 1034 section 3.6.2).
     Alias(RecordType),
@@ -222,7 +222,7 @@
         true
     }
 
-    /// Takes all of a kind out; tells whether there was any.
+    /// Takes all of a type out; tells whether there was any.
     pub fn remove_set(&mut self, name: &Name, kind: RecordType) -> bool {
         self.set(name, kind).is_some() && {
             self.edit(name, false, |sets| sets.retain(|set| set.kind != kind));
--- a/crates/core/zones/src/zone_file/mod.rs
+++ b/crates/core/zones/src/zone_file/mod.rs
@@ -1,4 +1,4 @@
-//! Zone files: RFC 1035 section 5, `$TTL` by RFC 2308 section 4, unknown kinds by RFC 3597. What can't be taken
+//! Zone files: RFC 1035 section 5, `$TTL` by RFC 2308 section 4, unknown types by RFC 3597. What can't be taken
 //! is refused by itself with its place and reason, all of it in one pass, and reading goes on at the next
 //! record. Whether the file as a whole can be used is judged at the end.
 
--- a/crates/core/zones/src/zone_file/scanner.rs
+++ b/crates/core/zones/src/zone_file/scanner.rs
@@ -1,6 +1,6 @@
 //! Splitting of a zone file into entries: words, quotes, comments and parentheses (RFC 1035 section 5.1).
 
-use crate::record_type::Token;
+use crate::record_data::Token;
 
 /// A place in a text, both from 1; the column in octets.
 #[derive(Clone, Copy, Debug)]
--- a/crates/core/zones/src/zone_store/reload.rs
+++ b/crates/core/zones/src/zone_store/reload.rs
@@ -14,7 +14,7 @@
 pub struct ReloadConflict {
     /// The name.
     pub name: Name,
-    /// The kind.
+    /// The type.
     pub kind: RecordType,
     /// What happened.
     pub what: &'static str,
--- a/crates/core/zones/tests/props.rs
+++ b/crates/core/zones/tests/props.rs
@@ -1,7 +1,7 @@
 //! Properties of versions: a trie that shares is never told from a plain map that does not.
 
 use lynxtally_zones::change::between;
-use lynxtally_zones::record_type::Token;
+use lynxtally_zones::record_data::Token;
 use lynxtally_zones::{zone_file, Name, Record, RecordType, Zone};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
