--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -2,7 +2,7 @@
 
 use crate::Failed;
 use clap::Subcommand;
-use lynxtally_stream::server::{self, Heard};
+use lynxtally_stream::server::{self, ServerCommand};
 use lynxtally_stream::settings::{Checked, File};
 use signal_hook::consts::{SIGINT, SIGTERM, SIGUSR1};
 use std::path::{Path, PathBuf};
@@ -61,17 +61,19 @@
 }
 
 fn serve(path: &Path) -> Result<(), Failed> {
-    let running = server::start(settings(path)?, server::module)?;
-    for at in &running.listen {
+    let running =
+        server::start(settings(path)?, server::scheduling_policy).map_err(|error| error.to_string())?;
+    for at in &running.listen_addresses {
         println!("listening on {at}");
     }
-    let ear = running.ear.clone();
+    let ear = running.commands.clone();
     let mut signals =
         signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGUSR1]).map_err(|fault| fault.to_string())?;
     std::thread::spawn(move || {
         for signal in signals.forever() {
             let (to, told) = std::sync::mpsc::channel();
-            let heard = if signal == SIGUSR1 { Heard::Counters(to) } else { Heard::Leave };
+            let heard =
+                if signal == SIGUSR1 { ServerCommand::ReportCounters(to) } else { ServerCommand::Shutdown };
             if ear.send(heard).is_err() {
                 return;
             }
@@ -80,9 +82,9 @@
             }
         }
     });
-    let ended = running.end.recv().map_err(|_| "the server failed; the log says why".to_owned())?;
+    let ended = running.exit.recv().map_err(|_| "the server failed; the log says why".to_owned())?;
     println!("{}", ended.counters);
-    if ended.adds_up {
+    if ended.is_consistent {
         Ok(())
     } else {
         Err(Failed::Usage("a stream that was read got no answer, or more than one".to_owned()))
--- a/crates/frontends/stream/src/lib.rs
+++ b/crates/frontends/stream/src/lib.rs
@@ -16,5 +16,6 @@
 pub mod proxied_request;
 pub mod server;
 pub mod settings;
+pub mod start_error;
 pub mod upload_archive;
 pub mod uploading;
--- a/crates/frontends/stream/src/server.rs
+++ b/crates/frontends/stream/src/server.rs
@@ -1,8 +1,9 @@
-//! A server: listeners, the front behind them, and how it leaves.
+//! A server: its listeners, the proxy behind them, and its shutdown.
 
 use crate::front::Front;
 use crate::owner::Owner;
 use crate::settings::Checked;
+use crate::start_error::StartError;
 use crate::upload_archive::UploadArchive;
 use lynxtally::{Instant, Policy, Span};
 use lynxtally_engine::Scheduler;
@@ -18,122 +19,158 @@
 use std::time::Duration;
 use tracing::error;
 
+/// The size of a coroutine's stack, in words.
 const STACK_WORDS: usize = 0x10000;
-/// How often connections are swept and the leaving is looked at.
-const SWEEP: Duration = Duration::from_millis(100);
-/// Every so many times it looks for uploads that nobody goes on with.
-const AGED: u64 = 100;
-/// While it leaves it looks more often.
-const LEAVING: Duration = Duration::from_millis(10);
-/// The owner is told that the kill comes after this part of the time: the rest is for the last words to go out.
-const TOLD: f64 = 0.95;
 
-/// What a server is told.
-pub enum Heard {
-    /// The notice to leave.
-    Leave,
-    /// The counters are asked for.
-    Counters(Sender<String>),
+/// How often idle connections are closed and the shutdown is looked at.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
+
+/// The same during a shutdown, which is to end soon after its last stream.
+const SHUTDOWN_SWEEP_INTERVAL: Duration = Duration::from_millis(10);
+
+/// After so many sweeps, expired uploads are removed.
+const SWEEPS_PER_EXPIRY: u64 = 100;
+
+/// The part of the shutdown timeout after which streams are cut: the rest is for the last responses to go out.
+const SHUTDOWN_DEADLINE_FRACTION: f64 = 0.95;
+
+/// What a running server can be told.
+pub enum ServerCommand {
+    /// Shut down gracefully: finish or cut what is under way, and end.
+    Shutdown,
+    /// Send the counters as one line of JSON.
+    ReportCounters(Sender<String>),
 }
 
-/// How a server's serving ended.
-pub struct Ended {
+/// How a server ended.
+pub struct ServerExit {
     /// All counters as one line of JSON.
     pub counters: String,
-    /// Whether each stream read got one answer.
-    pub adds_up: bool,
+    /// Whether each stream that was read got one final response.
+    pub is_consistent: bool,
 }
 
-/// A server that listens already.
-pub struct Running {
-    /// What to say to it.
-    pub ear: Sender<Heard>,
-    /// Where it listens, in the order of the settings.
-    pub listen: Vec<SocketAddr>,
-    /// How it ended.
-    pub end: Receiver<Ended>,
+/// A server that listens.
+pub struct RunningServer {
+    /// Takes commands. Once all senders are dropped, the server shuts down.
+    pub commands: Sender<ServerCommand>,
+    /// The addresses that it listens on, in the order of the settings.
+    pub listen_addresses: Vec<SocketAddr>,
+    /// Receives how the server ended; nothing where it failed.
+    pub exit: Receiver<ServerExit>,
 }
 
-/// The module, as a stream server has it.
-pub fn module(settings: &Checked, now: Instant) -> Policy {
+/// The scheduling policy with the settings of a stream server.
+pub fn scheduling_policy(settings: &Checked, now: Instant) -> Policy {
     Policy::new(settings.policy.clone(), rand::rng().random(), now)
 }
 
-/// Starts a server; an error is one line. `decide` makes what decides.
+/// Starts a server; `scheduler` makes what decides.
+///
+/// # Errors
+/// An address cannot be listened on, the upload archive cannot be opened, or a thread or coroutine not be started.
 pub fn start<P: Scheduler + Send + 'static>(
     settings: Checked,
-    decide: impl FnOnce(&Checked, Instant) -> P,
-) -> Result<Running, String> {
-    // One worker carries all streams: it is fed by what comes, and the copying is the work.
+    scheduler: impl FnOnce(&Checked, Instant) -> P,
+) -> Result<RunningServer, StartError> {
+    // One worker carries all streams: it is fed by what arrives, and copying is the work.
     may::config().set_workers(1).set_stack_size(STACK_WORDS).set_worker_pin(false);
     let now = Clock::default().now();
-    let alarm = Timer::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
-    let turnstile = FairYield::start().map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
-    let owner = Owner::new(&settings, now, decide(&settings, now), rand::rng().random());
-    let (stop, at) = (settings.stop, settings.listen.clone());
-    let archive = settings
-        .state
-        .as_ref()
-        .map(|path| UploadArchive::open(path, settings.uploads))
-        .transpose()
-        .map_err(|error| error.to_string())?;
-    let front = Front::new(settings, owner, alarm, turnstile, archive);
-    let mut listening = Vec::new();
-    for at in at {
-        let listener = listen(at).map_err(|fault| format!("`listen`: {at}: {fault}"))?;
-        listening.push(listener.local_addr().map_err(|fault| format!("`listen`: {at}: {fault}"))?);
-        let all = front.clone();
-        let take = move || all.gate.accept(listener, |stream, from| all.take(stream, from));
-        spawn(STACK_WORDS, take, |panic| error!(%panic, "no connections are taken any more"))
-            .map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
+    let timer = Timer::start().map_err(StartError::Thread)?;
+    let fair_yield = FairYield::start().map_err(StartError::Coroutine)?;
+    let owner = Owner::new(&settings, now, scheduler(&settings, now), rand::rng().random());
+    let shutdown_timeout = settings.stop;
+    let addresses = settings.listen.clone();
+    let archive = open_archive(&settings)?;
+    let front = Front::new(settings, owner, timer, fair_yield, archive);
+    let mut listen_addresses = Vec::new();
+    for address in addresses {
+        listen_addresses.push(accept_on(&front, address)?);
     }
     front.turn();
-    let (ear, heard) = mpsc::channel();
-    let (ended, end) = mpsc::channel();
+    let (commands, received_commands) = mpsc::channel();
+    let (exit_sender, exit) = mpsc::channel();
     let work = move || {
-        watch(&front, &heard, stop);
-        front.gate.close();
-        front.sweep(true);
-        let (counters, tally) = front.with(|owner, _| (owner.counters().to_string(), owner.tally()));
-        // Who started it may be gone.
-        let _ = ended.send(Ended { counters, adds_up: tally.is_consistent() && tally.in_flight == 0 });
+        supervise(&front, &received_commands, shutdown_timeout);
+        // Whoever started the server may be gone.
+        let _ = exit_sender.send(close(&front));
     };
-    std::thread::Builder::new()
-        .name("streams".to_owned())
-        .spawn(work)
-        .map_err(|fault| format!("a thread can't be started: {fault}"))?;
-    Ok(Running { ear, listen: listening, end })
+    std::thread::Builder::new().name("streams".to_owned()).spawn(work).map_err(StartError::Thread)?;
+    Ok(RunningServer { commands, listen_addresses, exit })
 }
 
-/// Sweeps, until the notice to leave was given and all is answered. Until then all that comes is still read and
-/// answered: nobody who came to a listening server is left without a word.
-fn watch<P: Scheduler + Send + 'static>(front: &Arc<Front<P>>, heard: &Receiver<Heard>, stop: Duration) {
-    let stop = Span::from_micros(stop.as_micros() as u64) * TOLD;
-    let (mut gone, mut wait, mut turns) = (false, SWEEP, 0_u64);
+fn open_archive(settings: &Checked) -> Result<Option<Arc<UploadArchive>>, StartError> {
+    let Some(directory) = &settings.state else { return Ok(None) };
+    UploadArchive::open(directory, settings.uploads).map(Some).map_err(StartError::Archive)
+}
+
+/// Listens on an address, and returns it with the port that was chosen where the setting has none.
+fn accept_on<P: Scheduler + Send + 'static>(
+    front: &Arc<Front<P>>,
+    address: SocketAddr,
+) -> Result<SocketAddr, StartError> {
+    let listen_error = |source| StartError::Listen { address, source };
+    let listener = listen(address).map_err(listen_error)?;
+    let listen_address = listener.local_addr().map_err(listen_error)?;
+    let front = front.clone();
+    let accept = move || front.gate.accept(listener, |stream, from| front.take(stream, from));
+    spawn(STACK_WORDS, accept, |panic| error!(%panic, "no connections are taken any more"))
+        .map_err(StartError::Coroutine)?;
+    Ok(listen_address)
+}
+
+/// Closes the listeners and the idle connections, and sums the server up.
+fn close<P: Scheduler + Send + 'static>(front: &Arc<Front<P>>) -> ServerExit {
+    front.gate.close();
+    front.sweep(true);
+    front.with(|owner, _| {
+        let counts = owner.tally();
+        ServerExit {
+            counters: owner.counters().to_string(),
+            is_consistent: counts.is_consistent() && counts.in_flight == 0,
+        }
+    })
+}
+
+/// Sweeps and takes commands until a shutdown was asked for and everything is answered, or its deadline is over. Until
+/// then all that arrives is still read and answered: nobody who came to a listening server is left without a response.
+fn supervise<P: Scheduler + Send + 'static>(
+    front: &Arc<Front<P>>,
+    commands: &Receiver<ServerCommand>,
+    shutdown_timeout: Duration,
+) {
+    let deadline_after = Span::from_micros(shutdown_timeout.as_micros() as u64) * SHUTDOWN_DEADLINE_FRACTION;
+    let begin_shutdown = || {
+        front.with(|owner, now| owner.leave(now, deadline_after));
+    };
+    let mut is_disconnected = false;
+    let mut interval = SWEEP_INTERVAL;
+    let mut sweeps: u64 = 0;
     loop {
-        match heard.recv_timeout(wait) {
-            Ok(Heard::Leave) => {
-                front.with(|owner, now| owner.leave(now, stop));
-            }
-            Ok(Heard::Counters(to)) => {
-                // Who asked may be gone.
-                let _ = to.send(front.with(|owner, _| owner.counters().to_string()));
+        match commands.recv_timeout(interval) {
+            Ok(ServerCommand::Shutdown) => begin_shutdown(),
+            Ok(ServerCommand::ReportCounters(reply)) => {
+                // Whoever asked may be gone.
+                let _ = reply.send(front.with(|owner, _| owner.counters().to_string()));
             }
-            Err(RecvTimeoutError::Disconnected) if !std::mem::replace(&mut gone, true) => {
-                front.with(|owner, now| owner.leave(now, stop));
+            Err(RecvTimeoutError::Disconnected) if !is_disconnected => {
+                is_disconnected = true;
+                begin_shutdown();
             }
-            Err(RecvTimeoutError::Disconnected) => std::thread::sleep(wait),
+            // A channel without senders returns at once.
+            Err(RecvTimeoutError::Disconnected) => std::thread::sleep(interval),
             Err(RecvTimeoutError::Timeout) => {}
         }
-        let (kill, open, now) = front.with(|owner, now| (owner.kill(), owner.tally().in_flight, now));
-        front.sweep(kill.is_some());
-        turns += 1;
-        if let Some(archive) = front.archive.as_ref().filter(|_| turns % AGED == 0) {
+        let (deadline, in_flight, now) =
+            front.with(|owner, now| (owner.kill(), owner.tally().in_flight, now));
+        front.sweep(deadline.is_some());
+        sweeps += 1;
+        if let Some(archive) = front.archive.as_ref().filter(|_| sweeps.is_multiple_of(SWEEPS_PER_EXPIRY)) {
             archive.remove_expired();
         }
-        if let Some(kill) = kill {
-            wait = LEAVING;
-            if open == 0 || now >= kill {
+        if let Some(deadline) = deadline {
+            interval = SHUTDOWN_SWEEP_INTERVAL;
+            if in_flight == 0 || now >= deadline {
                 return;
             }
         }
