--- a/crates/frontends/stream/src/lib.rs
+++ b/crates/frontends/stream/src/lib.rs
@@ -2,18 +2,18 @@
 //! with one final outcome each.
 //!
 //! The codec ([`http`], [`body_framing`], [`content_coder`]) and the proxy's state ([`body_pipe`], [`proxied_request`]) are state machines
-//! fed bytes; [`front`] is the driver; what is chosen is chosen in `lynxtally-flow` and in the module.
+//! fed bytes; [`proxy`] is the driver; what is chosen is chosen in `lynxtally-flow` and in the module.
 
 #![forbid(unsafe_code)]
 
 pub mod body_framing;
 pub mod body_pipe;
 pub mod content_coder;
-pub mod front;
 pub mod http;
 pub mod output_buffer;
 pub mod owner;
 pub mod proxied_request;
+pub mod proxy;
 pub mod server;
 pub mod settings;
 pub mod start_error;
--- a/crates/frontends/stream/src/server.rs
+++ b/crates/frontends/stream/src/server.rs
@@ -1,7 +1,7 @@
 //! A server: its listeners, the proxy behind them, and its shutdown.
 
-use crate::front::Front;
 use crate::owner::Owner;
+use crate::proxy::Proxy;
 use crate::settings::Checked;
 use crate::start_error::StartError;
 use crate::upload_archive::UploadArchive;
@@ -82,18 +82,18 @@
     let shutdown_timeout = settings.stop;
     let addresses = settings.listen.clone();
     let archive = open_archive(&settings)?;
-    let front = Front::new(settings, owner, timer, fair_yield, archive);
+    let proxy = Proxy::new(settings, owner, timer, fair_yield, archive);
     let mut listen_addresses = Vec::new();
     for address in addresses {
-        listen_addresses.push(accept_on(&front, address)?);
+        listen_addresses.push(accept_on(&proxy, address)?);
     }
-    front.turn();
+    proxy.turn();
     let (commands, received_commands) = mpsc::channel();
     let (exit_sender, exit) = mpsc::channel();
     let work = move || {
-        supervise(&front, &received_commands, shutdown_timeout);
+        supervise(&proxy, &received_commands, shutdown_timeout);
         // Whoever started the server may be gone.
-        let _ = exit_sender.send(close(&front));
+        let _ = exit_sender.send(close(&proxy));
     };
     std::thread::Builder::new().name("streams".to_owned()).spawn(work).map_err(StartError::Thread)?;
     Ok(RunningServer { commands, listen_addresses, exit })
@@ -106,24 +106,24 @@
 
 /// Listens on an address, and returns it with the port that was chosen where the setting has none.
 fn accept_on<P: Scheduler + Send + 'static>(
-    front: &Arc<Front<P>>,
+    proxy: &Arc<Proxy<P>>,
     address: SocketAddr,
 ) -> Result<SocketAddr, StartError> {
     let listen_error = |source| StartError::Listen { address, source };
     let listener = listen(address).map_err(listen_error)?;
     let listen_address = listener.local_addr().map_err(listen_error)?;
-    let front = front.clone();
-    let accept = move || front.gate.accept(listener, |stream, from| front.take(stream, from));
+    let proxy = proxy.clone();
+    let accept = move || proxy.listeners.accept(listener, |stream, from| proxy.accept(stream, from));
     spawn(STACK_WORDS, accept, |panic| error!(%panic, "no connections are taken any more"))
         .map_err(StartError::Coroutine)?;
     Ok(listen_address)
 }
 
 /// Closes the listeners and the idle connections, and sums the server up.
-fn close<P: Scheduler + Send + 'static>(front: &Arc<Front<P>>) -> ServerExit {
-    front.gate.close();
-    front.sweep(true);
-    front.with(|owner, _| {
+fn close<P: Scheduler + Send + 'static>(proxy: &Arc<Proxy<P>>) -> ServerExit {
+    proxy.listeners.close();
+    proxy.sweep(true);
+    proxy.with(|owner, _| {
         let counts = owner.tally();
         ServerExit {
             counters: owner.counters().to_string(),
@@ -135,13 +135,13 @@
 /// Sweeps and takes commands until a shutdown was asked for and everything is answered, or its deadline is over. Until
 /// then all that arrives is still read and answered: nobody who came to a listening server is left without a response.
 fn supervise<P: Scheduler + Send + 'static>(
-    front: &Arc<Front<P>>,
+    proxy: &Arc<Proxy<P>>,
     commands: &Receiver<ServerCommand>,
     shutdown_timeout: Duration,
 ) {
     let deadline_after = Span::from_micros(shutdown_timeout.as_micros() as u64) * SHUTDOWN_DEADLINE_FRACTION;
     let begin_shutdown = || {
-        front.with(|owner, now| owner.leave(now, deadline_after));
+        proxy.with(|owner, now| owner.leave(now, deadline_after));
     };
     let mut is_disconnected = false;
     let mut interval = SWEEP_INTERVAL;
@@ -151,7 +151,7 @@
             Ok(ServerCommand::Shutdown) => begin_shutdown(),
             Ok(ServerCommand::ReportCounters(reply)) => {
                 // Whoever asked may be gone.
-                let _ = reply.send(front.with(|owner, _| owner.counters().to_string()));
+                let _ = reply.send(proxy.with(|owner, _| owner.counters().to_string()));
             }
             Err(RecvTimeoutError::Disconnected) if !is_disconnected => {
                 is_disconnected = true;
@@ -162,10 +162,10 @@
             Err(RecvTimeoutError::Timeout) => {}
         }
         let (deadline, in_flight, now) =
-            front.with(|owner, now| (owner.kill(), owner.tally().in_flight, now));
-        front.sweep(deadline.is_some());
+            proxy.with(|owner, now| (owner.kill(), owner.tally().in_flight, now));
+        proxy.sweep(deadline.is_some());
         sweeps += 1;
-        if let Some(archive) = front.archive.as_ref().filter(|_| sweeps.is_multiple_of(SWEEPS_PER_EXPIRY)) {
+        if let Some(archive) = proxy.archive.as_ref().filter(|_| sweeps.is_multiple_of(SWEEPS_PER_EXPIRY)) {
             archive.remove_expired();
         }
         if let Some(deadline) = deadline {
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -3,10 +3,10 @@
 
 use crate::body_pipe::BodyPipe;
 use crate::content_coder::ContentCoder;
-use crate::front::{caller, Front, Next, Source};
 use crate::http::{BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, RequestHead, UploadState};
 use crate::owner::{Entering, Moved, Ticket};
 use crate::proxied_request::ProxiedRequest;
+use crate::proxy::{caller, AfterRequest, ArchivedBody, Proxy};
 use crate::upload_archive::{unix_seconds, ArchiveError, OperationResult, PendingOperation, UploadArchive};
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::{Refused, Upload, UploadId};
@@ -63,7 +63,7 @@
     LocalResponse { upload_state: stands, ..LocalResponse::from_error(bad) }
 }
 
-impl<P: Scheduler + Send + 'static> Front<P> {
+impl<P: Scheduler + Send + 'static> Proxy<P> {
     /// Whether a message begins an upload that can be gone on with, or is about one.
     pub(crate) fn is_upload(&self, asked: &RequestHead) -> bool {
         let begins = asked.known.upload.complete.is_some()
@@ -73,16 +73,22 @@
     }
 
     /// Answers with words of our own, and ends the connection where something of the body is still to come.
-    fn say(&self, socket: &Arc<Socket>, asked: &RequestHead, own: &LocalResponse, whole: bool) -> Next {
+    fn say(
+        &self,
+        socket: &Arc<Socket>,
+        asked: &RequestHead,
+        own: &LocalResponse,
+        whole: bool,
+    ) -> AfterRequest {
         let last = asked.closes_connection() || !whole;
         let mut out = Vec::new();
         own.write(&mut out, ConnectionUse::closing_if(last), BodyUse::for_request(asked.is_head()));
         if last {
-            return Next::Close(self.last_words(socket, &out));
+            return AfterRequest::Close(self.send_last_response(socket, &out));
         }
         match self.put(socket, &out) {
-            Ok(()) => Next::Message,
-            Err(end) => Next::Close(end),
+            Ok(()) => AfterRequest::NextRequest,
+            Err(end) => AfterRequest::Close(end),
         }
     }
 
@@ -105,7 +111,7 @@
         from: IpAddr,
         asked: RequestHead,
         came: &mut Vec<u8>,
-    ) -> Next {
+    ) -> AfterRequest {
         let whole = asked.framing == Framing::Empty;
         let bad = |bad: MessageError| {
             lock(&self.owner).hall.counts.bad += 1;
@@ -146,7 +152,7 @@
             }
             if socket.is_broken() {
                 self.with(|owner, now| owner.gone(now, &ticket));
-                return Next::Close(CloseReason::Reset);
+                return AfterRequest::Close(CloseReason::Reset);
             }
             socket.wait();
         }
@@ -187,7 +193,7 @@
         ticket: &Arc<Ticket>,
         asked: &RequestHead,
         came: &mut Vec<u8>,
-    ) -> Next {
+    ) -> AfterRequest {
         let id = rand::rng().random::<UploadId>();
         let complete = asked.known.upload.complete == Some(true);
         let length = asked.known.upload.length.or(match asked.framing {
@@ -233,7 +239,7 @@
         }
         if let Err(end) = self.put(socket, &out) {
             self.with(|owner, now| owner.gone(now, ticket));
-            return Next::Close(end);
+            return AfterRequest::Close(end);
         }
         let doing = Doing { archive, socket, ticket, id, holder, sum: 0 };
         self.store(doing, asked, came, 201)
@@ -248,7 +254,7 @@
         id: UploadId,
         asked: &RequestHead,
         came: &mut Vec<u8>,
-    ) -> Next {
+    ) -> AfterRequest {
         let upload = asked.known.upload;
         let (Some(offset), Some(complete)) = (upload.offset, upload.complete) else {
             let bad = MessageError::InvalidField(if upload.offset.is_none() {
@@ -304,7 +310,7 @@
         asked: &RequestHead,
         own: &LocalResponse,
         end: RunEnd,
-    ) -> Next {
+    ) -> AfterRequest {
         self.with(|owner, now| owner.ended(now, ticket, end));
         self.say(socket, asked, own, asked.framing == Framing::Empty)
     }
@@ -338,7 +344,7 @@
         asked: &RequestHead,
         came: &mut Vec<u8>,
         status: u16,
-    ) -> Next {
+    ) -> AfterRequest {
         let (archive, socket, ticket, id) = (doing.archive, doing.socket, doing.ticket, doing.id);
         let mut pipe = BodyPipe::new(asked.framing, Framing::Close, ContentCoder::identity());
         let mut stored = self.take_in(&mut doing, &mut pipe, asked, came);
@@ -359,7 +365,7 @@
         let own = match (stored, lasts) {
             (Stored::Gone(end), _) => {
                 self.with(|owner, now| owner.gone(now, ticket));
-                return Next::Close(end);
+                return AfterRequest::Close(end);
             }
             (_, Err(what)) => LocalResponse::new(500, what.to_string()),
             (Stored::Own(own), _) => own,
@@ -509,7 +515,7 @@
         ticket: &Arc<Ticket>,
         id: UploadId,
         came: &mut Vec<u8>,
-    ) -> Next {
+    ) -> AfterRequest {
         let known = lock(&archive.uploads).get(id).map(|upload| (upload.what.clone(), upload.offset));
         let asked = known.and_then(|(mut what, length)| {
             // The head that was kept lacks only its end.
@@ -523,16 +529,22 @@
         });
         match made {
             Ok((relay, end)) => {
-                let source =
-                    Source { archive: archive.clone(), id, at: 0, end, ready: Vec::new(), awaited: None };
-                self.exchange(socket, ticket, relay, Some(source), Some(end), came)
+                let source = ArchivedBody {
+                    archive: archive.clone(),
+                    id,
+                    at: 0,
+                    end,
+                    ready: Vec::new(),
+                    awaited: None,
+                };
+                self.run_exchange(socket, ticket, relay, Some(source), Some(end), came)
             }
             Err(bad) => {
                 archive.remove(id);
                 self.with(|owner, now| owner.ended(now, ticket, RunEnd::Failed));
                 let mut out = Vec::new();
                 LocalResponse::from_error(bad).write(&mut out, ConnectionUse::Close, BodyUse::Included);
-                Next::Close(self.last_words(socket, &out))
+                AfterRequest::Close(self.send_last_response(socket, &out))
             }
         }
     }
