--- a/crates/core/engine/src/engine.rs
+++ b/crates/core/engine/src/engine.rs
@@ -135,7 +135,7 @@
     ) -> Result<RequestId, Rejection<F>> {
         self.counts.received += 1;
         let rejection = if self.scheduler.is_none() {
-            Some(RejectionReason::NotStarted)
+            Some(RejectionReason::NotReady)
         } else if name.is_some_and(|name| self.ids.find(name).is_some()) {
             Some(RejectionReason::NameInUse)
         } else {
--- a/crates/core/engine/src/request.rs
+++ b/crates/core/engine/src/request.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
     /// There is no scheduler yet. The frontend responds that it was rejected.
-    NotStarted,
+    NotReady,
     /// Its name is in use by another request. The frontend responds that it was rejected where the request is idempotent;
     /// else that it failed, as its caller may take it for the other one, which may be executed.
     NameInUse,
--- a/crates/lynxtally-coordinator/src/error.rs
+++ b/crates/lynxtally-coordinator/src/error.rs
@@ -36,7 +36,7 @@
                  back the folder that it had"
             ),
             Self::Diverged => {
-                f.write_str("the state here is not the leader's; the log says where they differ")
+                f.write_str("the state here is not the leader's; the log line before this has the index and the digest")
             }
         }
     }
--- a/crates/lynxtally-node/src/event_loop/requests.rs
+++ b/crates/lynxtally-node/src/event_loop/requests.rs
@@ -53,7 +53,7 @@
         }
         self.counters.requests_refused.add();
         let was_not_executed = match reason {
-            RejectionReason::NotStarted => true,
+            RejectionReason::NotReady => true,
             RejectionReason::NameInUse => effect == Effect::Idempotent,
             RejectionReason::KeyConflict => false,
         };
