--- a/crates/core/zones/src/rate_limit.rs
+++ b/crates/core/zones/src/rate_limit.rs
@@ -1,5 +1,5 @@
-//! Who asks how much, by prefix, in memory that does not grow with the number of askers: a count-min sketch
-//! that fades. Source: G. Cormode, S. Muthukrishnan, "An improved data stream summary: the count-min sketch and
+//! Request rate limit by the prefix of the client's address, in memory that does not grow with the number of clients:
+//! a count-min sketch that fades. Source: G. Cormode, S. Muthukrishnan, "An improved data stream summary: the count-min sketch and
 //! its applications" (2005), with conservative updates (C. Estan, G. Varghese, 2002).
 
 use lynxtally::{Instant, Span};
@@ -102,8 +102,8 @@
     }
 }
 
-/// Whether a prefix asks for more than its share: then what it asks has the lowest utility, so that it is
-/// answered only with what the others leave.
+/// Finds the prefixes that send more than their share of the requests. Such a request is not refused: it gets the
+/// lowest utility, so that it is answered only with the capacity that the others leave.
 #[derive(Clone, Debug)]
 pub struct RequestRateLimit {
     sketch: CountMinSketch,
--- a/crates/core/zones/src/zone_store/mod.rs
+++ b/crates/core/zones/src/zone_store/mod.rs
@@ -15,18 +15,17 @@
 };
 pub use reload::{PreparedReload, ReloadConflict, ReloadError, ReloadInput};
 
-use crate::change::{between, between_at, Change, ChangeError, ChangeHistory};
+use crate::change::{between, Change, ChangeError, ChangeHistory};
 use crate::lease::{LeaseExpiry, LeaseLimits, LeaseTable};
 use crate::name::Name;
 use crate::record::Record;
 use crate::record_type::RecordType;
 use crate::serial::Serial;
-use crate::update::{serial_after, Grant, Update, UpdateError, UpdateOperation};
+use crate::update::{Grant, Update, UpdateError, UpdateOperation};
 use crate::zone::Zone;
 use known_updates::KnownUpdates;
 use lynxtally::{Instant, Span};
-use reload::merge_changes;
-use std::collections::{BTreeSet, VecDeque};
+use std::collections::VecDeque;
 use std::fmt;
 use std::sync::Arc;
 
@@ -402,81 +401,4 @@
         self.latest = (*self.current).clone();
         self.freeze(FreezeReason::LogFailed(why));
     }
-
-    /// What making a new base ready needs.
-    pub fn reload_input(&self) -> ReloadInput {
-        ReloadInput { base: self.base.clone(), latest: self.latest.clone() }
-    }
-
-    /// Takes a new base over: what was accepted since it was made ready is put on too, and all of it is the next
-    /// version. Costs as much as was accepted meanwhile. The versions that are not needed any more come out: to
-    /// let go of them may take long.
-    pub fn reload(
-        &mut self,
-        base_file: String,
-        ready: PreparedReload,
-    ) -> (ZoneLogEntry, Vec<ReloadConflict>, Vec<Zone>) {
-        let mut conflicts = ready.conflicts.clone();
-        let retired = vec![self.base.clone(), self.latest.clone(), ready.seen.clone()];
-        let since = if ready.seen.is_same(&self.latest) {
-            Change { from: self.latest.serial(), to: self.latest.serial(), ..Change::default() }
-        } else {
-            between(&ready.seen, &self.latest)
-        };
-        // Never back, whatever the file says.
-        let serial = serial_after(self.latest.serial(), ready.base.serial());
-        self.install_base(base_file.clone(), ready, since.clone(), serial, &mut conflicts);
-        (ZoneLogEntry::Based { base: base_file, serial, since }, conflicts, retired)
-    }
-
-    fn install_base(
-        &mut self,
-        file: String,
-        ready: PreparedReload,
-        since: Change,
-        serial: Serial,
-        conflicts: &mut Vec<ReloadConflict>,
-    ) {
-        let PreparedReload { base, mut merged, change, .. } = ready;
-        merge_changes(&mut merged, &since, None, conflicts);
-        merged.renumber(serial);
-        // Where nothing was accepted meanwhile the change stands as it is; else it is looked at anew, at the
-        // names that are touched, of which the apex with its serial always is one.
-        let mut touched: BTreeSet<&Name> = since.names().collect();
-        touched.insert(merged.apex());
-        let same = |record: &Record| !touched.contains(&record.name);
-        let mut whole = between_at(&self.latest, &merged, touched.iter().copied());
-        whole.removed.extend(change.removed.into_iter().filter(same));
-        whole.added.extend(change.added.into_iter().filter(same));
-        self.base = base;
-        self.base_file = file;
-        self.latest = merged;
-        self.reload_change = Some(Arc::new(whole));
-    }
-
-    /// A whole version from the primary is the next one, and the base too.
-    pub fn replace_from_primary(
-        &mut self,
-        base_file: String,
-        version: Zone,
-        change: Change,
-    ) -> (ZoneLogEntry, Vec<Zone>) {
-        let retired = vec![self.base.clone(), self.latest.clone()];
-        self.base = version.clone();
-        self.base_file = base_file.clone();
-        self.latest = version;
-        self.reload_change = Some(Arc::new(change));
-        (ZoneLogEntry::Followed { base: base_file }, retired)
-    }
-
-    /// Changes from the primary lead to the next version; the base stays.
-    pub fn apply_from_primary(&mut self, changes: &[Change]) -> Result<ZoneLogEntry, ChangeError> {
-        let mut next = self.latest.clone();
-        for change in changes {
-            next = change.apply(&next)?;
-        }
-        let change = between(&self.latest, &next);
-        self.latest = next;
-        Ok(ZoneLogEntry::Changed { change, update_id: None, lease: 0, kept: Vec::new() })
-    }
 }
--- a/crates/core/zones/tests/updates.rs
+++ b/crates/core/zones/tests/updates.rs
@@ -1,4 +1,4 @@
-//! Updates by RFC 2136, and the keeper of a zone through rereads, repeats, lapses and losses of power.
+//! Updates by RFC 2136, and the zone store through reloads, repeats, expired leases and losses of power.
 
 use lynxtally::{Instant, Span};
 use lynxtally_test_doubles::storage::{MemoryStorage, UNSYNCED};
@@ -291,7 +291,7 @@
     assert_eq!(store.reload_input().prepare(store.base().clone()).expect_err("the same"), ReloadError::Same);
 }
 
-/// A keeper and its journal on a disk.
+/// A zone store and its log on a disk.
 struct Kept {
     store: ZoneStore,
     journal: WriteAheadLog,
--- a/crates/frontends/dns/src/serving.rs
+++ b/crates/frontends/dns/src/serving.rs
@@ -417,7 +417,7 @@
         batches.filter_map(|(at, zone)| Some((at, zone.journal.take_batch()?))).collect()
     }
 
-    /// Begins a generation of the log where it is long and all of it is durable; the keeper goes out as it
+    /// Begins a generation of the log where it is long and all of it is durable; the store goes out as it
     /// stands, for the snapshot. What waited for that is judged.
     pub fn rotate(&mut self, at: usize, asked: bool) -> Option<(Rotation, ZoneStore)> {
         let (log_most, zone) = (self.log_most, &mut self.zones[at]);
--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -431,7 +431,7 @@
         Ok(())
     }
 
-    /// What a zone's keeper is held to.
+    /// The limits of a zone's store.
     pub fn zone_store_limits(&self) -> zone_store::ZoneStoreLimits {
         let mut limits = zone_store::ZoneStoreLimits {
             history: self.history,
