--- a/crates/core/zones/src/record_data.rs
+++ b/crates/core/zones/src/record_data.rs
@@ -1,7 +1,7 @@
 //! The data of resource records: read from text, checked in wire form and written as text (RFC 1035 section 5.1). Data
 //! of a type that is not in the table of [`RecordType`] is opaque and written as RFC 3597 says.
 
-use crate::name::{escape, write_text, Name};
+use crate::name::{escape, write_text, Name, NameError};
 use crate::record_type::{Field, RecordType};
 use std::fmt::{self, Write};
 use std::net::{Ipv4Addr, Ipv6Addr};
@@ -69,9 +69,32 @@
     text.parse::<u64>().ok().and_then(|value| T::try_from(value).ok())
 }
 
-fn string(out: &mut Vec<u8>, text: &[u8]) -> Result<(), &'static str> {
-    let octets = octets(text).ok_or("a backslash that begins no escape")?;
-    let length = u8::try_from(octets.len()).map_err(|_| "a string of over 255 octets")?;
+/// Why a word is not what its field takes.
+enum FieldError {
+    /// A backslash that begins no escape.
+    Escape,
+    /// A string that does not fit its length octet.
+    LongString,
+    /// No name: why, and the word.
+    Name(NameError, String),
+    /// Not what the field takes: the word, and what that is.
+    Not(String, &'static str),
+}
+
+impl fmt::Display for FieldError {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
+        match self {
+            Self::Escape => f.write_str("a backslash that begins no escape"),
+            Self::LongString => f.write_str("a string of over 255 octets"),
+            Self::Name(fault, word) => write!(f, "{fault}: {word:?}"),
+            Self::Not(word, what) => write!(f, "{word:?} is no {what}"),
+        }
+    }
+}
+
+fn string(out: &mut Vec<u8>, text: &[u8]) -> Result<(), FieldError> {
+    let octets = octets(text).ok_or(FieldError::Escape)?;
+    let length = u8::try_from(octets.len()).map_err(|_| FieldError::LongString)?;
     out.push(length);
     out.extend_from_slice(&octets);
     Ok(())
@@ -83,13 +106,13 @@
 
 impl Field {
     /// Reads one word into octets.
-    fn read(self, word: Token, origin: Option<&Name>, out: &mut Vec<u8>) -> Result<(), String> {
+    fn read(self, word: Token, origin: Option<&Name>, out: &mut Vec<u8>) -> Result<(), FieldError> {
         let text = word.text;
         let shown = || String::from_utf8_lossy(text).into_owned();
-        let none = |what: &str| format!("{:?} is no {what}", shown());
+        let none = |what: &'static str| FieldError::Not(shown(), what);
         match self {
             Self::Name => {
-                let name = Name::parse(text, origin).map_err(|bad| format!("{bad}: {:?}", shown()))?;
+                let name = Name::parse(text, origin).map_err(|fault| FieldError::Name(fault, shown()))?;
                 out.extend_from_slice(name.wire());
             }
             Self::U8 => out.push(number(text).ok_or_else(|| none("number from 0 to 255"))?),
@@ -121,7 +144,7 @@
                 string(out, text)?;
             }
             Self::Bare => {
-                out.extend(octets(text).ok_or_else(|| "a backslash that begins no escape".to_owned())?);
+                out.extend(octets(text).ok_or(FieldError::Escape)?);
             }
             Self::Base64 | Self::Hex => unreachable!("read with all words that are left"),
         }
@@ -233,13 +256,15 @@
                         return Err(missing());
                     }
                     while at < words.len() {
-                        field.read(words[at], origin, &mut out).map_err(|what| bad(at, what))?;
+                        field
+                            .read(words[at], origin, &mut out)
+                            .map_err(|fault| bad(at, fault.to_string()))?;
                         at += 1;
                     }
                 }
                 _ => {
                     let word = *words.get(at).ok_or_else(missing)?;
-                    field.read(word, origin, &mut out).map_err(|what| bad(at, what))?;
+                    field.read(word, origin, &mut out).map_err(|fault| bad(at, fault.to_string()))?;
                     at += 1;
                 }
             }
