--- a/crates/frontends/stream/src/proxy/client_connection.rs
+++ b/crates/frontends/stream/src/proxy/client_connection.rs
@@ -63,9 +63,7 @@
                 Err(Ok(end)) => return end,
                 Err(Err(bad)) => {
                     lock(&self.owner).hall.counts.bad += 1;
-                    let mut out = Vec::new();
-                    LocalResponse::from_error(bad).write(&mut out, ConnectionUse::Close, BodyUse::Included);
-                    return self.send_last_response(socket, &out);
+                    return self.close_with(socket, &LocalResponse::from_error(bad));
                 }
             };
             self.connections.set_idle(number, false);
@@ -138,6 +136,13 @@
         }
     }
 
+    /// Ends a connection with a response of the proxy's own.
+    pub(crate) fn close_with(&self, socket: &Arc<Socket>, response: &LocalResponse) -> CloseReason {
+        let mut out = Vec::new();
+        response.write(&mut out, ConnectionUse::Close, BodyUse::Included);
+        self.send_last_response(socket, &out)
+    }
+
     /// Writes the last response of a connection, and reads on for a while: if the connection were closed over unread input,
     /// the reset would make the client lose the response.
     pub(crate) fn send_last_response(&self, socket: &Arc<Socket>, out: &[u8]) -> CloseReason {
@@ -193,17 +198,13 @@
             Ok(made) => made,
             Err(bad) => {
                 lock(&self.owner).hall.counts.bad += 1;
-                let mut out = Vec::new();
-                LocalResponse::from_error(bad).write(&mut out, ConnectionUse::Close, BodyUse::Included);
-                return AfterRequest::Close(self.send_last_response(socket, &out));
+                return AfterRequest::Close(self.close_with(socket, &LocalResponse::from_error(bad)));
             }
         };
         let ticket = Arc::new(Ticket::new(stage, socket.waker()));
         let entering = Entering { customer, mark, told, caller: caller(from) };
         if !self.with(|owner, now| owner.enter(now, &ticket, entering)) {
-            let mut out = Vec::new();
-            LocalResponse::new(503, "not taken").write(&mut out, ConnectionUse::Close, BodyUse::Included);
-            return AfterRequest::Close(self.send_last_response(socket, &out));
+            return AfterRequest::Close(self.close_with(socket, &LocalResponse::new(503, "not taken")));
         }
         self.run_exchange(socket, &ticket, proxied, None, told, came)
     }
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/uploading.rs
@@ -542,9 +542,7 @@
             Err(bad) => {
                 archive.remove(id);
                 self.with(|owner, now| owner.ended(now, ticket, RunEnd::Failed));
-                let mut out = Vec::new();
-                LocalResponse::from_error(bad).write(&mut out, ConnectionUse::Close, BodyUse::Included);
-                AfterRequest::Close(self.send_last_response(socket, &out))
+                AfterRequest::Close(self.close_with(socket, &LocalResponse::from_error(bad)))
             }
         }
     }
