--- a/crates/core/coordination/src/budgets/mod.rs
+++ b/crates/core/coordination/src/budgets/mod.rs
@@ -15,6 +15,10 @@
 //! clock drift and the pause margin have passed here ([`surely_over_at`](crate::clock::surely_over_at)). A process
 //! whose name another has taken is fenced: it gets no new lease, and what it holds counts until then as well.
 //!
+//! Four states of an amount: *in force* at the node, which may start things under it now; *in use*, with what was started
+//! under earlier leases and still runs; *outstanding* here, the most that may be in use; *surely over*, when nothing can be
+//! in use any more and the units are free.
+//!
 //! How much each holder *should* have ([`division`], [`rotation`]) decides only how well the capacity is used, never
 //! whether it is kept.
 
--- a/crates/core/coordination/src/clock.rs
+++ b/crates/core/coordination/src/clock.rs
@@ -44,7 +44,7 @@
     /// Follows the timestamp of an entry that was written in `entry_term`.
     ///
     /// A timestamp and an entry of one term come from one leader that led all the time between them. What stands in
-    /// the log of earlier terms was written before that leader's first look at its clock, so no more is counted from
+    /// the log of earlier terms was written before that leader's first clock reading, so no more is counted from
     /// there on than really passed.
     pub fn follow(&mut self, entry_term: u64, timestamp: Timestamp) -> Result<(), TermMismatch> {
         if timestamp.term != entry_term || entry_term < self.term {
@@ -70,7 +70,7 @@
 ///
 /// The node counts the duration from before it first sent its request; the leader looked at its clock after that. Both
 /// the duration and the longest time in flight are extended by what the two clocks may drift apart, rounded up, and a
-/// margin is added for a pause of the node between its look at the clock and what it starts then.
+/// margin is added for a pause of the node between its clock reading and what it starts then.
 pub(crate) fn surely_over_at(
     now: Instant,
     duration_us: u64,
--- a/crates/core/lease-client/src/client.rs
+++ b/crates/core/lease-client/src/client.rs
@@ -26,7 +26,7 @@
 pub struct LeaseClient {
     settings: Settings,
     random: Pcg,
-    /// The latest look at the clock.
+    /// The latest clock reading.
     now: Instant,
     session: SessionState,
     budgets: Vec<LeasedBudget>,
@@ -66,7 +66,7 @@
     }
 
     /// Time has passed: leases and reservations that expired are not in force any more. To be called before anything
-    /// is started, with a look at the clock that is no older than the turn; see the safety rule of this package.
+    /// is started, with a clock reading of the present pass of the loop; see the safety rule of this package.
     pub fn advance(&mut self, now: Instant) {
         self.now = self.now.max(now);
         for (budget, leased) in self.budgets.iter_mut().enumerate() {
@@ -97,7 +97,7 @@
     }
 
     /// What is in use of a budget, with what was cancelled and still runs, and what was requested and started so far.
-    /// To be told in the turn in which something was started, before a request is sent.
+    /// To be told in the pass in which something was started, before a request is sent.
     pub fn report_usage(&mut self, budget: usize, in_use: u64, counts: UsageCounts) {
         let fading = self.demand_fading();
         let Some(leased) = self.budgets.get_mut(budget) else { return };
@@ -109,7 +109,7 @@
         }
     }
 
-    /// What was done with a wallet. To be told in the turn in which it changed, before a request is sent.
+    /// What was done with a wallet. To be told in the pass in which it changed, before a request is sent.
     pub fn report_wallet_usage(&mut self, wallet: usize, usage: WalletUsage) {
         let Some(reserved) = self.wallets.get_mut(wallet) else { return };
         if reserved.report_usage(usage) {
--- a/crates/lynxtally-coordinator/src/leader.rs
+++ b/crates/lynxtally-coordinator/src/leader.rs
@@ -93,7 +93,7 @@
     async fn write(&self, command: Command) -> Result<Output, WriteError> {
         for _ in 0..MAX_WRITE_ATTEMPTS {
             // The term before the clock: then a timestamp and an entry of one term mean that this replica led in it
-            // from the look at the clock on, which the clock of the state relies on.
+            // from the clock reading on, which the clock of the state relies on.
             let Some(term) = self.leading_term() else {
                 return Err(WriteError::NotLeader { leader: self.current_leader() });
             };
--- a/crates/lynxtally-node/src/coordination/mod.rs
+++ b/crates/lynxtally-node/src/coordination/mod.rs
@@ -35,7 +35,7 @@
     quotas_told: bool,
     /// Whether the engine has been told any reservations.
     reservations_told: bool,
-    /// The clock at the last look, in this turn.
+    /// The clock reading of this pass of the event loop.
     now: Instant,
 }
 
@@ -47,8 +47,8 @@
         Self { client, sender, settings, quotas_told: false, reservations_told: false, now }
     }
 
-    /// Before anything is decided in a turn: looks at the clock, and tells the engine what is in force now. This look
-    /// is what keeps a node that was paused from starting anything under a lease that expired meanwhile.
+    /// Before anything is decided in a pass of the event loop: reads the clock, and tells the engine what is in force now.
+    /// This keeps a node that was paused from starting anything under a lease that expired meanwhile.
     pub fn apply_leases<W, F, D: Copy + Ord>(&mut self, now: Instant, engine: &mut Engine<Policy, W, F, D>) {
         self.now = boot_clock();
         self.client.advance(self.now);
@@ -129,7 +129,7 @@
         }
     }
 
-    /// After a turn's decisions: tells the lease client what is in use, and has the request sent that is due.
+    /// After the decisions of a pass: tells the lease client what is in use, and has the request sent that is due.
     pub fn report_and_send<W, F, D: Copy + Ord>(&mut self, engine: &mut Engine<Policy, W, F, D>) {
         self.report_usage(engine);
         if let Some(request) = self.client.next_request(self.now) {
@@ -144,7 +144,7 @@
         token: u64,
         response: Option<NodeResponse>,
     ) {
-        // Requests may have been admitted earlier in this turn: units that they hold must not be returned as idle.
+        // Requests may have been admitted earlier in this pass: units that they hold must not be returned as idle.
         self.report_usage(engine);
         self.client.on_response(boot_clock(), token, response);
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,5 @@
-//! All decisions of lynxtally, a file for each question.
+//! All decisions of lynxtally, a file for each question. Utility, demand and rate are the terms of the paper
+//! "SLICE: SLO-Driven Scheduling for LLM Inference on Edge Computing Devices" (docs/design.md).
 //!
 //! A host makes one [`Policy`] for a backend, gives it each thing that happens with [`Policy::handle`], and
 //! after the events of one moment calls [`Policy::decide`], which adds the actions to be carried out.
