--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -75,7 +75,7 @@
 }
 
 fn spec(path: &Path) -> Result<Spec, String> {
-    let spec: Spec = lynxtally_template::read(path)?;
+    let spec: Spec = lynxtally_template::read(path).map_err(|error| error.to_string())?;
     spec.check().map_err(|fault| format!("{}: {fault}", path.display()))?;
     Ok(spec)
 }
--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -167,7 +167,7 @@
 
 /// Reads and checks the settings of a names server.
 pub fn settings(path: &Path) -> Result<Checked, String> {
-    let file: settings::File = lynxtally_template::read(path)?;
+    let file: settings::File = lynxtally_template::read(path).map_err(|error| error.to_string())?;
     file.check().map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -32,7 +32,7 @@
 
 /// Reads and checks the settings of a stream server.
 pub fn settings(path: &Path) -> Result<Checked, String> {
-    let file: File = lynxtally_template::read(path)?;
+    let file: File = lynxtally_template::read(path).map_err(|error| error.to_string())?;
     file.check().map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
--- a/crates/lynxtally-coordinator/src/settings.rs
+++ b/crates/lynxtally-coordinator/src/settings.rs
@@ -1,5 +1,6 @@
 //! The settings of a coordinator: a Jsonnet template, read and checked here and nowhere else.
 
+use lynxtally_template::TemplateError;
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
@@ -35,7 +36,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
     /// The template can't be evaluated, or has not the expected form.
-    Template(String),
+    Template(TemplateError),
     /// A value is not allowed.
     Invalid {
         /// The file.
@@ -68,7 +69,7 @@
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Template(reason) => f.write_str(reason),
+            Self::Template(error) => error.fmt(f),
             Self::Invalid { file, key, problem } => write!(f, "{}: `{key}` {problem}", file.display()),
         }
     }
@@ -119,8 +120,7 @@
 /// # Errors
 /// The file, the key and what is wrong with it.
 pub fn read(path: &Path) -> Result<Settings, SettingsError> {
-    let file: File =
-        lynxtally_template::read(path).map_err(|error| SettingsError::Template(error.to_string()))?;
+    let file: File = lynxtally_template::read(path).map_err(SettingsError::Template)?;
     if let Err((key, problem)) = check(&file) {
         return Err(SettingsError::Invalid { file: path.to_owned(), key, problem });
     }
