--- a/crates/core/lease-client/src/client.rs
+++ b/crates/core/lease-client/src/client.rs
@@ -39,7 +39,7 @@
     /// When the next request is due, unless one is under way.
     next_request_at: Instant,
     events: Vec<Event>,
-    /// The node starts nothing more.
+    /// The node drains: it asks for nothing more.
     leaving: bool,
 }
 
@@ -130,7 +130,8 @@
         self.applied_document = AppliedDocument { index, version };
     }
 
-    /// The node starts nothing more. Once nothing is in use the session is ended.
+    /// The node drains: it asks for nothing more, and uses what it has until nothing is in use. Then the session is ended,
+    /// and with the request that says so nothing is in force here any more.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.next_request_at = self.next_request_at.min(self.now);
@@ -194,6 +195,9 @@
                 request.wallets = self.wallet_reports();
                 if request.ends_session {
                     self.session = SessionState::Leaving { incarnation };
+                    // The coordinators grant everything to others as soon as they apply this request, long before its
+                    // response is here. A drain may still start requests: none of them may use what is given back.
+                    self.drop_all();
                 } else {
                     request.budgets = self.budget_reports();
                 }
