--- a/crates/core/coordination/src/members/mod.rs
+++ b/crates/core/coordination/src/members/mod.rs
@@ -65,7 +65,7 @@
 }
 
 /// The members. A process is one until it ends its session, another takes its name, or it was suspected and silent
-/// for so long that nothing it held can be in use.
+/// for an hour. What it held counts on in the budgets until it is surely over.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub(crate) struct Members {
     #[serde(rename = "all")]
--- a/crates/core/engine/src/counts.rs
+++ b/crates/core/engine/src/counts.rs
@@ -8,7 +8,7 @@
     pub received: u64,
     /// Responded to with a result.
     pub completed: u64,
-    /// Responded to that they were never executed.
+    /// Responded to that they had no effect here, and those not accepted before the scheduler or under a name in use.
     pub rejected: u64,
     /// Responded to that they failed.
     pub failed: u64,
--- a/crates/core/engine/src/engine.rs
+++ b/crates/core/engine/src/engine.rs
@@ -244,7 +244,8 @@
         if let Some(number) = open.call_number.take() {
             executor.cancel_call(&mut open.work, number);
         }
-        // A stopped run may be resumed later: its duplicates wait on.
+        // A scheduler may resume a stopped run, so its duplicates wait on; lynxtally's policy never does, and they get their
+        // own deadline's response.
         if let Some(key) = open.idempotency_key.clone().filter(|_| end != RunEnd::Stopped) {
             let result = if let RunEnd::Completed(result) = &end { Some(&result[..]) } else { None };
             let settled = self.deduplication.run_ended(&key, request, result);
--- a/crates/core/wal/src/frame.rs
+++ b/crates/core/wal/src/frame.rs
@@ -7,7 +7,8 @@
 const SEALED_MAGIC: &[u8; 8] = b"LXTSNP\x001";
 /// Length (4 bytes), CRC (4) and number (8) before a frame's content, all little-endian.
 const HEADER_BYTES: usize = 4 + 4 + 8;
-/// The content of a frame is no longer than this; more can only be damage.
+/// The content of a frame is no longer than this: a reader takes more for damage. Writers keep far below it; that is not
+/// checked here.
 const MAX_CONTENT_BYTES: usize = 256 << 20;
 /// Numbers that lie further apart than this do not belong to one log.
 const MAX_NUMBER_GAP: u64 = 1 << 32;
--- a/crates/core/wal/src/recovery.rs
+++ b/crates/core/wal/src/recovery.rs
@@ -1,7 +1,9 @@
 //! Reads a log back: the newest whole snapshot, and the entries after it.
 //!
-//! The rule: what breaks off at the end of the newest log was never acknowledged, and is a torn tail that is cut off.
-//! Anything else is damage: reading ends there, and nothing may be appended before an operator has looked.
+//! The rule: an unreadable end of the newest log with no whole entry behind it is taken for a torn tail, which a write that
+//! was not synced leaves: it was never acknowledged, and is cut off. A flipped bit in a synced last entry looks the same and
+//! can't be told from it. Anything else in the logs is damage: reading ends there, and nothing may be appended before an
+//! operator has looked. In place of a damaged snapshot an older one is taken, where the logs reach back to it.
 
 use crate::files::{file_name, generations, is_snapshot, FileKind};
 use crate::frame::{any_frame, read_frame, unseal, LOG_MAGIC};
@@ -30,7 +32,7 @@
     MissingEntries,
     /// An entry has a lower number than the one before.
     EntryOutOfOrder,
-    /// An entry's checksum is wrong, and whole entries follow.
+    /// An entry can't be read, and whole entries follow or it is not in the newest log.
     Checksum,
 }
 
--- a/crates/lynxtally-coordinator/src/leader.rs
+++ b/crates/lynxtally-coordinator/src/leader.rs
@@ -115,7 +115,7 @@
     /// Applies a node's request.
     ///
     /// # Errors
-    /// Another coordinator leads, or none.
+    /// Another coordinator leads, or none, or the replication ended.
     pub async fn node_request(&self, request: NodeRequest) -> Result<NodeResponse, WriteError> {
         let name = request.name.clone();
         let ends_session = request.ends_session;
--- a/crates/lynxtally-coordinator/src/store/storage_thread.rs
+++ b/crates/lynxtally-coordinator/src/store/storage_thread.rs
@@ -70,7 +70,8 @@
 /// Opens a folder and starts its thread.
 ///
 /// # Errors
-/// The folder fails, or holds something that can't be trusted: nothing is changed then.
+/// The folder fails, or holds something that can't be trusted: nothing but a torn tail of the log, which is cut off and kept
+/// in a file beside it, is changed then.
 pub fn open(mut folder: impl Storage + Send + 'static) -> Result<OpenedStore, StoreError> {
     let (wal, recovered) = WriteAheadLog::open(&mut folder, LOG_NAME).map_err(StoreError::Storage)?;
     let Recovered { snapshot, entries, torn_tail, damage } = recovered;
--- a/crates/lynxtally-coordinator/src/suspicion.rs
+++ b/crates/lynxtally-coordinator/src/suspicion.rs
@@ -1,4 +1,5 @@
-//! Which members the leader hears nothing of. Suspicion decides only whose demand counts, never who may use what.
+//! Which members the leader hears nothing of. Suspicion decides only whose demand counts, never who may use what; a member
+//! that is suspected for an hour on end is forgotten, and joins anew when it speaks again.
 
 use lynxtally::{Instant, Span};
 use lynxtally_coordination::Member;
--- a/src/event.rs
+++ b/src/event.rs
@@ -61,7 +61,7 @@
     Responded,
     /// It was stopped, or ended because nobody waits.
     Cancelled,
-    /// Nothing was started: the request was over.
+    /// Nothing was started: the request was over, the executor refused it, or nobody was available to execute it.
     NotStarted,
 }
 
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -18,7 +18,7 @@
     pub size: f64,
     last_cut: Instant,
     paused_until: Instant,
-    /// The mean time of a call, in seconds; 0 until one ended.
+    /// The mean time of a call, in seconds; 0 until one ended. Only failures that took longer raise it.
     pub usual_call_secs: f64,
 }
 
--- a/src/request.rs
+++ b/src/request.rs
@@ -17,7 +17,8 @@
     Calling,
     /// Waits for the response of the request that it duplicates.
     Coalesced,
-    /// Answered and off the cores, but holding a run's memory until the host reports that the run ended.
+    /// Answered, or without a caller, and off the cores, but holding a run's memory until the host reports that the run
+    /// ended.
     Finishing,
     /// Over. It keeps its index while its idempotency key is retained.
     #[default]
