--- a/src/cost_model.rs
+++ b/src/cost_model.rs
@@ -1,24 +1,25 @@
-//! Estimates of what a run of each class costs: moving averages, proportional to the request's expected work.
+//! Estimates the cost of a run by request class, as moving averages. The cost is taken to be proportional to the
+//! expected work of the request.
 
-/// What is known of a class's runs, as means.
+/// Moving averages over the runs of a class.
 pub(crate) struct ClassEstimate {
-    /// Core time, in seconds.
+    /// Core time of a run, in seconds.
     cost_secs: f64,
-    /// The work, in the unit of `Request::work`, that had this cost.
+    /// Work of a run, in the unit of `Request::work`.
     work: f64,
-    /// Time in the run off the cores, in seconds: waits for calls and for a core.
+    /// Time of a run off the cores, waiting for calls or a core, in seconds.
     wait_secs: f64,
     observed: bool,
 }
 
 impl ClassEstimate {
-    /// An estimate before the first run: a run with a work of 1 costs so many seconds and never waits.
+    /// The estimate before the first run: `cost_secs` for a run with a work of 1, and no wait.
     pub fn unobserved(cost_secs: f64) -> Self {
         Self { cost_secs, work: 1.0, wait_secs: 0.0, observed: false }
     }
 }
 
-/// A run that ended.
+/// The measurements of a run that ended.
 pub(crate) struct ObservedRun {
     pub class: usize,
     /// In the unit of `Request::work`.
@@ -29,11 +30,11 @@
     pub wait_secs: f64,
 }
 
-/// The estimates of all classes, by index.
+/// The estimates of all classes, by class index.
 pub(crate) struct CostModel(Vec<ClassEstimate>);
 
 impl CostModel {
-    /// The model of classes in the order of their indices.
+    /// A model with these initial estimates, by class index.
     pub fn new(classes: impl IntoIterator<Item = ClassEstimate>) -> Self {
         Self(classes.into_iter().collect())
     }
@@ -67,7 +68,7 @@
         self.0.iter().map(value).sum::<f64>() / self.0.len() as f64
     }
 
-    /// Takes in a run, which moves its class's estimate by the fraction `gain`.
+    /// Updates the estimates of the run's class; `gain` is the weight of the new sample.
     pub fn observe(&mut self, run: &ObservedRun, gain: f64) {
         let estimate = &mut self.0[run.class];
         estimate.cost_secs += (run.core_secs - estimate.cost_secs) * gain;
--- a/src/dependency_usage.rs
+++ b/src/dependency_usage.rs
@@ -1,48 +1,51 @@
-//! What this backend has used of its dependency lately, and uses now, as the dependency would count it: a call that
-//! was cancelled here runs on downstream for the cancellation lag.
+//! This backend's past and present use of its dependency, as the dependency sees it: a call that was cancelled here
+//! goes on there for the cancellation lag.
+//!
+//! Call time is the number of calls in flight summed over time: two calls of one second each are two seconds.
 
 use crate::expiry_set::ExpirySet;
 use crate::sliding_sum::SlidingSum;
 use crate::time::{Instant, Span};
 
-/// How this backend uses its dependency.
+/// A backend's use of its dependency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallUsage {
-    /// Calls in flight downstream, with those that were cancelled and may still run there.
+    /// Calls in flight downstream, including cancelled calls that may still run there.
     pub in_flight: u64,
-    /// Calls that requests wanted to make, since the start.
+    /// Calls that requests asked to make, since the policy's start.
     pub requested: u64,
-    /// Calls that were started, since the start.
+    /// Calls that were started, since the policy's start.
     pub started: u64,
 }
 
-/// Call time and cancelled calls. The calls in flight here are in the request table's usage.
+/// Call time and cancelled calls. The request table counts the calls in flight.
 pub(crate) struct DependencyUsage {
     cancellation_lag: Span,
-    /// Call time over the last window, in seconds; none where it is not averaged. Its buckets are freed only by reading
-    /// it, so a sum that nobody reads would grow for as long as the process lives.
+    /// Call time over the last window, in seconds; `None` if there is no averaging window. Only reading the sum frees
+    /// its buckets, so it has to be read regularly even if the value is not needed: otherwise memory grows for the
+    /// life of the process.
     recent_call_secs: Option<SlidingSum>,
-    /// Call time beyond the even use, in seconds.
+    /// Call time beyond the sustained use, in seconds: a leaky bucket that drains at `sustained_calls`.
     burst_secs: f64,
-    /// Concurrent calls that count as even use.
-    even_calls: f64,
-    /// Cancelled calls that still run downstream, as a number that fades over the lag.
+    /// Concurrent calls that don't count as a burst.
+    sustained_calls: f64,
+    /// Expected number of cancelled calls that still run downstream, decaying over the cancellation lag.
     cancelled: f64,
-    /// When each cancelled call ends downstream at the latest.
+    /// The latest end of each cancelled call downstream.
     cancelled_ends: ExpirySet,
     requested: u64,
     started: u64,
 }
 
 impl DependencyUsage {
-    /// Call time is summed over `window`, if there is one, and begins at `spent_secs`, spread evenly over it; concurrent
-    /// calls up to `even_calls` are no burst.
-    pub fn new(cancellation_lag: Span, window: Option<Span>, spent_secs: f64, even_calls: f64) -> Self {
+    /// Sums call time over `window`, if there is one, starting as if `spent_secs` had been used evenly over the window
+    /// before. Concurrent calls beyond `sustained_calls` count as a burst.
+    pub fn new(cancellation_lag: Span, window: Option<Span>, spent_secs: f64, sustained_calls: f64) -> Self {
         Self {
             cancellation_lag,
             recent_call_secs: window.map(|window| SlidingSum::new(window, spent_secs)),
             burst_secs: 0.0,
-            even_calls,
+            sustained_calls,
             cancelled: 0.0,
             cancelled_ends: ExpirySet::default(),
             requested: 0,
@@ -55,26 +58,26 @@
         self.cancellation_lag
     }
 
-    /// Counts the time that passed with so many calls in flight.
+    /// Adds the call time of `elapsed_secs` with `calls` calls in flight.
     pub fn advance(&mut self, now: Instant, elapsed_secs: f64, calls: f64) {
         if let Some(recent) = &mut self.recent_call_secs {
             recent.add(now, calls * elapsed_secs);
         }
-        self.burst_secs = (self.burst_secs + (calls - self.even_calls) * elapsed_secs).max(0.0);
+        self.burst_secs = (self.burst_secs + (calls - self.sustained_calls) * elapsed_secs).max(0.0);
         self.cancelled *= (-elapsed_secs / self.cancellation_lag.secs().max(1e-3)).exp();
     }
 
-    /// A request wants to make a call.
+    /// Counts a call that a request asked to make.
     pub fn call_requested(&mut self) {
         self.requested += 1;
     }
 
-    /// A call was started.
+    /// Counts a call that was started.
     pub fn call_started(&mut self) {
         self.started += 1;
     }
 
-    /// A call was cancelled: until the dependency lets go of it, it counts.
+    /// Counts a cancelled call as in use for the cancellation lag.
     pub fn call_cancelled(&mut self, now: Instant) {
         let lag_secs = self.cancellation_lag.secs();
         self.cancelled += 1.0;
@@ -90,22 +93,22 @@
         self.cancelled
     }
 
-    /// The number of cancelled calls that may still run downstream.
+    /// The largest possible number of cancelled calls that still run downstream.
     pub fn max_cancelled(&mut self, now: Instant) -> u64 {
         self.cancelled_ends.count_after(now)
     }
 
-    /// Call time over the window that ends now, in seconds; 0 where it is not averaged.
+    /// Call time over the window that ends now, in seconds; 0 without an averaging window.
     pub fn recent_call_secs(&mut self, now: Instant) -> f64 {
         self.recent_call_secs.as_mut().map_or(0.0, |recent| recent.sum(now))
     }
 
-    /// Call time beyond the even use, in seconds.
+    /// Call time beyond the sustained use, in seconds.
     pub fn burst_secs(&self) -> f64 {
         self.burst_secs
     }
 
-    /// The counts, with the number of calls in flight here.
+    /// The counts, with `in_flight` calls in flight here.
     pub fn counts(&mut self, now: Instant, in_flight: f64) -> CallUsage {
         CallUsage {
             in_flight: in_flight as u64 + self.max_cancelled(now),
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,45 +1,50 @@
-//! What happened: the input of the decisions, plain data.
+//! Events: what the host tells a [`Policy`](crate::Policy). They are plain data.
+//!
+//! A caller is whatever sends requests to this backend: a client, a sidecar or a backend of the tier above.
 
 use crate::request_id::RequestId;
 use crate::time::{Instant, Span};
 
-/// The earlier request that an arriving one duplicates.
+/// Which earlier request an arriving one duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Duplicate {
-    /// None that is known of.
+    /// No known request.
     No,
-    /// One that still has an index.
+    /// A request whose index is still assigned.
     Of(RequestId),
-    /// One whose index was released before.
+    /// A request whose index was released before.
     OfReleased,
 }
 
-/// A request that was read and is now queued.
+/// A request that was read and is to be queued.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its index.
+    /// The request's index.
     pub request: RequestId,
-    /// Its class's index.
+    /// The index of the request's class in [`Settings::classes`](crate::Settings::classes); the policy panics if there
+    /// is no such class.
     pub class: usize,
-    /// Its tenant's index.
+    /// The index of the request's tenant in [`Settings::tenant_quotas`](crate::Settings::tenant_quotas), if it has a
+    /// tenant; the policy panics if there is no such tenant.
     pub tenant: Option<usize>,
-    /// The caller's number.
+    /// The caller's number, which tells callers apart.
     pub caller: u64,
-    /// The expected work on a standard core.
+    /// The expected work, as the time on a core of standard speed; `None` if unknown.
     pub expected_work: Option<Span>,
-    /// How long it waited on this machine before it was read.
+    /// How long the request waited on this machine before it was read.
     pub receive_delay: Span,
-    /// When the caller gives this attempt up, where told.
+    /// When the caller gives up on this attempt; `None` if the caller didn't say.
     pub deadline: Option<Instant>,
-    /// Whether it is marked as a retry.
+    /// Whether the caller marked the request as a retry.
     pub is_retry: bool,
-    /// What it duplicates.
+    /// The request that this one duplicates.
     pub duplicate: Duplicate,
-    /// Whether it reads something named, so that its response may serve other requests.
+    /// Whether the request reads a named item, so that its response may serve other requests for the item.
     pub coalescable: bool,
-    /// Its memory while queued, in kilobytes.
+    /// The request's memory while queued, in kilobytes.
     pub memory_kb: f64,
-    /// Whether it is paid for, or nothing is to be paid.
+    /// Whether the request is paid for from a wallet, or needs no payment. If not, the policy rejects it, unless it
+    /// duplicates an executed request with an effect.
     pub prepaid: bool,
 }
 
@@ -48,59 +53,59 @@
 pub enum CallOutcome {
     /// The call succeeded.
     Succeeded,
-    /// It failed and is known never to have been executed.
+    /// The call failed and certainly was not executed.
     NotExecuted,
-    /// It failed and may have been executed.
+    /// The call failed and may have been executed.
     MaybeExecuted,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The response went out by itself, unless one was given before.
+    /// The run sent its own response, unless the request already had a final response.
     Responded,
-    /// It was stopped, or ended because nobody waits.
+    /// The run was stopped, or ended because no caller waits for its response.
     Cancelled,
-    /// Nothing was started: the request was over, the executor refused it, or nobody was available to execute it.
+    /// Nothing was executed: the request had already ended, the executor refused it, or there was no executor.
     NotStarted,
 }
 
-/// The backend's own measurements at one moment.
+/// The host's measurements of its machine at one moment.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// The fraction of the cores that was busy over the last half second.
+    /// The busy fraction of the cores over the last half second.
     pub cpu_utilization: Option<f64>,
-    /// Connections now open.
+    /// The number of open connections.
     pub open_connections: Option<f64>,
 }
 
-/// What a lease allows of concurrent downstream calls.
+/// The bounds that a lease sets on downstream calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallLease {
-    /// Calls in flight downstream at one moment, those counted that were cancelled and still run there.
+    /// Maximum number of calls in flight downstream at any moment, including cancelled calls that still run there.
     pub max_in_flight: u64,
-    /// For how long a call that is started may go on, its cancellation lag included.
+    /// Maximum duration of a call that is started under the lease, including its cancellation lag.
     pub max_duration: Span,
 }
 
-/// Quotas that are leased for a while, in place of the settings' static shares.
+/// Quotas leased for a limited time, which replace the static shares of the settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LeasedQuotas {
-    /// Downstream calls; none where the settings' share holds.
+    /// The bounds on downstream calls; `None` if the settings' share applies.
     pub calls: Option<CallLease>,
-    /// Each tenant's requests a second on this backend, by its index; none, or no entry, where the settings' quota
-    /// holds.
+    /// The quota of each tenant on this backend, in requests a second, by tenant index. The settings' quota applies to
+    /// a tenant whose entry is `None` or missing.
     pub tenants: Vec<Option<f64>>,
 }
 
 /// What happened.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A request was read and is queued.
+    /// A request was read and is to be queued.
     Arrived(Arrival),
-    /// A caller stopped waiting; no response is owed.
+    /// A caller stopped waiting. Its request needs no response any more.
     CallerGone(RequestId),
-    /// A running request waits to make a downstream call.
+    /// A running request is ready to make a downstream call and waits for permission.
     CallRequested(RequestId),
     /// A downstream call ended.
     CallEnded(RequestId, CallOutcome),
@@ -108,8 +113,8 @@
     RunEnded(RequestId, RunOutcome),
     /// The timer fired.
     TimerFired(Gauges),
-    /// A graceful shutdown begins; the process is killed at the given point.
+    /// A graceful shutdown begins. The process is killed at this time.
     Drain(Instant),
-    /// What this backend may use of the shared quotas has changed.
+    /// This backend's leased quotas changed.
     QuotasChanged(LeasedQuotas),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,9 @@
-//! lynxtally decides admission and scheduling inside a server that stands behind balancers
-//! nobody can change. The host tells a [`Policy`] what happens, and carries out the [`Action`]s
-//! that come back. The library reads no clock, does no I/O and shares nothing.
+//! Admission and scheduling for servers behind load balancers that can't be changed.
+//!
+//! The host, the program that embeds the library, creates one [`Policy`] per backend. It passes each
+//! [`Event`] with the time to [`Policy::handle`], calls [`Policy::decide`] after the events of one
+//! moment, and carries out the returned [`Action`]s. The library reads no clock, does no I/O and has
+//! no global state, so the same events, times and seed give the same actions.
 //!
 //! ```
 //! use lynxtally::*;
@@ -95,7 +98,7 @@
 pub use settings::{CapacityFormat, Downstream, Effect, RequestClass, Settings};
 pub use time::{Instant, Span};
 
-/// The README's example is compiled with the tests.
+/// Compiles the README's example with the tests.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/src/outbox.rs
+++ b/src/outbox.rs
@@ -1,5 +1,5 @@
-//! The difference between what the policy wants and what the host was told. For each request at most its key, its final
-//! response and its change of state go out, in this order.
+//! Turns state changes into actions: compares what the policy wants with what the host was last told. A request gets
+//! at most an action for its key, its final response and its change of state, in this order.
 
 use crate::action::Action;
 use crate::request::{Request, RequestState};
@@ -7,15 +7,15 @@
 use crate::request_table::RequestTable;
 use crate::time::{Instant, Span};
 
-/// What is wanted of the host for the backend as a whole.
+/// The wanted state of the backend as a whole.
 pub(crate) struct BackendState {
     /// Whether health checks succeed.
     pub healthy: bool,
-    /// The advertised capacity; none where callers know none.
+    /// The advertised capacity; `None` if callers use none.
     pub capacity: Option<f64>,
 }
 
-/// What the host was last told of the backend, and what it is still to be told.
+/// What the host was last told about the backend, and what it has still to be told.
 pub(crate) struct Outbox {
     notified_health: Option<bool>,
     notified_capacity: Option<f64>,
@@ -25,7 +25,7 @@
 }
 
 impl Outbox {
-    /// Nothing was told yet, and the timer is to be set.
+    /// An outbox for a host that was told nothing yet and has to set the timer.
     pub fn new(timer_period: Span) -> Self {
         Self {
             notified_health: None,
@@ -36,17 +36,17 @@
         }
     }
 
-    /// Adds a line for the host's log.
+    /// Queues a line for the host's log.
     pub fn log(&mut self, line: String) {
         self.log_lines.push(line);
     }
 
-    /// The timer fired and has to be set again.
+    /// Records that the timer fired and has to be set again.
     pub fn timer_fired(&mut self) {
         self.timer_due = true;
     }
 
-    /// Adds what changed of the backend.
+    /// Appends actions for changes of the backend's state.
     pub fn emit_backend(&mut self, wanted: &BackendState, actions: &mut Vec<Action>) {
         if self.notified_health.replace(wanted.healthy) != Some(wanted.healthy) {
             actions.push(Action::SetHealth(wanted.healthy));
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Adds log lines and, if it is due, the timer with what goes out once a period.
+    /// Appends the log lines. If the timer has to be set, also appends `periodic` and the timer.
     pub fn emit_log_and_timer(&mut self, periodic: Option<Action>, actions: &mut Vec<Action>) {
         actions.extend(self.log_lines.drain(..).map(Action::Log));
         if std::mem::take(&mut self.timer_due) {
@@ -68,7 +68,7 @@
 }
 
 impl RequestTable {
-    /// Adds what changed of all requests since the last call.
+    /// Appends actions for the requests that changed since the last call.
     pub fn emit_changes(&mut self, now: Instant, cancellation_lag: Span, actions: &mut Vec<Action>) {
         for id in self.take_changed() {
             if !self.contains(id) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Frees the index of a request that is over, unless the key of its run is still retained.
+    /// Releases the index of a request that has ended, unless it was started and its key is still retained.
     fn release(&mut self, id: RequestId, now: Instant, actions: &mut Vec<Action>) {
         let request = &self[id];
         let key = request.key;
@@ -111,7 +111,7 @@
         }
     }
 
-    /// `lag_end` is when a call that is cancelled now ends downstream.
+    /// `lag_end` is the latest end downstream of a call that is cancelled now.
     fn emit_state(&mut self, id: RequestId, lag_end: Instant, actions: &mut Vec<Action>) {
         let notified_state = std::mem::replace(&mut self.notified_state, self.state);
         match (notified_state, self.state) {
@@ -122,8 +122,9 @@
             }
             (RequestState::AwaitingCall, RequestState::Running) => actions.push(Action::Degrade(id)),
             (RequestState::Running, RequestState::Finishing) => actions.push(Action::Stop(id)),
-            // All else the host knows by itself. A run that waits for a call or makes one when its request is finished
-            // gets no action: it is ended by the executor, which gives no reply to a request that is over.
+            // The host knows all other changes. If a request gets its final response while its run waits for a call or
+            // makes one, no action is needed: the executor gives no call result to a request that has ended, and ends
+            // the run.
             _ => {}
         }
     }
--- a/src/policy/arrival.rs
+++ b/src/policy/arrival.rs
@@ -1,9 +1,9 @@
-//! How is an arriving request ranked, and is it a duplicate?
+//! Ranks arriving requests and recognizes duplicates.
 //!
-//! The rule: each arrival joins the run queue at a rate of utility over demand. One that duplicates a request
-//! which was or may have been started is never run again: it gets the first one's response. Of the others,
-//! one that nobody paid for, that came too late in a shutdown, or whose key has no room in memory is rejected
-//! at once.
+//! An arrival joins the run queue at a rate of utility over demand. A duplicate of a request that was or may
+//! have been started is never executed again: it gets the response of the first. Any other request is
+//! rejected at once if it is not prepaid, arrives after the grace of a shutdown, or needs an idempotency key
+//! that doesn't fit in memory.
 
 use super::final_response::RetryAdvice;
 use super::learning::{LEARNING_GAIN, RECEIVE_DELAY_GAIN};
@@ -11,13 +11,13 @@
 use crate::request::{Request, RequestState, RequestTimer};
 use crate::*;
 
-/// A caller that is itself a backend has used up part of the objective: this fraction is left to each tier.
+/// Fraction of the latency objective left at each further tier; its callers are backends that used the rest.
 const TIER_OBJECTIVE_FRACTION: f64 = 1.0 / 3.0;
-/// The least expected work, in seconds.
+/// Lower bound of the expected work, in seconds.
 const MIN_EXPECTED_WORK_SECS: f64 = 1e-6;
 
 impl Policy {
-    /// A request was read: it is queued, gets the response of the one that it duplicates, or is rejected.
+    /// Queues an arriving request, coalesces it with the request that it duplicates, or rejects it.
     pub(super) fn request_arrived(&mut self, arrival: Arrival) {
         let id = arrival.request;
         let arrived_at = self.now - arrival.receive_delay;
@@ -26,8 +26,8 @@
         self.requests.insert_queued(id, request);
         self.learned.callers.observe(arrival.caller, LEARNING_GAIN);
         self.learned.receive_delay.observe(arrival.receive_delay, RECEIVE_DELAY_GAIN);
-        // An effect that may have happened is answered from its first run, never run again or rejected: also
-        // during a shutdown, and where nobody has paid for it anew. So this is looked at first.
+        // Duplicates come first: an effect that may have happened is answered from its first run, never
+        // executed again or rejected, even in a shutdown or if the duplicate itself is not prepaid.
         let is_duplicate = self.duplicates_started_request(arrival.duplicate, effect);
         if !arrival.prepaid && (effect == Effect::Idempotent || !is_duplicate) {
             let retry_after = self.settings.max_retry_after;
@@ -38,7 +38,7 @@
             self.requests.set_state(id, RequestState::Coalesced);
             return self.check_deadlines(id);
         }
-        if self.shutdown.is_some_and(|shutdown| arrived_at >= shutdown.last_start) {
+        if self.shutdown.is_some_and(|shutdown| arrived_at >= shutdown.admit_until) {
             return self.reject(id, RetryAdvice::Retry);
         }
         if !self.retain_key(id, arrival.coalescable, arrived_at) {
@@ -47,7 +47,7 @@
         self.set_first_deadline_check(id);
     }
 
-    /// The request with its deadlines and its rate.
+    /// Builds the request with its deadlines and rate.
     fn rank_request(&mut self, arrival: &Arrival, arrived_at: Instant) -> Request {
         let utility_fraction = arrival.tenant.map_or(1.0, |tenant| self.expected_utility_fraction(tenant));
         let class = &self.settings.classes[arrival.class];
@@ -57,7 +57,8 @@
         let demand = self.demand(arrival.class, work);
         let utility_factor = if self.settings.utility_per_work { work } else { 1.0 };
         let utility = class.utility * utility_fraction * utility_factor;
-        // Chance mixes rates within a factor of two: else all of a slightly dearer class would be rejected.
+        // The random factor mixes rates within a factor of two. Without it, of two classes with almost equal
+        // rates, overload would reject every request of the lower one.
         let rate = utility / demand * (1.0 + self.rng.unit());
         Request {
             class: arrival.class,
@@ -77,20 +78,20 @@
         }
     }
 
-    /// When the response is due at the latest: a margin before the caller, or the shutdown, ends the wait.
+    /// The latest time for the response: a margin before the caller's deadline or the end of the process.
     fn response_deadline(&self, arrival: &Arrival, class_deadline: Instant) -> Instant {
         let margin = self.profile.response_margin();
         let deadline = arrival.deadline.unwrap_or(class_deadline) - margin;
         self.shutdown.map_or(deadline, |shutdown| deadline.min(shutdown.deadline - margin))
     }
 
-    /// What is left of the latency objective for this tier, and to a retry, which lay unread elsewhere.
+    /// The latency objective left for this tier, less the time that a retry waited unread at other backends.
     fn remaining_objective(&self, objective: Span, is_retry: bool) -> Span {
-        let spent = if is_retry { self.spent_by_retry() } else { Span::ZERO };
-        objective * TIER_OBJECTIVE_FRACTION.powi(self.settings.tier_depth as i32) - spent
+        let elapsed = if is_retry { self.elapsed_before_retry() } else { Span::ZERO };
+        objective * TIER_OBJECTIVE_FRACTION.powi(self.settings.tier_depth as i32) - elapsed
     }
 
-    /// Whether an arrival duplicates a request that was started, or may be yet.
+    /// Whether an arrival duplicates a request that was started or may still be.
     fn duplicates_started_request(&self, duplicate: Duplicate, effect: Effect) -> bool {
         match duplicate {
             Duplicate::No => false,
@@ -103,9 +104,9 @@
         }
     }
 
-    /// Retains the key by which duplicates of this request are recognized. False where one is needed and
-    /// memory has no room for it: a duplicate would look new, and both could run. A read's response is only
-    /// not shared then.
+    /// Retains the idempotency key by which duplicates of this request are recognized. Returns false if a
+    /// required key doesn't fit in memory: a duplicate would look new, and both could run. An idempotent
+    /// request that gets no key goes on; its response is just not shared.
     fn retain_key(&mut self, id: RequestId, coalescable: bool, arrived_at: Instant) -> bool {
         let request = &self.requests[id];
         let coalescing_window = self.settings.coalescing_window;
--- a/src/policy/call_budget.rs
+++ b/src/policy/call_budget.rs
@@ -1,39 +1,37 @@
-//! How much of the shared dependency may this backend use?
+//! This backend's share of the concurrent calls that the shared dependency survives.
 //!
-//! The rule: the dependency survives so many concurrent calls as a plain mean over the averaging window. This
-//! backend keeps to its share, whatever becomes of the calls: what was in flight over the last window and
-//! what is in flight now, each call to the last moment at which it may end downstream, stays under that mean.
-//! Only a fraction of it may be used in a burst, the rest evenly. Under a lease its numbers hold instead:
-//! calls in flight at each moment, and the longest of them, which bounds every mean as well.
+//! The dependency survives a given mean of concurrent calls over the averaging window. The call time of the
+//! last window plus that of the calls in flight, each counted to its latest possible end downstream, stays
+//! under this backend's share of that mean, and only a fraction of it may be used in a burst. A lease bounds
+//! the calls in flight at each moment and the length of each instead, which bounds every mean as well.
 //!
-//! It answers any slowing of the dependency for all backends at once, also in the middle of calls, which
-//! shows as timeouts everywhere and then the dependency's fall. It holds as each backend's sum stays under
-//! its share whatever the dependency does, and so does the sum over all. Harms where a call would have come
-//! back just past a timeout that was cut.
+//! This covers a dependency that slows down for all backends at once, even during calls, which shows as
+//! timeouts at every backend and then its overload: each backend keeps to its share whatever the dependency
+//! does, and so does the sum. Drawback: a call may time out just before its reply.
 
-use super::learning::UNSEEN_COST_FRACTION;
+use super::learning::UNOBSERVED_COST_FRACTION;
 use crate::dependency_usage::DependencyUsage;
 use crate::*;
 
-/// The fraction of this backend's share of concurrent calls that is used at most, in the mean.
+/// Fraction of this backend's share of concurrent calls that is used at most, on average.
 const SAFE_SHARE_FRACTION: f64 = 0.8;
-/// The fraction of the budget that may be used at once. What all backends spend at once as the dependency
-/// slows crowds it, and is missing to all for the rest of the window.
+/// Fraction of the budget that may be used in a burst. When the dependency slows down, the bursts of all
+/// backends overload it together, and their call time is missing for the rest of the window.
 const BURST_FRACTION: f64 = 0.25;
 
-/// Bounds on calls at one moment.
+/// Bounds on the calls in flight at one moment.
 pub(super) struct Concurrency {
-    /// Calls in flight at most, with the cancelled ones.
+    /// Maximum number of calls in flight, including cancelled ones.
     pub max_in_flight: f64,
-    /// Calls that were cancelled here and are taken to run on downstream.
+    /// Calls that were cancelled here and may still run downstream.
     pub cancelled: f64,
 }
 
-/// What may be used of the dependency, and what is.
+/// The allowed usage of the dependency, and the usage so far.
 pub(super) struct CallBudget {
-    /// Concurrent calls in the mean; infinite where no dependency is shared.
+    /// Allowed mean of concurrent calls; infinite without a shared dependency.
     mean_calls: f64,
-    /// The window of that mean; none where no dependency is shared.
+    /// Window of that mean; `None` without a shared dependency.
     averaging_window: Option<Span>,
     pub lease: Option<CallLease>,
     pub usage: DependencyUsage,
@@ -47,21 +45,21 @@
             }
             _ => (f64::INFINITY, None, Span::ZERO),
         };
-        // What processes before this one called is not known: it is taken for all of the budget, spent
-        // evenly. On a cold machine there may have been several within the window, so no call is free; else
-        // one at most.
-        let unseen_call_secs = lag.secs() + mean_objective_secs * UNSEEN_COST_FRACTION;
-        let free_secs = if settings.cold_start { 0.0 } else { unseen_call_secs };
+        // The calls of earlier processes are unknown, so the budget counts as spent, evenly over the last
+        // window. After a cold start several processes may have run within it; else one call may still
+        // start.
+        let unobserved_call_secs = lag.secs() + mean_objective_secs * UNOBSERVED_COST_FRACTION;
+        let allowance_secs = if settings.cold_start { 0.0 } else { unobserved_call_secs };
         let window = averaging_window.unwrap_or(Span::ZERO);
-        let spent_secs = mean_calls * window.secs() - free_secs;
-        let even_calls = mean_calls * (1.0 - BURST_FRACTION);
+        let spent_secs = mean_calls * window.secs() - allowance_secs;
+        let sustained_calls = mean_calls * (1.0 - BURST_FRACTION);
         let summed_window = averaging_window.map(|window| window + lag);
-        let usage = DependencyUsage::new(lag, summed_window, spent_secs, even_calls);
+        let usage = DependencyUsage::new(lag, summed_window, spent_secs, sustained_calls);
         Self { mean_calls, averaging_window, lease: None, usage }
     }
 
-    /// What bounds the calls in flight at this moment. A lease holds at each moment, so its cancelled calls
-    /// are counted one by one; the settings' share is a mean, for which their expected number serves.
+    /// The bound on calls in flight now. A lease holds at each moment, so cancelled calls are counted one by
+    /// one; the settings' share is a mean, for which the expected number of cancelled calls is enough.
     pub fn concurrency(&mut self, now: Instant) -> Concurrency {
         match self.lease {
             Some(lease) => Concurrency {
@@ -75,12 +73,12 @@
         }
     }
 
-    /// The timeout of a call that goes now, at most `wanted`; none where less than `needed` is left and it
-    /// has to wait. `committed_secs` is the time that the calls in flight may still take, added up.
+    /// The timeout of a call that starts now, at most `wanted`; `None` if less than `needed` is left and it
+    /// has to wait. `committed_secs` is the summed time that the calls in flight may still take.
     pub fn timeout(&mut self, now: Instant, wanted: Span, needed: Span, committed_secs: f64) -> Option<Span> {
         let lag = self.usage.cancellation_lag();
         if let Some(lease) = self.lease {
-            // Read only to free what is past: the sum is needed again when the lease is gone.
+            // Read only to free expired buckets: the sum is used again once the lease ends.
             self.usage.recent_call_secs(now);
             return Some(wanted.min(lease.max_duration - lag));
         }
@@ -92,7 +90,7 @@
         let spent_secs = self.usage.recent_call_secs(now) + committed_secs;
         let mut left_secs = budget_secs - spent_secs;
         if spent_secs <= 0.0 {
-            // A budget that no call fits in lets one go when none did for a whole window.
+            // A budget smaller than one call admits one after a whole window without any call.
             left_secs = left_secs.max(call_secs);
         }
         let timeout = wanted.min(Span::from_secs(left_secs) - lag);
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -1,24 +1,23 @@
-//! How many downstream calls may be in flight, by what the dependency bears?
+//! Limits concurrent downstream calls by additive increase, multiplicative decrease (AIMD).
 //!
-//! The rule is additive increase, multiplicative decrease: a whole window of successful calls widens it by
-//! one, and a sign of crowding downstream cuts it to a fraction, once for each generation of calls. Crowding
-//! is a call that was rejected, or failed after far more than the usual time.
+//! A whole window of successful calls widens it by one. A sign of overload downstream, a call that was
+//! rejected or failed after far more than the usual time, narrows it, once per generation of calls.
 
 use super::learning::LEARNING_GAIN;
 use crate::*;
 
-/// Crowding cuts the window to this fraction.
+/// A sign of overload cuts the window to this fraction.
 const CUT_FRACTION: f64 = 0.7;
-/// A call that failed after this many times the usual time is a sign of crowding.
+/// A call that failed after this many times the usual call time is a sign of overload.
 pub(super) const SLOW_CALL_FACTOR: f64 = 4.0;
 
-/// The bound of calls in flight, and what is usual of them.
+/// The call window and the usual call time.
 pub(super) struct CallWindow {
-    /// Calls in flight at most.
+    /// Maximum number of calls in flight.
     pub size: f64,
     last_cut: Instant,
     paused_until: Instant,
-    /// The mean time of a call, in seconds; 0 until one ended. Only failures that took longer raise it.
+    /// Mean call time, in seconds; 0 until a call ended. Failed calls can raise it but not lower it.
     pub usual_call_secs: f64,
 }
 
@@ -33,25 +32,25 @@
         }
     }
 
-    /// Whether no call goes for now.
+    /// Whether calls are paused, see `pause_if_minimal`.
     pub fn is_paused(&self, now: Instant) -> bool {
         now < self.paused_until
     }
 
-    /// Moves the mean time of a call by a part of the difference; the first call moves it all the way.
+    /// Moves the mean call time by a fraction of the difference; the first call sets it.
     fn learn_call_secs(&mut self, difference_secs: f64) {
         let gain = if self.usual_call_secs > 0.0 { LEARNING_GAIN } else { 1.0 };
         self.usual_call_secs += difference_secs * gain;
     }
 
-    /// Takes in a successful call, however slow: only failures narrow the window; the budget bounds the rest.
+    /// Records a successful call, however slow: only failures narrow the window; the budget bounds the rest.
     pub fn call_succeeded(&mut self, took: Span) {
         self.size += 1.0 / self.size;
         self.learn_call_secs(took.secs() - self.usual_call_secs);
     }
 
-    /// Takes in a failed call. A timeout that was short only as its request had little time says nothing of
-    /// the dependency. Calls begun before the last cut ran into the same crowding, and cut no further.
+    /// Records a failed call. A short timeout only shows that its request had little time left. Calls that
+    /// started before the last cut met the same overload and don't cut the window again.
     pub fn call_failed(&mut self, now: Instant, took: Span, outcome: CallOutcome) {
         let is_slow = took.secs() > self.usual_call_secs * SLOW_CALL_FACTOR;
         let is_crowded = outcome == CallOutcome::NotExecuted || is_slow;
@@ -64,10 +63,9 @@
         }
     }
 
-    /// Pauses all calls where the window is as small as it gets. Catches a dependency that is down and
-    /// rejects every call, which shows as thousands of calls a second: it is tried once a timer period, not
-    /// as fast as it rejects.
-    pub fn pause_if_closed(&mut self, until: Instant) {
+    /// Pauses all calls if the window has its minimum size. A dependency that is down and rejects every call
+    /// is then tried once a timer period, instead of thousands of times a second.
+    pub fn pause_if_minimal(&mut self, until: Instant) {
         if self.size <= 1.0 {
             self.paused_until = until;
         }
--- a/src/policy/downstream_calls.rs
+++ b/src/policy/downstream_calls.rs
@@ -1,28 +1,27 @@
-//! May this downstream call go now?
+//! Starts downstream calls.
 //!
-//! The rule: calls that wait go in the order of their requests' rates, as far as three bounds allow: the
-//! concurrency window, which follows what the dependency bears (see `call_window`); the budget, this
-//! backend's share of what the dependency survives (see `call_budget`); and a pause after the dependency
-//! rejected everything.
+//! Waiting calls start in the order of their requests' rates, within three bounds: the call window, which
+//! follows signs of overload (`call_window`); the budget, this backend's share of what the dependency
+//! survives (`call_budget`); and a pause after the dependency rejected everything.
 
-use super::learning::UNSEEN_COST_FRACTION;
+use super::learning::UNOBSERVED_COST_FRACTION;
 use super::Policy;
 use crate::request::RequestState;
 use crate::*;
 
-/// A call goes only where the budget has room for this many times its usual length.
+/// A call starts only if the budget has room for this many times the usual call time.
 const CALL_HEADROOM: f64 = 2.0;
 
 impl Policy {
-    /// A request waits to make a call, or to make it again.
+    /// Queues a request to make its call, or to retry it.
     pub(super) fn queue_call(&mut self, id: RequestId) {
         self.call_budget.usage.call_requested();
         self.requests.set_known_state(id, RequestState::AwaitingCall);
-        let give_up_at = self.now + self.time_for_call(id);
-        self.requests.set_timer(id, self.now, give_up_at);
+        let expires_at = self.now + self.time_for_call(id);
+        self.requests.set_timer(id, self.now, expires_at);
     }
 
-    /// Starts calls, the highest rate first, as far as the bounds allow.
+    /// Starts queued calls within the bounds, the highest rate first.
     pub(super) fn start_queued_calls(&mut self) {
         if self.call_window.is_paused(self.now) {
             return;
@@ -40,7 +39,7 @@
         }
     }
 
-    /// Starts a call, which counts until it must have ended downstream even if it is cancelled.
+    /// Starts a call, which counts until its latest possible end downstream, even if it is cancelled.
     fn start_call(&mut self, id: RequestId, timeout: Span) {
         let call = &mut self.requests[id].call;
         call.started_at = self.now;
@@ -49,18 +48,18 @@
         self.requests.set_state(id, RequestState::Calling);
     }
 
-    /// The timeout of a call that goes now; none where the budget has no room and it has to wait.
+    /// The timeout of a call that starts now; `None` if the budget has no room and the call has to wait.
     fn budgeted_call_timeout(&mut self, id: RequestId) -> Option<Span> {
         let timeout = self.call_timeout(id);
         let usual_secs = self.call_window.usual_call_secs;
-        let unseen_secs = self.profile.mean_objective_secs * UNSEEN_COST_FRACTION;
-        let headroom_secs = if usual_secs > 0.0 { usual_secs * CALL_HEADROOM } else { unseen_secs };
+        let unobserved_secs = self.profile.mean_objective_secs * UNOBSERVED_COST_FRACTION;
+        let headroom_secs = if usual_secs > 0.0 { usual_secs * CALL_HEADROOM } else { unobserved_secs };
         let needed = timeout.min(Span::from_secs(headroom_secs).max(self.profile.timer_period));
         let committed_secs = self.requests.remaining_call_secs(self.now);
         self.call_budget.timeout(self.now, timeout, needed, committed_secs)
     }
 
-    /// A call ended: the bounds learn from it, and its request goes on, waits to retry, or is answered.
+    /// Handles the end of a call: updates the bounds, then resumes the request, retries or skips the call.
     pub(super) fn call_ended(&mut self, id: RequestId, outcome: CallOutcome) {
         let request = &mut self.requests[id];
         if request.state != RequestState::Calling {
@@ -76,22 +75,22 @@
             request.call.attempts += 1;
         }
         self.learn_from_failed_call(took, outcome);
-        self.queue_call(id); // In any case: also a call that is not retried counts as demand for calls.
+        self.queue_call(id); // Even a call that is not retried counts as requested.
         let request = &self.requests[id];
         if !request.response_owed {
             self.requests.set_known_state(id, RequestState::Finishing);
         } else if !request.may_retry_call(outcome) {
-            self.leave_call_out(id);
+            self.skip_call(id);
         }
     }
 
-    /// Lets the bounds learn from a failed call. What is not shared is paced by the window alone.
+    /// Updates the bounds with a failed call. If no dependency is shared, the window alone limits the rate.
     fn learn_from_failed_call(&mut self, took: Span, outcome: CallOutcome) {
         self.call_window.call_failed(self.now, took, outcome);
         if outcome == CallOutcome::MaybeExecuted {
             self.call_budget.usage.call_cancelled(self.now);
         } else if matches!(self.settings.downstream, Downstream::Shared { .. }) {
-            self.call_window.pause_if_closed(self.now + self.profile.timer_period);
+            self.call_window.pause_if_minimal(self.now + self.profile.timer_period);
         }
     }
 }
--- a/src/policy/final_response.rs
+++ b/src/policy/final_response.rs
@@ -1,14 +1,13 @@
-//! Which final response does a request get?
+//! The final response of each request, exactly one.
 //!
-//! The rule: each request gets one final response. One that was never started, or has no effect, may be
-//! rejected, and its caller may try elsewhere; one whose effect may have happened only fails. A caller that
-//! is gone gets none.
+//! A request that was never started or is idempotent may be rejected, so that its caller may try elsewhere.
+//! Once its effect may have happened it can only fail. A caller that is gone gets no response.
 
 use super::Policy;
 use crate::request::RequestState;
 use crate::*;
 
-/// What a rejected caller is told about trying another backend.
+/// Whether a rejected caller should try another backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RetryAdvice {
     Retry,
@@ -16,14 +15,14 @@
 }
 
 impl Policy {
-    /// Rejects a request, with the Retry-After of this moment.
+    /// Rejects a request with the current Retry-After.
     pub(super) fn reject(&mut self, id: RequestId, advice: RetryAdvice) {
         let retry_after = self.retry_after();
         let no_retry = advice == RetryAdvice::NoRetry;
         self.finish(id, Action::Reject { request: id, retry_after, no_retry });
     }
 
-    /// Gives a request its final response, if it has none yet. A run that can't be stopped goes on.
+    /// Gives a request its final response if it has none yet. A run that can't be stopped goes on.
     pub(super) fn finish(&mut self, id: RequestId, response: Action) {
         let request = &mut self.requests[id];
         let may_have_had_effect = request.run.started && request.effect != Effect::Idempotent;
@@ -43,15 +42,16 @@
         }
     }
 
-    /// The caller stopped waiting. What was not started never is. A run goes on, as duplicates may get its
-    /// result; one that waits for a call gets none, and the executor ends it by itself.
+    /// Handles a caller that stopped waiting. A request that was not started ends. A run goes on, because
+    /// duplicates may get its result, unless it waits for a call: that is not made, and the executor ends
+    /// the run.
     pub(super) fn caller_gone(&mut self, id: RequestId) {
         self.requests[id].response_owed = false;
         self.requests.leave_queue(id);
     }
 
-    /// A run ended. If it gave no response, and one is owed, the request fails. A call that was in flight
-    /// counts as cancelled.
+    /// Handles the end of a run. The request fails if a response is still owed. A call in flight counts as
+    /// cancelled.
     pub(super) fn run_ended(&mut self, id: RequestId, outcome: RunOutcome) {
         let has_responded = outcome == RunOutcome::Responded;
         let request = &mut self.requests[id];
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -1,8 +1,8 @@
-//! What is learned from arrivals and runs?
+//! Estimates learned from arrivals and runs.
 //!
-//! The rule: each estimate is a moving average that begins with what the settings say: the cost and the waits
-//! of a run by class, the demand that keeps the cores full (see `capacity`), what each tenant sends, how many
-//! callers there are, and how long requests lie on this machine before they are read.
+//! Each is a moving average that starts from the settings: the cost and the waits of a run by class, the
+//! demand that keeps the cores full (`capacity`), the rate of each tenant, the number of sending callers,
+//! and the receive delay, which is how long requests wait on this machine before they are read.
 
 use super::capacity::Throughput;
 use super::Policy;
@@ -12,26 +12,26 @@
 use crate::tenant_rates::TenantRates;
 use crate::*;
 
-/// What one run moves cost and throughput, one call the usual time, one arrival the callers' similarity.
+/// Gain of the averages for each run (cost, throughput), call (usual call time) and arrival (callers).
 pub(super) const LEARNING_GAIN: f64 = 1.0 / 16.0;
-/// What the first run of a class moves its learned cost.
+/// Gain of the learned cost for the first run of a class.
 const FIRST_RUN_GAIN: f64 = 0.5;
-/// A cost that was not observed yet is taken for this fraction of the latency objective.
-pub(super) const UNSEEN_COST_FRACTION: f64 = 1.0 / 8.0;
-/// A run counts for at most this many times its expected cost, so that a few huge ones can't spoil the mean.
-const MAX_COST_SURPRISE: f64 = 4.0;
-/// What a tenant sends is averaged over this many mean latency objectives.
+/// Assumed cost of a run or call before the first was observed, as a fraction of the latency objective.
+pub(super) const UNOBSERVED_COST_FRACTION: f64 = 1.0 / 8.0;
+/// A run counts for at most this many times its expected cost, so that huge runs don't distort the mean.
+const MAX_OBSERVED_COST_FACTOR: f64 = 4.0;
+/// Averaging window of tenants' rates, in mean latency objectives.
 const TENANT_RATE_OBJECTIVES: f64 = 5.0;
-/// A receive delay of this fraction of the mean latency objective means that reading is fully behind.
-const FULLY_BEHIND_FRACTION: f64 = 0.25;
-/// What one arrival moves the receive delay.
+/// Receive delay that counts as saturated, as a fraction of the mean latency objective.
+const SATURATED_RECEIVE_DELAY_FRACTION: f64 = 0.25;
+/// Gain of the mean receive delay for each arrival.
 pub(super) const RECEIVE_DELAY_GAIN: f64 = 1.0 / 8.0;
-/// The attempts that a request marked as a retry is taken to have behind it.
+/// Assumed number of earlier attempts of a request that is marked as a retry.
 const ATTEMPTS_BEFORE_RETRY: f64 = 2.0;
-/// No time is divided by less than this, in seconds.
+/// Lower bound of divisors, in seconds.
 const MIN_DIVISOR_SECS: f64 = 1e-3;
 
-/// All estimates.
+/// All learned estimates.
 pub(super) struct Learned {
     pub costs: CostModel,
     pub throughput: Throughput,
@@ -43,52 +43,53 @@
 impl Learned {
     pub fn new(settings: &Settings, mean_objective_secs: f64) -> Self {
         let objectives = settings.classes.iter().map(|class| class.latency_objective.secs());
-        let costs = objectives.map(|secs| ClassEstimate::unobserved(secs * UNSEEN_COST_FRACTION));
+        let costs = objectives.map(|secs| ClassEstimate::unobserved(secs * UNOBSERVED_COST_FRACTION));
         Self {
             costs: CostModel::new(costs),
             throughput: Throughput::default(),
             tenants: TenantRates::new(settings, mean_objective_secs * TENANT_RATE_OBJECTIVES),
             callers: CallerSimilarity::new(settings.callers),
-            // The delay is forgotten as fast as callers forget the advertised capacity that it cuts.
+            // The delay decays as fast as callers forget the advertised capacity that it reduces.
             receive_delay: ReceiveDelay::new(settings.capacity_ttl.secs().max(MIN_DIVISOR_SECS)),
         }
     }
 }
 
 impl Policy {
-    /// The paper's demand: expected cost over latency objective, in cores. The objective is the mean of all
-    /// classes', as nothing paces a run: one that may take longer demands the cores no less. Harms where runs
-    /// are paced.
+    /// The paper's demand: expected cost over latency objective, in cores. Uses the mean objective of all
+    /// classes because runs are not paced: one that may take longer loads the cores no less. Drawback: wrong
+    /// for paced runs.
     pub(super) fn demand(&self, class: usize, work: f64) -> f64 {
         let cost_secs = self.learned.costs.cost_secs(class, work);
         (cost_secs / self.profile.mean_objective_secs.max(MIN_DIVISOR_SECS)).max(1e-9)
     }
 
-    /// Counts a request of the tenant; the fraction of its utility that it is expected to keep. Whether it is
-    /// within the quota of all backends is not known: the probability is the quota over the rate, both here.
+    /// Counts a request of the tenant, and returns the fraction of its utility that it is expected to keep.
+    /// The rate at other backends is unknown: the chance to be within the quota is quota over rate, both
+    /// here.
     pub(super) fn expected_utility_fraction(&mut self, tenant: usize) -> f64 {
         self.learned.tenants.count(tenant);
         let within_quota = self.learned.tenants.covered_fraction(tenant);
         within_quota + (1.0 - within_quota) * self.settings.over_quota_utility_fraction
     }
 
-    /// How far reading is behind, from 0 to 1.
-    pub(super) fn fraction_behind(&self) -> f64 {
-        let fully_behind_secs = self.profile.mean_objective_secs * FULLY_BEHIND_FRACTION;
-        (self.learned.receive_delay.secs() / fully_behind_secs).min(1.0)
+    /// The mean receive delay as a fraction of the saturated one, at most 1.
+    pub(super) fn receive_saturation(&self) -> f64 {
+        let saturated_secs = self.profile.mean_objective_secs * SATURATED_RECEIVE_DELAY_FRACTION;
+        (self.learned.receive_delay.secs() / saturated_secs).min(1.0)
     }
 
-    /// The time that a retry lay unread at other backends, each time about as long as is usual here.
-    pub(super) fn spent_by_retry(&self) -> Span {
+    /// The time that a retry waited unread at other backends, if each has the receive delay of this one.
+    pub(super) fn elapsed_before_retry(&self) -> Span {
         Span::from_secs(self.learned.receive_delay.secs() * ATTEMPTS_BEFORE_RETRY)
     }
 
-    /// Takes in a run that ended with its own response.
+    /// Updates the estimates with a run that ended with its own response.
     pub(super) fn learn_from_run(&mut self, id: RequestId) {
         let request = &self.requests[id];
         let costs = &mut self.learned.costs;
         let core_secs = request.run.core_secs;
-        let max_core_secs = costs.cost_secs(request.class, request.work) * MAX_COST_SURPRISE;
+        let max_core_secs = costs.cost_secs(request.class, request.work) * MAX_OBSERVED_COST_FACTOR;
         let run = ObservedRun {
             class: request.class,
             work: request.work,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,25 +1,25 @@
-//! All decisions of lynxtally, a file for each question. Utility, demand and rate are the terms of the paper
-//! "SLICE: SLO-Driven Scheduling for LLM Inference on Edge Computing Devices" (docs/design.md).
+//! All decisions of lynxtally, one file per topic. Utility, demand and rate are terms of the paper "SLICE:
+//! SLO-Driven Scheduling for LLM Inference on Edge Computing Devices" (docs/design.md).
 //!
-//! A host makes one [`Policy`] for a backend, gives it each thing that happens with [`Policy::handle`], and
-//! after the events of one moment calls [`Policy::decide`], which adds the actions to be carried out.
+//! A host creates one [`Policy`] per backend, passes each event to [`Policy::handle`], and after the events
+//! of one moment calls [`Policy::decide`], which appends the actions to carry out.
 //!
-//! | question | file |
+//! | topic | file |
 //! | --- | --- |
-//! | How is an arriving request ranked, and is it a duplicate? | `arrival` |
-//! | May this request start? | `selection` |
-//! | How much fits on this machine? | `capacity` |
-//! | When is a request given up? | `deadline` |
-//! | May this downstream call go now? | `downstream_calls`, `call_window`, `call_budget` |
-//! | Is the call timed out, retried or left out? | `call_retry` |
-//! | Which final response does a request get? | `final_response` |
-//! | What are callers and health checks told? | `advertise` |
-//! | When are idle connections closed? | `idle_connections` |
-//! | How does a shutdown end? | `shutdown` |
-//! | What is learned from arrivals and runs? | `learning` |
+//! | Ranking of arrivals, and duplicates | `arrival` |
+//! | Starting queued requests | `selection` |
+//! | Capacity of the machine | `capacity` |
+//! | Rejections and the end of runs by deadline | `deadline` |
+//! | Starting downstream calls | `downstream_calls`, `call_window`, `call_budget` |
+//! | Timeouts and retries of downstream calls | `call_retry` |
+//! | Final responses | `final_response` |
+//! | Advertised capacity, health and Retry-After | `advertise` |
+//! | Closing idle connections | `idle_connections` |
+//! | Graceful shutdown | `shutdown` |
+//! | Learned estimates | `learning` |
 //!
-//! Rules change only the state that a request is wanted in, in the request table; the outbox works out the
-//! difference to what the host was told.
+//! The files only set the wanted state of requests in the request table. The outbox derives the actions from
+//! the difference between that state and what the host was last told.
 
 mod advertise;
 mod arrival;
@@ -48,20 +48,20 @@
 const TIMER_PERIOD_FRACTION: f64 = 1.0 / 40.0;
 /// The shortest period of the timer.
 const MIN_TIMER_PERIOD: Span = Span::from_millis(5);
-/// The policy's own responses go out this many timer periods before the deadline, as the timer may be late.
+/// The policy's own responses precede the deadline by this many timer periods, as the timer may be late.
 const RESPONSE_MARGIN_PERIODS: f64 = 2.0;
-/// A class stands out if its utility is more than this many times the mean of all.
-const STANDS_OUT_FACTOR: f64 = 2.0;
+/// A class is dominant if its utility is more than this many times the mean of all classes.
+const DOMINANT_CLASS_FACTOR: f64 = 2.0;
 
-/// What follows from the settings alone.
+/// Values derived from the settings.
 struct Profile {
     cores: f64,
     timer_period: Span,
     /// The mean latency objective of all classes, in seconds.
     mean_objective_secs: f64,
-    /// One class's utility stands so far above the others' that a caller which is kept away, and so rejects
-    /// without looking at classes, loses more than reading a request here costs.
-    one_class_stands_out: bool,
+    /// One class is worth far more than the mean. Callers that are told to hold off reject requests of every
+    /// class, which then loses more utility than reading all requests here costs.
+    has_dominant_class: bool,
 }
 
 impl Profile {
@@ -76,7 +76,7 @@
             cores: f64::from(settings.cores),
             timer_period: (shortest_objective * TIMER_PERIOD_FRACTION).max(MIN_TIMER_PERIOD),
             mean_objective_secs: objective_sum / classes.len().max(1) as f64,
-            one_class_stands_out: highest_utility * classes.len() as f64 > utility_sum * STANDS_OUT_FACTOR,
+            has_dominant_class: highest_utility * classes.len() as f64 > utility_sum * DOMINANT_CLASS_FACTOR,
         }
     }
 
@@ -86,7 +86,8 @@
     }
 }
 
-/// The decisions of one backend.
+/// The admission and scheduling policy of one backend. It does no I/O and depends only on its calls'
+/// arguments.
 pub struct Policy {
     settings: Settings,
     profile: Profile,
@@ -94,7 +95,7 @@
     started: Instant,
     now: Instant,
     requests: RequestTable,
-    /// The expected core time of all queued requests, in seconds, at the last decision.
+    /// The expected core time of all queued requests at the last decision, in seconds.
     queued_work_secs: f64,
     learned: Learned,
     call_window: CallWindow,
@@ -105,7 +106,7 @@
 }
 
 impl Policy {
-    /// The policy of a backend that starts now. All its random choices follow from the seed.
+    /// Creates the policy of a backend that starts now. The seed determines all its random choices.
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Self {
         let profile = Profile::new(&settings);
         Self {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Takes in one event. Events come in the order of time; a `now` before the last one counts as that.
+    /// Handles one event. Events come in order of time; a `now` before the last one counts as the last one.
     pub fn handle(&mut self, now: Instant, event: Event) {
         self.advance(now);
         match event {
@@ -137,11 +138,11 @@
             Event::TimerFired(gauges) => self.timer_fired(gauges),
             Event::Drain(deadline) => self.begin_shutdown(deadline),
             Event::QuotasChanged(quotas) => self.apply_quotas(quotas),
-            _ => {} // It concerns a request that is over already.
+            _ => {} // The request has already ended.
         }
     }
 
-    /// Decides on all that was handled since the last call, and adds the actions to be carried out.
+    /// Decides on all events since the last call, and appends the actions to carry out.
     pub fn decide(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.advance(now);
         self.requests.arm_pending_timers();
@@ -149,24 +150,24 @@
         while let Some(id) = self.requests.pop_due_timer(now) {
             self.check_deadlines(id);
         }
-        self.reject_hopeless();
+        self.reject_infeasible();
         self.start_queued_calls();
         self.outbox.emit_backend(&self.advertised_state(), actions);
         self.requests.emit_changes(self.now, self.call_budget.usage.cancellation_lag(), actions);
         self.outbox.emit_log_and_timer(self.idle_connections.action(), actions);
     }
 
-    /// How this backend uses its dependency.
+    /// This backend's usage of its dependency.
     pub fn downstream_usage(&mut self) -> CallUsage {
         self.call_budget.usage.counts(self.now, self.requests.usage().calls)
     }
 
-    /// What a tenant sends here that is not rejected, in requests a second; 0 for an unknown one.
+    /// A tenant's rate here without rejected requests, in requests a second; 0 for an unknown tenant.
     pub fn tenant_rate(&self, tenant: usize) -> f64 {
         self.learned.tenants.rate(tenant)
     }
 
-    /// Lets time pass for all that fades or accumulates with it. Within one moment nothing does.
+    /// Advances all that decays or accumulates with time. Does nothing if no time has passed.
     fn advance(&mut self, now: Instant) {
         if now <= self.now {
             return;
@@ -179,17 +180,17 @@
         self.learned.receive_delay.advance(elapsed_secs);
     }
 
-    /// Leased quotas take the place of the settings'. What was begun under larger ones goes on; nothing more
-    /// is begun until it fits under these.
+    /// Replaces the settings' quotas by leased ones. Work begun under larger quotas goes on; no more begins
+    /// until it fits under the new ones.
     fn apply_quotas(&mut self, quotas: LeasedQuotas) {
         self.call_budget.lease = quotas.calls;
         self.learned.tenants.set_quotas(&quotas.tenants);
     }
 
-    /// The host's one timer fired, with the gauges of this moment.
+    /// Handles the timer, with the gauges of this moment.
     fn timer_fired(&mut self, gauges: Gauges) {
         self.outbox.timer_fired();
         self.idle_connections.update(gauges, &self.settings, &self.profile);
-        self.use_idle_room(gauges.cpu_utilization);
+        self.use_idle_cores(gauges.cpu_utilization);
     }
 }
--- a/src/policy/shutdown.rs
+++ b/src/policy/shutdown.rs
@@ -1,29 +1,29 @@
-//! How does a shutdown end?
+//! Graceful shutdown.
 //!
-//! The rule: from the notice on, health checks fail and no capacity is advertised. What arrives within the
-//! grace may still start, later arrivals are rejected. All that is here gets its response before the process
-//! is killed: every deadline is moved to a margin before that moment.
+//! From the notice on, health checks fail and no capacity is advertised. Requests that arrive within the
+//! grace may still start, later ones are rejected. All requests get their response before the process is
+//! killed: every deadline is moved to a margin before that moment.
 
 use super::Policy;
 use crate::request::RequestState;
 use crate::*;
 
-/// A graceful shutdown that has begun.
+/// A graceful shutdown in progress.
 #[derive(Clone, Copy)]
 pub(super) struct Shutdown {
-    /// What arrives from here on is not started.
-    pub last_start: Instant,
+    /// Requests that arrive from here on are not started.
+    pub admit_until: Instant,
     /// When the process is killed.
     pub deadline: Instant,
 }
 
 impl Policy {
-    /// A shutdown begins; the process is killed at `deadline`.
+    /// Begins a shutdown; the process is killed at `deadline`.
     pub(super) fn begin_shutdown(&mut self, deadline: Instant) {
         self.requests.arm_pending_timers();
         let margin = self.profile.response_margin();
-        let last_start = self.now + self.settings.drain_grace - margin;
-        self.shutdown = Some(Shutdown { last_start, deadline });
+        let admit_until = self.now + self.settings.drain_grace - margin;
+        self.shutdown = Some(Shutdown { admit_until, deadline });
         let unanswered = self.requests.usage().started + self.requests.run_queue().len();
         self.outbox.log(format!("draining: {unanswered:.0} requests to answer"));
         for id in self.requests.with_armed_timers() {
--- a/src/rate_queue.rs
+++ b/src/rate_queue.rs
@@ -1,13 +1,13 @@
-//! A queue of requests in the order of their rates.
+//! A queue of requests in descending order of rate.
 
 use crate::request_id::RequestId;
 use std::collections::BTreeSet;
 
-/// Requests, the highest rate first; of equal rates the lowest index.
+/// Requests by descending rate; equal rates by ascending index.
 #[derive(Default)]
 pub(crate) struct RateQueue(BTreeSet<(u64, RequestId)>);
 
-/// Numbers that ascend as rates descend: the bits of floats from zero up have the order of their values.
+/// Maps rates to integers in reverse order: the bits of non-negative floats have the order of their values.
 fn descending(rate: f64) -> u64 {
     !rate.max(0.0).to_bits()
 }
@@ -18,7 +18,7 @@
         self.0.insert((descending(rate), request));
     }
 
-    /// Removes a request; `rate` is the one that it was inserted with.
+    /// Removes a request that was inserted with this `rate`.
     pub fn remove(&mut self, request: RequestId, rate: f64) {
         self.0.remove(&(descending(rate), request));
     }
@@ -33,12 +33,12 @@
         self.0.last().map(|&(_, request)| request)
     }
 
-    /// The requests, the highest rate first.
+    /// The requests in descending order of rate.
     pub fn iter(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.0.iter().map(|&(_, request)| request)
     }
 
-    /// The number of requests, as a float for the arithmetic of the rules.
+    /// The number of requests, as a float for use in the policy's arithmetic.
     pub fn len(&self) -> f64 {
         self.0.len() as f64
     }
--- a/src/receive_delay.rs
+++ b/src/receive_delay.rs
@@ -1,18 +1,18 @@
-//! How long requests lie on this machine before they are read: a moving average that fades without arrivals.
+//! The receive delay: how long requests wait on this machine before they are read.
 
 use crate::time::Span;
 
-/// The mean receive delay.
+/// An exponential moving average of the receive delay, which decays while no requests arrive.
 pub(crate) struct ReceiveDelay {
     secs: f64,
-    /// How long the estimate lasts without arrivals, in seconds.
-    memory_secs: f64,
+    /// Time constant of the decay, in seconds.
+    decay_secs: f64,
 }
 
 impl ReceiveDelay {
-    /// Begins without a delay.
-    pub fn new(memory_secs: f64) -> Self {
-        Self { secs: 0.0, memory_secs }
+    /// Starts without a delay.
+    pub fn new(decay_secs: f64) -> Self {
+        Self { secs: 0.0, decay_secs }
     }
 
     /// The mean delay, in seconds.
@@ -20,12 +20,12 @@
         self.secs
     }
 
-    /// Lets time pass.
+    /// Decays the mean by the time that passed.
     pub fn advance(&mut self, elapsed_secs: f64) {
-        self.secs *= (-elapsed_secs / self.memory_secs).exp();
+        self.secs *= (-elapsed_secs / self.decay_secs).exp();
     }
 
-    /// Takes in an arrival's delay, which moves the mean by the fraction `gain`.
+    /// Updates the mean with an arrival's delay; `gain` is the weight of the new sample.
     pub fn observe(&mut self, delay: Span, gain: f64) {
         self.secs += (delay.secs() - self.secs) * gain;
     }
--- a/src/request_id.rs
+++ b/src/request_id.rs
@@ -1,9 +1,9 @@
-//! Request ids: the host's own request names become small dense indices here, and only here.
+//! Maps the host's request names to small dense indices.
 
 use std::collections::HashMap;
 
-/// A request's index, assigned by a [`RequestIdTable`]. Small and dense, so that state can be kept in a vector by it;
-/// reused once [`Action::ReleaseId`](crate::Action::ReleaseId) gave it back.
+/// A request's index, assigned by a [`RequestIdTable`]. Indices are dense, so that a vector can hold state by index,
+/// and are reused after [`Action::ReleaseId`](crate::Action::ReleaseId).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
@@ -13,7 +13,7 @@
     name: Option<String>,
 }
 
-/// Assigns an index to each request's name, and takes it back when the policy releases it.
+/// Assigns indices to request names until the policy releases them.
 ///
 /// ```
 /// let mut ids = lynxtally::RequestIdTable::default();
@@ -33,7 +33,7 @@
 }
 
 impl RequestIdTable {
-    /// The index of a name, a new one if it has none yet.
+    /// The index of this name; assigns one if it has none.
     pub fn assign(&mut self, name: &str) -> RequestId {
         if let Some(&request) = self.by_name.get(name) {
             return request;
@@ -44,7 +44,7 @@
         request
     }
 
-    /// An index for a request that has no name.
+    /// Assigns an index to a request without a name.
     pub fn assign_unnamed(&mut self) -> RequestId {
         let request = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot::default());
@@ -54,17 +54,17 @@
         request
     }
 
-    /// The index of a name that has one.
+    /// The index of this name, if it has one.
     pub fn find(&self, name: &str) -> Option<RequestId> {
         self.by_name.get(name).copied()
     }
 
-    /// The name behind an index.
+    /// The name of this index, if it has one.
     pub fn name(&self, request: RequestId) -> Option<&str> {
         self.slots.get(request.0 as usize)?.name.as_deref()
     }
 
-    /// Frees an index, to be called on [`Action::ReleaseId`](crate::Action::ReleaseId).
+    /// Frees an index. The host calls it on [`Action::ReleaseId`](crate::Action::ReleaseId).
     pub fn release(&mut self, request: RequestId) {
         let Some(slot) = self.slots.get_mut(request.0 as usize) else { return };
         if let Some(name) = slot.name.take() {
--- a/src/resource_usage.rs
+++ b/src/resource_usage.rs
@@ -1,8 +1,8 @@
-//! What requests use in their present states: plain sums.
+//! The resources that requests use in their states.
 
 use std::ops::{AddAssign, Sub};
 
-/// What one request uses, or all of them together.
+/// The usage of one request, or the sum over all requests.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct ResourceUsage {
     /// Memory, in kilobytes.
@@ -15,7 +15,7 @@
     pub started: f64,
     /// Downstream calls in flight.
     pub calls: f64,
-    /// The latest ends of those calls downstream, in seconds since the policy's start, added up.
+    /// Sum of the latest ends of those calls downstream, in seconds since the policy's start.
     pub call_end_secs: f64,
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,120 +1,122 @@
-//! What a backend is told when it starts: its machine, the request classes, tenants' quotas and the dependency.
+//! The settings of a backend: its machine, request classes, tenants' quotas and dependency.
 
 use crate::time::Span;
 
-/// What may happen when a request is executed twice.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
-    /// It may be executed again.
+    /// The request may be executed again.
     #[default]
     Idempotent,
-    /// It carries an idempotency key by which a duplicate is recognized; it is executed once on a backend.
+    /// The request carries an idempotency key, by which duplicates are recognized. A backend executes it once.
     Deduplicated,
-    /// It must never be executed twice.
+    /// The request must never be executed twice.
     NonIdempotent,
 }
 
-/// The settings of one request class.
+/// The settings of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// What a response within the latency objective earns: the class's priority weight, in the paper's term utility.
+    /// The utility (the paper's term) of a response within the latency objective: the priority weight of the class.
     pub utility: f64,
-    /// The fraction of it that a later response, before the deadline, still earns.
+    /// The fraction of the utility that a response after the latency objective, but before the deadline, still earns.
     pub late_utility_fraction: f64,
     /// How long after a request's first attempt its response is wanted.
     pub latency_objective: Span,
-    /// How long after its first attempt a client waits, over all attempts.
+    /// How long after a request's first attempt the client waits, over all attempts.
     pub deadline: Span,
-    /// Whether it may be executed again.
+    /// Whether a request may be executed more than once.
     pub effect: Effect,
-    /// How long after its arrival a duplicate of a deduplicated request may come.
+    /// How long after a deduplicated request's arrival a duplicate of it may arrive.
     pub deduplication_window: Span,
-    /// Whether its requests may call downstream.
+    /// Whether requests of the class may make downstream calls.
     pub calls_downstream: bool,
-    /// The fraction of the utility that is kept when a call is left out; 0 where it can't be.
+    /// The fraction of the utility that a response without the downstream call earns; 0 if the call can't be skipped.
     pub degraded_utility_fraction: f64,
 }
 
-/// What serves the downstream calls of this backend.
+/// The target of this backend's downstream calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Downstream {
-    /// There are none.
+    /// There are no downstream calls.
     None,
-    /// One dependency that all backends share.
+    /// A dependency that all backends share.
     Shared {
-        /// This backend's share of the concurrent calls that the dependency survives, in the mean.
+        /// This backend's share of the mean number of concurrent calls that the dependency survives.
         concurrent_calls: f64,
-        /// The window over which they are averaged.
+        /// The window of that mean.
         averaging_window: Span,
         /// How long the dependency goes on with a call that was cancelled here.
         cancellation_lag: Span,
     },
-    /// A further tier of backends.
+    /// Another tier of backends.
     Tier,
-    /// Each call waits for its own request's peer: nothing that calls could overload, and waits hold no core.
+    /// A peer of its own for each call. The calls of other requests can't overload it, and waiting for it uses no
+    /// core.
     Peers,
 }
 
-/// What callers take the advertised capacity to mean.
+/// How callers interpret the advertised capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CapacityFormat {
-    /// None is advertised.
+    /// No capacity is advertised.
     None,
-    /// A threshold: requests whose placement lies below it are not sent here.
+    /// A threshold: callers send no requests here whose placement is below it.
     Threshold,
-    /// How many requests each caller may have in flight here.
+    /// The number of requests that each caller may have in flight here.
     Credits,
-    /// The probability, from 0 to 1, with which a caller that considers this backend does not skip it.
+    /// The probability, from 0 to 1, that a caller which considers this backend sends its request here.
     Weight,
 }
 
-/// All that a backend is told when it starts.
+/// The settings of a backend. [`Policy`](crate::Policy) doesn't check them; the crate `lynxtally-settings` does when
+/// it reads them from JSON.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The cores, all alike, of unknown speed.
+    /// Number of cores. All have the same speed, which is unknown.
     pub cores: u32,
-    /// The memory, in kilobytes.
+    /// Memory, in kilobytes.
     pub memory_kb: f64,
-    /// A running request's memory over a queued one's.
+    /// The memory of a running request divided by its memory while queued.
     pub running_memory_factor: f64,
-    /// The memory of one retained idempotency key, in kilobytes.
+    /// The memory of a retained idempotency key, in kilobytes.
     pub idempotency_key_kb: f64,
-    /// Whether this backend has just been started cold.
+    /// Whether this backend starts cold.
     pub cold_start: bool,
-    /// The least fraction of its speed at which a cold backend starts.
+    /// The smallest fraction of its full speed at which a cold backend starts.
     pub cold_capacity_fraction: f64,
-    /// When it is warm at the latest, after its start.
+    /// How long after its start a cold backend is warm at the latest.
     pub warmup_time: Span,
-    /// How many running requests a core a warm backend survives.
+    /// The number of running requests a core that a warm backend survives.
     pub max_running_per_core: f64,
-    /// What arrives later than this after the shutdown notice must not be started.
+    /// The time after the shutdown notice within which arriving requests may still be started.
     pub drain_grace: Span,
-    /// The request classes; a request names one by its index.
+    /// The request classes. A request refers to its class by index.
     pub classes: Vec<RequestClass>,
-    /// Each tenant's quota, in requests a second over all backends.
+    /// Each tenant's quota over all backends, in requests a second.
     pub tenant_quotas: Vec<f64>,
     /// The fraction of its utility that a request beyond its tenant's quota keeps.
     pub over_quota_utility_fraction: f64,
-    /// Whether utility is counted for each unit of work.
+    /// Whether the utility of a request is multiplied by its expected work.
     pub utility_per_work: bool,
-    /// Backends of this tier at this start.
+    /// Number of backends in this tier when this one starts.
     pub backends: u32,
-    /// Callers of this tier at this start.
+    /// Number of callers of this tier when this backend starts.
     pub callers: u32,
-    /// How many tiers of backends stand between this one and the clients.
+    /// Number of tiers of backends between the clients and this tier.
     pub tier_depth: u32,
-    /// What the requests call.
+    /// The target of downstream calls.
     pub downstream: Downstream,
-    /// Whether running work can be stopped.
+    /// Whether the host can stop runs.
     pub stoppable: bool,
-    /// The meaning of the advertised capacity.
+    /// How callers interpret the advertised capacity.
     pub capacity_format: CapacityFormat,
     /// How long callers remember the advertised capacity.
     pub capacity_ttl: Span,
-    /// After how long callers close idle connections; zero where that is not known.
+    /// The idle time after which callers close connections; zero if unknown.
     pub client_idle_timeout: Span,
-    /// How long a read's response may serve other requests; zero means never.
+    /// How long the response of a read may serve other requests; zero if never.
     pub coalescing_window: Span,
-    /// The longest Retry-After that callers follow; zero where none is passed on.
+    /// The longest Retry-After that callers follow; zero if responses must not have one.
     pub max_retry_after: Span,
 }
--- a/src/sliding_sum.rs
+++ b/src/sliding_sum.rs
@@ -3,28 +3,29 @@
 use crate::time::{Instant, Span};
 use std::collections::VecDeque;
 
-/// A window is kept in this many buckets.
+/// Number of buckets in a window.
 const BUCKETS_PER_WINDOW: f64 = 100.0;
 
-/// What was added within one bucket's width.
+/// The amount added within one bucket's width.
 struct Bucket {
     began: Instant,
     amount: f64,
 }
 
-/// The sum of what was added over the last window. It forgets up to one bucket late, so it never reports too little.
+/// The sum of the amounts added over the last window. Amounts expire up to one bucket late, so that the sum is never
+/// too low.
 pub(crate) struct SlidingSum {
     window: Span,
     bucket_width: Span,
     buckets: VecDeque<Bucket>,
     sum: f64,
-    /// The sum assumed for the window before the first use, spread evenly over it.
+    /// The amount assumed for the window before the first use, spread evenly over it.
     initial: f64,
     first_used: Option<Instant>,
 }
 
 impl SlidingSum {
-    /// A sum over `window` that begins as if `initial` had been added evenly over the window before its first use.
+    /// A sum over `window` that starts as if `initial` had been added evenly over the window before its first use.
     pub fn new(window: Span, initial: f64) -> Self {
         Self {
             window,
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Adds what accumulated up to `now`.
+    /// Adds an amount that accumulated up to `now`.
     pub fn add(&mut self, now: Instant, amount: f64) {
         self.first_used.get_or_insert(now);
         self.sum += amount;
@@ -47,14 +48,14 @@
         }
     }
 
-    /// The sum of what was added within the window that ends now.
+    /// The sum of the amounts added within the window that ends now.
     pub fn sum(&mut self, now: Instant) -> f64 {
-        let kept_for = self.window + self.bucket_width;
-        while let Some(expired) = self.buckets.pop_front_if(|bucket| now - bucket.began > kept_for) {
+        let max_age = self.window + self.bucket_width;
+        while let Some(expired) = self.buckets.pop_front_if(|bucket| now - bucket.began > max_age) {
             self.sum -= expired.amount;
         }
         if self.buckets.is_empty() {
-            // Rounding errors of the additions and subtractions must not outlive what was added.
+            // Resets the sum, so that rounding errors don't outlive the amounts that caused them.
             self.sum *= 0.0;
         }
         let windows_since_first_use = (now - *self.first_used.get_or_insert(now)) / self.window;
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,24 +1,24 @@
-//! Points in time and spans of it: two types that cannot be mixed up.
+//! Points in time and lengths of time, as types that can't be confused with each other.
 
 use std::ops::{Add, Div, Mul, Sub};
 
-/// A point on the host's clock, in whole microseconds since a start of the host's choosing.
+/// A point on the host's clock, in whole microseconds since an origin that the host chooses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instant(u64);
 
-/// A length of time, never negative, in whole microseconds.
+/// A length of time in whole microseconds, never negative.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(u64);
 
 impl Instant {
-    /// The point that lies this many microseconds after the clock's start.
+    /// The point this many microseconds after the clock's origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
 }
 
 impl Span {
-    /// No time at all.
+    /// A span of length zero.
     pub const ZERO: Self = Self(0);
 
     /// A span of whole microseconds.
@@ -41,7 +41,7 @@
         self.0 as f64 / 1e6
     }
 
-    /// The span of so many seconds; zero for what is negative or no number.
+    /// A span of this many seconds; zero if `secs` is negative or not a number.
     pub fn from_secs(secs: f64) -> Self {
         Self((secs * 1e6).max(0.0) as u64)
     }
@@ -61,7 +61,7 @@
     }
 }
 
-/// How long after `other` this point lies; zero where it lies before.
+/// The time from `other` to this point; zero if `other` is later.
 impl Sub for Instant {
     type Output = Span;
     fn sub(self, other: Instant) -> Span {
@@ -76,7 +76,7 @@
     }
 }
 
-/// What is left of this span when the other is taken off; zero at the least.
+/// This span minus the other; zero if the other is longer.
 impl Sub for Span {
     type Output = Span;
     fn sub(self, other: Span) -> Span {
@@ -91,7 +91,7 @@
     }
 }
 
-/// How many times the other span goes into this one.
+/// The ratio of this span to the other, whose length counts as at least one microsecond.
 impl Div for Span {
     type Output = f64;
     fn div(self, other: Span) -> f64 {
