--- a/crates/lynxtally-settings/src/check.rs
+++ b/crates/lynxtally-settings/src/check.rs
@@ -1,11 +1,11 @@
-//! The checks of a settings object. Errors name keys as they stand in JSON.
+//! Checks a settings object. Errors name keys as they are in the JSON.
 
 use crate::document::{Backend, CallTarget, Class, Document, Idempotency};
 use crate::error::SettingError;
 use lynxtally::Span;
 
 impl Document {
-    /// Finds the first key with a value that a backend can't start with.
+    /// Returns an error for the first key with a value that a backend can't start with.
     pub(crate) fn check(&self) -> Result<(), SettingError> {
         self.backend.check_capacity()?;
         if self.classes.is_empty() {
@@ -34,7 +34,7 @@
         Ok(())
     }
 
-    /// Calls to a dependency that all share can't be limited without its own limits.
+    /// A shared dependency needs the limits on its calls.
     fn check_call_target(&self) -> Result<(), SettingError> {
         if self.call_target != Some(CallTarget::Shared) {
             return Ok(());
@@ -53,7 +53,7 @@
         Ok(())
     }
 
-    /// Lists with an entry for each class are whole, or left out.
+    /// A list with an entry per class has to be complete or absent.
     fn check_class_lists(&self, classes: usize) -> Result<(), SettingError> {
         let lists = [
             ("specifics.class-calls", self.class_calls_downstream.len()),
@@ -81,7 +81,7 @@
                 return error(key, format!("is {}; a time above 0 is expected", time.0));
             }
         }
-        // Without a window each duplicate would look new, and be executed again.
+        // Without a window each duplicate would look new and be executed again.
         let deduplicated = self.idempotency == Idempotency::Deduplicated;
         if deduplicated && self.deduplication_window.span() == Span::ZERO {
             let problem = "is missing or 0; a time above 0 is expected where `idempotency` is \"token\"";
--- a/crates/lynxtally-settings/src/convert.rs
+++ b/crates/lynxtally-settings/src/convert.rs
@@ -1,16 +1,16 @@
-//! From the settings object to the project's settings.
+//! Converts the settings object to the policy's settings.
 
 use crate::document::{Advertised, Backend, CallTarget, Class, Document, Idempotency, StopMode, UtilityUnit};
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
 
-/// The settings of a backend, and the names behind the indices that they use.
+/// The settings of a backend, with the names that stand behind the indices in them.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackendSettings {
-    /// What the policy is given.
+    /// The settings of the policy.
     pub settings: Settings,
-    /// The names of the request classes, in the order of their indices.
+    /// The names of the request classes, by class index.
     pub class_names: Vec<String>,
-    /// The names of the tenants, in the order of their indices.
+    /// The names of the tenants, by tenant index.
     pub tenant_names: Vec<String>,
     /// The names of the gauges, in the order in which they are reported.
     pub gauges: Vec<String>,
@@ -65,7 +65,7 @@
         indexed.map(|(index, class)| class.request_class(index, &self.backend)).collect()
     }
 
-    /// Zero where responses must not have a Retry-After.
+    /// Zero if responses must not have a Retry-After.
     fn max_retry_after(&self) -> Span {
         match &self.responses {
             Some(responses) if responses.retry_after_allowed => responses.max_retry_after.span(),
--- a/crates/lynxtally-settings/src/decode.rs
+++ b/crates/lynxtally-settings/src/decode.rs
@@ -1,4 +1,4 @@
-//! JSON into values, with errors that name the key.
+//! Decodes JSON, with errors that name the key.
 
 use crate::error::SettingError;
 use serde::Deserialize;
@@ -6,7 +6,7 @@
 /// Decodes JSON into a value.
 ///
 /// # Errors
-/// Names the key by its path.
+/// Returns an error that names the key by its path.
 pub fn decode<'de, T: Deserialize<'de>>(
     json: impl serde::Deserializer<'de, Error = serde_json::Error>,
 ) -> Result<T, SettingError> {
@@ -16,8 +16,8 @@
     })
 }
 
-/// The text of a JSON error without its line and column: an input of one line has its own count of lines, and decoded
-/// values have none.
+/// The text of a JSON error without line and column, which mean nothing to the reader: an input of one JSON object per
+/// line has its own line numbers, and already parsed values have none.
 pub fn describe_json_error(error: &serde_json::Error) -> String {
     let text = error.to_string();
     match text.rsplit_once(" at line ") {
--- a/crates/lynxtally-settings/src/document.rs
+++ b/crates/lynxtally-settings/src/document.rs
@@ -1,6 +1,7 @@
-//! The settings object as it stands in JSON. Its keys and words end here.
+//! The settings object as it is in the JSON. Only this module uses its key names and values.
 //!
-//! `expecting` keeps the texts of errors, which have always named the structs by other names: operators search for them.
+//! Operators search logs for the serde error texts, so `expecting` keeps the struct names that these texts have always
+//! had.
 
 use crate::millis::Millis;
 use serde::Deserialize;
@@ -33,7 +34,7 @@
     1.0
 }
 
-/// What utility is counted by.
+/// What the utility of a class is earned per.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub(crate) enum UtilityUnit {
     #[serde(rename = "request")]
@@ -42,7 +43,7 @@
     Work,
 }
 
-/// What downstream calls go to.
+/// The target of downstream calls.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub(crate) enum CallTarget {
     #[serde(rename = "silent")]
@@ -53,7 +54,7 @@
     Tier,
 }
 
-/// How callers take the advertised capacity.
+/// How callers interpret the advertised capacity.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub(crate) enum Advertised {
     #[serde(rename = "silent")]
@@ -66,16 +67,16 @@
     Weight,
 }
 
-/// What becomes of a run that is stopped.
+/// What happens to a run that is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub(crate) enum StopMode {
     /// Runs can't be stopped.
     #[serde(rename = "silent")]
     None,
-    /// Its progress is lost.
+    /// The run loses its progress.
     #[serde(rename = "drop")]
     Discard,
-    /// It keeps its progress.
+    /// The run keeps its progress.
     #[serde(rename = "pause")]
     Pause,
 }
@@ -99,7 +100,7 @@
     pub deduplication_window: Millis,
 }
 
-/// What executing a request twice does.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub(crate) enum Idempotency {
     #[serde(rename = "pure")]
@@ -129,7 +130,7 @@
     pub retry_after_allowed: bool,
 }
 
-/// Limits of a backend's states.
+/// The limits of a backend that is starting, overloaded or shutting down.
 #[derive(Debug, Deserialize)]
 #[serde(expecting = "struct Rules")]
 pub(crate) struct Limits {
@@ -143,7 +144,7 @@
     pub warmup_time: Millis,
 }
 
-/// What this backend has, and what may be done with it.
+/// The resources of this backend, its callers and its dependency.
 #[derive(Debug, Deserialize)]
 #[serde(expecting = "struct Specifics")]
 pub(crate) struct Backend {
--- a/crates/lynxtally-settings/src/error.rs
+++ b/crates/lynxtally-settings/src/error.rs
@@ -1,18 +1,18 @@
-//! What is wrong with settings.
+//! The error type for invalid settings.
 
 use std::fmt;
 
-/// What is wrong with a settings object: the key by its path, and what was expected there.
+/// An invalid setting: the path of its key, and what is wrong with its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingError {
-    /// The key's path, empty where the object as a whole is meant.
+    /// The path of the key; empty if the error concerns the whole object.
     pub path: String,
-    /// What is wrong with it, and what is expected: the rest of a sentence that begins with the key.
+    /// What is wrong and what is expected, as the rest of a sentence that starts with the key.
     pub problem: String,
 }
 
 impl SettingError {
-    /// An error of one key.
+    /// An error that concerns one key.
     pub fn new(path: impl Into<String>, problem: impl Into<String>) -> Self {
         Self { path: path.into(), problem: problem.into() }
     }
--- a/crates/lynxtally-settings/src/lib.rs
+++ b/crates/lynxtally-settings/src/lib.rs
@@ -1,5 +1,7 @@
-//! The settings object that a backend is given when it starts, the same JSON on the simulator's wire and in
-//! the configuration of a node. It is read, checked and given its defaults here and nowhere else.
+//! Reads the settings object of a backend, checks it and fills in its defaults.
+//!
+//! The simulator's protocol and the configuration of a node contain the same JSON object. An error names the key
+//! that has to be corrected and says what is expected there.
 //!
 //! ```
 //! let text = r#"{
@@ -28,7 +30,7 @@
 /// Reads and checks a settings object. Unknown keys are ignored.
 ///
 /// # Errors
-/// Names the first key that is missing, can't be read or has a value that no backend can start with.
+/// Names the first key that is missing, can't be read or has a value that a backend can't start with.
 pub fn read(json: serde_json::Value) -> Result<BackendSettings, SettingError> {
     let document: document::Document = decode(json)?;
     document.check()?;
--- a/crates/lynxtally-settings/src/millis.rs
+++ b/crates/lynxtally-settings/src/millis.rs
@@ -1,19 +1,19 @@
-//! Times as messages and settings have them.
+//! Times in messages and settings.
 
 use lynxtally::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
-/// A time as it stands in messages and settings, in milliseconds with fractions.
+/// A time in messages and settings, in milliseconds with fractions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd, Deserialize, Serialize)]
 pub struct Millis(pub f64);
 
 impl Millis {
-    /// As a point on the clock.
+    /// This time as a point on the clock.
     pub fn instant(self) -> Instant {
         Instant::from_micros(self.micros())
     }
 
-    /// As a length of time.
+    /// This time as a length of time.
     pub fn span(self) -> Span {
         Span::from_micros(self.micros())
     }
