--- a/crates/lynxtally-adapter/src/backend.rs
+++ b/crates/lynxtally-adapter/src/backend.rs
@@ -1,4 +1,5 @@
-//! One backend: its request id table, its policy, and the translation between protocol and interface.
+//! A simulated backend: its policy, and the translation between the simulator's protocol and the policy's events and
+//! actions.
 
 use crate::error::MessageError;
 use crate::incoming::{ArrivedRequest, Incoming, Name, HAS_EXPECTED_WORK, IS_RETRY};
@@ -18,14 +19,14 @@
     class_names: Vec<String>,
     tenant_names: Vec<String>,
     actions: Vec<Action>,
-    /// The message of the panic that ended the policy; it hears of nothing more.
+    /// The message of a panic in the policy. After a panic the policy gets no more events.
     panic: Option<String>,
-    /// Whether it had an event in this batch and has not decided yet.
+    /// Whether the backend got an event in the current batch and has not decided yet.
     pub has_events: bool,
 }
 
 impl Backend {
-    /// A backend that starts with these settings.
+    /// Starts a backend with these settings.
     pub fn start(settings: serde_json::Value, seed: u64, now: Instant) -> Result<Self, MessageError> {
         let read = lynxtally_settings::read(settings).map_err(MessageError::Settings)?;
         let BackendSettings { settings, class_names, tenant_names, .. } = read;
@@ -50,7 +51,8 @@
         Ok(())
     }
 
-    /// The policy's event for a message; none for a request whose id was released, as nothing more comes of it.
+    /// The policy's event for a message; `None` for a request whose id was released, because the event has no effect
+    /// then.
     fn event(&mut self, incoming: Incoming) -> Result<Option<Event>, MessageError> {
         Ok(match incoming {
             Incoming::Arrived(arrived) => Some(Event::Arrived(self.arrival(&arrived)?)),
@@ -76,7 +78,7 @@
         })
     }
 
-    /// Has the policy decide, and writes its actions.
+    /// Makes the policy decide, and writes its actions.
     pub fn decide(
         &mut self,
         instance: u64,
@@ -145,12 +147,15 @@
     names.iter().position(|known| known == name)
 }
 
-/// Runs a part of the policy; a panic comes back as its message. Without this one faulty backend would end the program
-/// that runs the whole fleet.
+/// Calls the policy and returns the message if it panics. Otherwise one faulty backend would end the process that runs
+/// the whole fleet.
 fn panic_message(run: impl FnOnce()) -> Option<String> {
     let panic = catch_unwind(AssertUnwindSafe(run)).err()?;
     let text = panic.downcast_ref::<&str>().map(|text| (*text).to_owned());
-    Some(text.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "a panic".to_owned()))
+    Some(
+        text.or_else(|| panic.downcast_ref::<String>().cloned())
+            .unwrap_or_else(|| "the policy panicked without a message".to_owned()),
+    )
 }
 
 /// The request that an action concerns.
--- a/crates/lynxtally-adapter/src/error.rs
+++ b/crates/lynxtally-adapter/src/error.rs
@@ -1,22 +1,22 @@
-//! What ends the adapter, and the text that it prints then.
+//! The errors that end the adapter, and their texts.
 
 use lynxtally_settings::{describe_json_error, SettingError};
 use std::{fmt, io};
 
-/// Why the adapter can't go on.
+/// The error that ended the adapter.
 #[derive(Debug)]
 pub enum AdapterError {
-    /// Standard input can't be read.
+    /// Standard input could not be read.
     Input(io::Error),
-    /// Standard output can't be written.
+    /// Standard output could not be written.
     Output(io::Error),
-    /// The input ended after a batch began and before it was over.
+    /// The input ended before the end of a batch.
     InputEndedInsideBatch,
-    /// A line of the input is wrong.
+    /// An input line has an invalid message.
     Line {
-        /// The line's number, from 1.
+        /// The line's number, starting at 1.
         number: u64,
-        /// What is wrong with it.
+        /// What is wrong with the message.
         error: MessageError,
     },
 }
@@ -24,33 +24,33 @@
 /// What is wrong with a message.
 #[derive(Debug)]
 pub enum MessageError {
-    /// It can't be read.
+    /// The message is not valid JSON, or lacks a field.
     Json(serde_json::Error),
-    /// A batch begins inside another.
+    /// A batch starts before the previous one ended.
     BatchInsideBatch,
-    /// An event outside all batches.
+    /// A message other than the start of a batch, outside a batch.
     EventOutsideBatch,
-    /// It concerns an instance that was never started.
+    /// The message concerns an instance that was never started.
     UnknownInstance(u64),
-    /// The settings of a backend that starts are wrong.
+    /// The settings of a starting backend are invalid.
     Settings(SettingError),
-    /// The class of this name is not in the settings.
+    /// The settings have no class of this name.
     UnknownClass(String),
-    /// The tenant of this name is not in the settings.
+    /// The settings have no tenant of this name.
     UnknownTenant(String),
-    /// A request arrived under the name of one that is open.
+    /// A request arrived under the name of an open request.
     DuplicateName(String),
-    /// No run ends with this status.
+    /// The status is not one that a run can end with.
     UnknownRunStatus(u64),
-    /// No call ends with this status.
+    /// The status is not one that a call can end with.
     UnknownCallStatus(u64),
 }
 
 impl fmt::Display for AdapterError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Input(error) => write!(f, "standard input: {error}"),
-            Self::Output(error) => write!(f, "standard output: {error}"),
+            Self::Input(error) => write!(f, "cannot read standard input: {error}"),
+            Self::Output(error) => write!(f, "cannot write to standard output: {error}"),
             Self::InputEndedInsideBatch => f.write_str("input ended inside a batch"),
             Self::Line { number, error } => write!(f, "line {number}: {error}"),
         }
@@ -63,17 +63,23 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Json(error) => f.write_str(&describe_json_error(error)),
-            Self::BatchInsideBatch => f.write_str("a frame inside a batch"),
-            Self::EventOutsideBatch => f.write_str("an event outside a batch"),
+            Self::BatchInsideBatch => {
+                f.write_str("a `frame` message inside a batch; `eob` is expected first")
+            }
+            Self::EventOutsideBatch => f.write_str("a message outside a batch; `frame` is expected first"),
             Self::UnknownInstance(instance) => write!(f, "instance {instance} was never started"),
             Self::Settings(error) => write!(f, "settings: {error}"),
             Self::UnknownClass(name) => write!(f, "field `profile`: no class named {name:?} in the settings"),
             Self::UnknownTenant(name) => {
                 write!(f, "field `client-group`: no tenant named {name:?} in the settings")
             }
-            Self::DuplicateName(name) => write!(f, "field `xid`: {name:?} came twice"),
-            Self::UnknownRunStatus(status) => write!(f, "field `status`: {status} is no outcome of a run"),
-            Self::UnknownCallStatus(status) => write!(f, "field `status`: {status} is no outcome of a call"),
+            Self::DuplicateName(name) => write!(f, "field `xid`: {name:?} is the name of an open request"),
+            Self::UnknownRunStatus(status) => {
+                write!(f, "field `status`: {status} is not a status that a run ends with")
+            }
+            Self::UnknownCallStatus(status) => {
+                write!(f, "field `status`: {status} is not a status that a call ends with")
+            }
         }
     }
 }
--- a/crates/lynxtally-adapter/src/fleet.rs
+++ b/crates/lynxtally-adapter/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The backends of the simulated fleet: takes the simulator's batches, and answers each once all of it is read.
+//! The simulated fleet: reads the simulator's batches, passes each message to its backend, and writes the backends'
+//! actions after each batch.
 
 use crate::backend::Backend;
 use crate::error::{AdapterError, MessageError};
@@ -22,30 +23,30 @@
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let read = serde_json::from_slice(&line).map_err(MessageError::Json);
-        let step = read.and_then(|incoming| fleet.handle(incoming));
+        let message = serde_json::from_slice(&line).map_err(MessageError::Json);
+        let step = message.and_then(|incoming| fleet.handle(incoming));
         match step.map_err(|error| AdapterError::Line { number, error })? {
-            Step::Read => {}
-            Step::Answer(now) => fleet.answer(now, &mut output).map_err(AdapterError::Output)?,
+            Step::Continue => {}
+            Step::EndBatch(now) => fleet.decide_pending(now, &mut output).map_err(AdapterError::Output)?,
         }
     }
 }
 
-/// What follows a message.
+/// What to do after a message.
 enum Step {
-    /// The next one is read.
-    Read,
-    /// The batch is over, and is to be answered.
-    Answer(Instant),
+    /// Read the next message.
+    Continue,
+    /// End the batch with this time: the backends decide.
+    EndBatch(Instant),
 }
 
-/// The backends by number, and the batch under way.
+/// The backends by instance number, and the current batch.
 #[derive(Default)]
 struct Fleet {
     backends: BTreeMap<u64, Backend>,
-    /// Backends that had an event in this batch, in the order of their first.
+    /// Backends that got an event in the current batch, in the order of their first event.
     pending: Vec<u64>,
-    /// The time of the batch under way.
+    /// The time of the current batch; `None` between batches.
     batch_time: Option<Instant>,
 }
 
@@ -54,18 +55,18 @@
         let now = match (&incoming, self.batch_time) {
             (Incoming::BatchStart { now }, None) => {
                 self.batch_time = Some(now.instant());
-                return Ok(Step::Read);
+                return Ok(Step::Continue);
             }
             (Incoming::BatchStart { .. }, Some(_)) => return Err(MessageError::BatchInsideBatch),
             (_, None) => return Err(MessageError::EventOutsideBatch),
             (_, Some(now)) => now,
         };
         match incoming {
-            // Matched above.
+            // Unreachable: handled above.
             Incoming::BatchStart { .. } => {}
             Incoming::BatchEnd => {
                 self.batch_time = None;
-                return Ok(Step::Answer(now));
+                return Ok(Step::EndBatch(now));
             }
             Incoming::Stop { instance } => {
                 self.backends.remove(&instance).ok_or(MessageError::UnknownInstance(instance))?;
@@ -82,7 +83,7 @@
             | Incoming::TimerFired { instance, .. }
             | Incoming::Drain { instance, .. } => self.handle_event(instance, now, incoming)?,
         }
-        Ok(Step::Read)
+        Ok(Step::Continue)
     }
 
     fn handle_event(&mut self, instance: u64, now: Instant, event: Incoming) -> Result<(), MessageError> {
@@ -92,7 +93,7 @@
         Ok(())
     }
 
-    /// Notes that a backend has to decide, once a batch however many events it had.
+    /// Records that a backend has to decide at the end of the batch, once however many events it got.
     fn mark_pending(&mut self, instance: u64) {
         let Some(backend) = self.backends.get_mut(&instance) else { return };
         if !backend.has_events {
@@ -101,14 +102,14 @@
         }
     }
 
-    /// Has each backend that had an event decide, and writes the answer to the batch.
-    fn answer(&mut self, now: Instant, output: &mut impl Write) -> io::Result<()> {
+    /// Makes each backend that got an event decide, and ends the batch's output.
+    fn decide_pending(&mut self, now: Instant, output: &mut impl Write) -> io::Result<()> {
         let mut write = |outgoing: &Outgoing| -> io::Result<()> {
             serde_json::to_writer(&mut *output, outgoing)?;
             output.write_all(b"\n")
         };
         for instance in self.pending.drain(..) {
-            // One that was stopped and started anew within the batch stands here twice, and decides once.
+            // A backend that was stopped and started again within the batch is listed twice, but decides only once.
             let Some(backend) = self.backends.get_mut(&instance) else { continue };
             if std::mem::take(&mut backend.has_events) {
                 backend.decide(instance, now, &mut write)?;
@@ -118,7 +119,7 @@
         output.flush()
     }
 
-    /// The input ended, which is well between batches only.
+    /// Handles the end of the input, which is valid only between batches.
     fn end(&self) -> Result<(), AdapterError> {
         match self.batch_time {
             Some(_) => Err(AdapterError::InputEndedInsideBatch),
--- a/crates/lynxtally-adapter/src/incoming.rs
+++ b/crates/lynxtally-adapter/src/incoming.rs
@@ -1,20 +1,20 @@
-//! The simulator's messages to backends. The protocol's words end here.
+//! The simulator's messages to backends. Only this module uses their wire names.
 
 use lynxtally_settings::Millis;
 use serde::Deserialize;
 use std::fmt;
 
-/// A message of the simulator. All between `BatchStart` and `BatchEnd` happens at one instant.
+/// A message from the simulator. All messages between `BatchStart` and `BatchEnd` have the same time.
 #[derive(Debug, Deserialize)]
 #[serde(tag = "type")]
 pub enum Incoming {
-    /// A batch begins, at this time.
+    /// A batch starts, with this time for all its messages.
     #[serde(rename = "frame")]
     BatchStart {
         #[serde(rename = "now-ms")]
         now: Millis,
     },
-    /// The batch is over: the backends are to decide.
+    /// The batch ends and the backends have to decide.
     #[serde(rename = "eob")]
     BatchEnd,
     /// A backend starts.
@@ -30,7 +30,7 @@
     /// A request arrived.
     #[serde(rename = "inbound")]
     Arrived(Box<ArrivedRequest>),
-    /// A request's caller waits no longer.
+    /// A request's caller stopped waiting.
     #[serde(rename = "abandoned")]
     CallerGone {
         #[serde(rename = "i")]
@@ -72,7 +72,7 @@
         #[serde(rename = "server-stats", default)]
         gauges: ReportedGauges,
     },
-    /// A graceful shutdown begins; the backend ends at this time.
+    /// A graceful shutdown begins. The backend is killed at `shutdown_deadline`.
     #[serde(rename = "quiesce")]
     Drain {
         #[serde(rename = "i")]
@@ -80,7 +80,7 @@
         #[serde(rename = "not-after-ms")]
         shutdown_deadline: Millis,
     },
-    /// A backend is gone.
+    /// A backend was removed.
     #[serde(rename = "retire")]
     Stop {
         #[serde(rename = "i")]
@@ -88,10 +88,10 @@
     },
 }
 
-/// A request as it arrives.
+/// An arriving request.
 #[derive(Debug, Deserialize)]
 pub struct ArrivedRequest {
-    /// The backend's number.
+    /// The backend's instance number.
     #[serde(rename = "i")]
     pub instance: u64,
     /// The request's name.
@@ -103,35 +103,35 @@
     /// The caller's number.
     #[serde(rename = "by", default)]
     pub caller: u64,
-    /// The expected work; counts only where [`HAS_EXPECTED_WORK`] is set.
+    /// The expected work, valid only with [`HAS_EXPECTED_WORK`].
     #[serde(rename = "effort-ms")]
     pub expected_work: Option<Millis>,
-    /// How long it waited before it was read.
+    /// How long the request waited before it was read.
     #[serde(rename = "lay-ms", default)]
     pub receive_delay: Millis,
-    /// The name of the earlier request that it duplicates.
+    /// The name of the earlier request that this one duplicates.
     #[serde(rename = "earlier")]
     pub duplicate_of: Option<Name>,
-    /// When the caller gives this attempt up; 0 where that is unknown.
+    /// When the caller gives up on this attempt; 0 if unknown.
     #[serde(rename = "not-after-ms")]
     pub deadline: Option<Millis>,
-    /// [`HAS_EXPECTED_WORK`] and [`IS_RETRY`].
+    /// Bits: [`HAS_EXPECTED_WORK`] and [`IS_RETRY`].
     #[serde(rename = "opts", default)]
     pub flags: u64,
     /// The class's name.
     #[serde(rename = "profile")]
     pub class: String,
-    /// Its memory while queued, in kilobytes.
+    /// The request's memory while queued, in kilobytes.
     #[serde(rename = "footprint")]
     pub memory_kb: f64,
-    /// What it reads, where its response may serve other requests.
+    /// The item that the request reads, if its response may serve other requests.
     #[serde(rename = "item")]
     pub coalescable_item: Option<Name>,
 }
 
-/// The flag of a request whose expected work is given.
+/// Flag: `expected_work` is valid.
 pub const HAS_EXPECTED_WORK: u64 = 1;
-/// The flag of a request that is a retry.
+/// Flag: the request is a retry.
 pub const IS_RETRY: u64 = 2;
 
 /// The gauges of a backend's machine.
@@ -143,7 +143,7 @@
     pub open_connections: Option<f64>,
 }
 
-/// A name, or 0 where there is none.
+/// A name, or the number 0 if there is none.
 #[derive(Debug, Deserialize)]
 #[serde(untagged)]
 pub enum Name {
@@ -160,18 +160,18 @@
     }
 }
 
-/// The number that stands where there is no name.
+/// The number 0 in place of a name.
 #[derive(Debug, Deserialize)]
 #[serde(try_from = "u64")]
 pub struct Zero;
 
-/// A number other than 0 where a name is expected.
+/// The error for a number other than 0 in place of a name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NotAName(u64);
 
 impl fmt::Display for NotAName {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} is no name", self.0)
+        write!(f, "{} is not a name; a string or 0 is expected", self.0)
     }
 }
 
--- a/crates/lynxtally-adapter/src/main.rs
+++ b/crates/lynxtally-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! The simulator's adapter: reads the simulator's JSON lines on standard input, runs a policy for each backend of the
-//! simulated fleet, and writes their actions to standard output.
+//! Connects lynxtally's policy to the simulator: reads the simulator's JSON lines from standard input, runs a policy
+//! for each backend of the simulated fleet, and writes their actions to standard output.
 
 #![forbid(unsafe_code)]
 
@@ -13,7 +13,8 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    // A panic in the policy is reported to the simulator; its trace would only hide the message.
+    // A panic in the policy is reported to the simulator as a message. The default hook would print a backtrace that
+    // hides it.
     std::panic::set_hook(Box::new(|_| {}));
     match fleet::run(io::stdin().lock(), io::BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/lynxtally-adapter/src/outgoing.rs
+++ b/crates/lynxtally-adapter/src/outgoing.rs
@@ -1,10 +1,10 @@
-//! The backends' messages to the simulator. The protocol's words end here.
+//! The backends' messages to the simulator. Only this module uses their wire names.
 
 use lynxtally::Action;
 use lynxtally_settings::Millis;
 use serde::Serialize;
 
-/// The policy sets one timer only; the protocol numbers them.
+/// The protocol numbers timers; the policy has only one.
 const POLICY_TIMER: u64 = 0;
 
 /// A message to the simulator.
@@ -88,7 +88,7 @@
         instance: u64,
         #[serde(rename = "on")]
         healthy: bool,
-        /// Always set; the protocol's word.
+        /// Always true: health checks are answered at little cost. `cheap` is the protocol's name.
         cheap: bool,
     },
     #[serde(rename = "advertise")]
@@ -121,7 +121,7 @@
         #[serde(rename = "msg")]
         text: &'a str,
     },
-    /// The policy panicked; it decides no more.
+    /// The policy panicked and makes no more decisions.
     #[serde(rename = "internal-error")]
     InternalError {
         #[serde(rename = "i")]
@@ -129,13 +129,13 @@
         #[serde(rename = "msg")]
         panic: &'a str,
     },
-    /// The batch is answered.
+    /// All messages of the batch were written.
     #[serde(rename = "yield")]
     BatchEnd,
 }
 
 impl<'a> Outgoing<'a> {
-    /// The message for an action that concerns a request, by the request's name; none for other actions.
+    /// The message for an action that concerns a request; `None` for other actions.
     pub fn for_request(instance: u64, action: &Action, request: &'a str) -> Option<Self> {
         Some(match action {
             Action::Start(_) => Self::Start { instance, request },
@@ -155,7 +155,7 @@
         })
     }
 
-    /// The message for an action of the backend as a whole; none for other actions.
+    /// The message for an action that concerns the whole backend; `None` for other actions.
     pub fn for_backend(instance: u64, action: &'a Action) -> Option<Self> {
         Some(match action {
             Action::SetHealth(healthy) => Self::SetHealth { instance, healthy: *healthy, cheap: true },
