--- a/crates/lynxtally-settings/src/check.rs
+++ b/crates/lynxtally-settings/src/check.rs
@@ -34,7 +34,7 @@
         Ok(())
     }
 
-    /// A shared dependency needs the limits on its calls.
+    /// Calls to a shared dependency can only be bounded if the settings contain its limits.
     fn check_call_target(&self) -> Result<(), SettingError> {
         if self.call_target != Some(CallTarget::Shared) {
             return Ok(());
--- a/crates/lynxtally-settings/src/document.rs
+++ b/crates/lynxtally-settings/src/document.rs
@@ -6,7 +6,6 @@
 use crate::millis::Millis;
 use serde::Deserialize;
 
-/// The settings object.
 #[derive(Debug, Deserialize)]
 #[serde(expecting = "struct Profile")]
 pub(crate) struct Document {
@@ -81,7 +80,6 @@
     Pause,
 }
 
-/// A request class.
 #[derive(Debug, Deserialize)]
 #[serde(expecting = "struct Lane")]
 pub(crate) struct Class {
@@ -111,7 +109,6 @@
     NonIdempotent,
 }
 
-/// A tenant.
 #[derive(Debug, Deserialize)]
 #[serde(expecting = "struct Org")]
 pub(crate) struct Tenant {
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -37,7 +37,7 @@
     for connection in listener.incoming().flatten() {
         thread::spawn(move || {
             if let Err(error) = serve(connection) {
-                println!("connection closed by an error: {error}");
+                println!("connection to the executor or the dependency failed: {error}");
             }
         });
     }
@@ -106,7 +106,7 @@
         let _ = self.output.write_all(event.as_bytes());
     }
 
-    /// Continues a run after its run time: it calls the dependency or returns its result.
+    /// Continues a run after its run time: the run calls the dependency or returns its result.
     fn run_time_elapsed(&mut self, id: &str, calls: bool) {
         if calls {
             self.send_event("IOREQ", id, "one coin");
--- a/src/cost_model.rs
+++ b/src/cost_model.rs
@@ -49,7 +49,6 @@
         self.0[class].wait_secs
     }
 
-    /// Whether a run of the class was observed.
     pub fn is_observed(&self, class: usize) -> bool {
         self.0[class].observed
     }
--- a/src/dependency_usage.rs
+++ b/src/dependency_usage.rs
@@ -67,12 +67,10 @@
         self.cancelled *= (-elapsed_secs / self.cancellation_lag.secs().max(1e-3)).exp();
     }
 
-    /// Counts a call that a request asked to make.
     pub fn call_requested(&mut self) {
         self.requested += 1;
     }
 
-    /// Counts a call that was started.
     pub fn call_started(&mut self) {
         self.started += 1;
     }
@@ -108,7 +106,7 @@
         self.burst_secs
     }
 
-    /// The counts, with `in_flight` calls in flight here.
+    /// The usage counts; `in_flight` is the number of calls in flight here, without cancelled ones.
     pub fn counts(&mut self, now: Instant, in_flight: f64) -> CallUsage {
         CallUsage {
             in_flight: in_flight as u64 + self.max_cancelled(now),
--- a/src/policy/advertise.rs
+++ b/src/policy/advertise.rs
@@ -13,15 +13,15 @@
 const RESIDENCE_FACTOR: f64 = 2.0;
 /// Upper bound of the target residence time, as a fraction of the mean latency objective.
 const MAX_RESIDENCE_FRACTION: f64 = 0.3;
-/// With a dominant class the target is this many times that bound, for more requests to choose from.
+/// A dominant class multiplies that bound by this, so that there are more requests to choose from.
 const DOMINANT_RESIDENCE_FACTOR: f64 = 2.0;
-/// With a dominant class at least this many requests a core are targeted, whatever their cost.
+/// Least target concurrency a core with a dominant class, whatever its requests cost.
 const DOMINANT_MIN_PER_CORE: f64 = 4.0;
 /// Highest threshold advertised outside a shutdown.
 const MAX_THRESHOLD: f64 = 0.5;
 /// Lowest weight advertised outside a shutdown.
 const MIN_WEIGHT: f64 = 0.1;
-/// Credits are rounded to multiples of 1 over this, which limits how often they change.
+/// Credits are rounded to multiples of 1 / `CREDIT_STEPS`, so that they change less often.
 const CREDIT_STEPS: f64 = 4.0;
 
 impl Policy {
--- a/src/policy/call_budget.rs
+++ b/src/policy/call_budget.rs
@@ -33,6 +33,7 @@
     mean_calls: f64,
     /// Window of that mean; `None` without a shared dependency.
     averaging_window: Option<Span>,
+    /// Leased bounds, which replace the mean while there are any.
     pub lease: Option<CallLease>,
     pub usage: DependencyUsage,
 }
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -44,22 +44,22 @@
     }
 
     /// Records a successful call, however slow: only failures narrow the window; the budget bounds the rest.
-    pub fn call_succeeded(&mut self, took: Span) {
+    pub fn call_succeeded(&mut self, duration: Span) {
         self.size += 1.0 / self.size;
-        self.learn_call_secs(took.secs() - self.usual_call_secs);
+        self.learn_call_secs(duration.secs() - self.usual_call_secs);
     }
 
     /// Records a failed call. A short timeout only shows that its request had little time left. Calls that
     /// started before the last cut met the same overload and don't cut the window again.
-    pub fn call_failed(&mut self, now: Instant, took: Span, outcome: CallOutcome) {
-        let is_slow = took.secs() > self.usual_call_secs * SLOW_CALL_FACTOR;
-        let is_crowded = outcome == CallOutcome::NotExecuted || is_slow;
-        if is_crowded && now - self.last_cut > took {
+    pub fn call_failed(&mut self, now: Instant, duration: Span, outcome: CallOutcome) {
+        let is_slow = duration.secs() > self.usual_call_secs * SLOW_CALL_FACTOR;
+        let is_overload_sign = outcome == CallOutcome::NotExecuted || is_slow;
+        if is_overload_sign && now - self.last_cut > duration {
             self.size = (self.size * CUT_FRACTION).max(1.0);
             self.last_cut = now;
         }
         if outcome == CallOutcome::MaybeExecuted {
-            self.learn_call_secs((took.secs() - self.usual_call_secs).max(0.0));
+            self.learn_call_secs((duration.secs() - self.usual_call_secs).max(0.0));
         }
     }
 
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -20,7 +20,7 @@
 /// The learned demand that keeps the cores full.
 #[derive(Default)]
 pub(super) struct Throughput {
-    /// In cores.
+    /// The learned demand, in cores.
     demand: f64,
     /// Since when every core has had a request.
     full_since: Option<Instant>,
@@ -46,7 +46,7 @@
         memory_kb <= self.memory_limit_kb() && usage.started + 1.0 <= max_started * SAFE_FRACTION
     }
 
-    /// The most memory to use, in kilobytes.
+    /// The memory limit of the policy, in kilobytes.
     pub(super) fn memory_limit_kb(&self) -> f64 {
         self.settings.memory_kb * SAFE_FRACTION
     }
--- a/src/policy/deadline.rs
+++ b/src/policy/deadline.rs
@@ -12,7 +12,7 @@
 
 /// A queued request keeps its full rate for this fraction of the time to its latest start.
 const FULL_RATE_FRACTION: f64 = 0.3;
-/// The rate of a request that is queued for longer is multiplied by this.
+/// The rate of a request that is queued beyond `FULL_RATE_FRACTION` is multiplied by this.
 const STALE_RATE_FRACTION: f64 = 0.5;
 /// Longest time to drain the queue ahead of a request, as a fraction of the mean latency objective.
 const MAX_QUEUE_FRACTION: f64 = 0.15;
--- a/src/policy/downstream_calls.rs
+++ b/src/policy/downstream_calls.rs
@@ -65,16 +65,16 @@
         if request.state != RequestState::Calling {
             return;
         }
-        let took = self.now - request.call.started_at;
+        let duration = self.now - request.call.started_at;
         if outcome == CallOutcome::Succeeded {
             request.call.attempts = 0;
-            self.call_window.call_succeeded(took);
+            self.call_window.call_succeeded(duration);
             return self.requests.set_known_state(id, RequestState::Running);
         }
         if outcome == CallOutcome::MaybeExecuted {
             request.call.attempts += 1;
         }
-        self.learn_from_failed_call(took, outcome);
+        self.learn_from_failed_call(duration, outcome);
         self.queue_call(id); // Even a call that is not retried counts as requested.
         let request = &self.requests[id];
         if !request.response_owed {
@@ -85,8 +85,8 @@
     }
 
     /// Updates the bounds with a failed call. If no dependency is shared, the window alone limits the rate.
-    fn learn_from_failed_call(&mut self, took: Span, outcome: CallOutcome) {
-        self.call_window.call_failed(self.now, took, outcome);
+    fn learn_from_failed_call(&mut self, duration: Span, outcome: CallOutcome) {
+        self.call_window.call_failed(self.now, duration, outcome);
         if outcome == CallOutcome::MaybeExecuted {
             self.call_budget.usage.call_cancelled(self.now);
         } else if matches!(self.settings.downstream, Downstream::Shared { .. }) {
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -10,9 +10,10 @@
 
 /// Connections are closed only below this CPU utilization.
 const MAX_CPU_UTILIZATION: f64 = 0.85;
-/// Least ratio of open connections to possible runs, and of callers to open connections, to close any.
+/// Connections are closed only above this ratio of open connections to possible runs, and of callers to open
+/// connections.
 const EXCESS_FACTOR: f64 = 3.5;
-/// The CPU utilization is averaged over this many shortest latency objectives.
+/// Averaging window of the CPU utilization, in shortest latency objectives.
 const AVERAGING_OBJECTIVES: f64 = 3.0;
 
 /// The mean CPU utilization, and how long a connection has to be idle to be closed.
@@ -33,7 +34,7 @@
     }
 
     /// Handles the gauges, once a timer period. The idle time shrinks slowly to close no more connections
-    /// than needed: all at once would come back, at the cost of new ones. Drawback: relief is slow.
+    /// than needed: all at once would come back, at the cost of new ones. Drawback: they are freed slowly.
     pub fn update(&mut self, gauges: Gauges, settings: &Settings, profile: &Profile) {
         let utilization = gauges.cpu_utilization.unwrap_or(1.0);
         self.cpu_utilization +=
@@ -54,7 +55,7 @@
     }
 }
 
-/// The longest idle time before the caller closes a connection itself, in seconds.
+/// The idle time after which callers close connections, in seconds; at least the mean latency objective.
 fn longest_idle_secs(settings: &Settings, mean_objective_secs: f64) -> f64 {
     settings.client_idle_timeout.secs().max(mean_objective_secs)
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -86,8 +86,7 @@
     }
 }
 
-/// The admission and scheduling policy of one backend. It does no I/O and depends only on its calls'
-/// arguments.
+/// The admission and scheduling policy of one backend. It does no I/O and reads no clock.
 pub struct Policy {
     settings: Settings,
     profile: Profile,
@@ -162,7 +161,8 @@
         self.call_budget.usage.counts(self.now, self.requests.usage().calls)
     }
 
-    /// A tenant's rate here without rejected requests, in requests a second; 0 for an unknown tenant.
+    /// The rate of a tenant's requests that this backend didn't reject, in requests a second; 0 for an
+    /// unknown tenant.
     pub fn tenant_rate(&self, tenant: usize) -> f64 {
         self.learned.tenants.rate(tenant)
     }
--- a/src/rate_queue.rs
+++ b/src/rate_queue.rs
@@ -13,7 +13,6 @@
 }
 
 impl RateQueue {
-    /// Adds a request.
     pub fn insert(&mut self, request: RequestId, rate: f64) {
         self.0.insert((descending(rate), request));
     }
@@ -23,12 +22,10 @@
         self.0.remove(&(descending(rate), request));
     }
 
-    /// The request with the highest rate.
     pub fn highest(&self) -> Option<RequestId> {
         self.0.first().map(|&(_, request)| request)
     }
 
-    /// The request with the lowest rate.
     pub fn lowest(&self) -> Option<RequestId> {
         self.0.last().map(|&(_, request)| request)
     }
--- a/src/request.rs
+++ b/src/request.rs
@@ -50,8 +50,8 @@
     /// Whether the request was started, or duplicates one that was. If so, its effect may have happened.
     pub started: bool,
     pub started_at: Instant,
-    /// Core time, in seconds. While the request is on the cores, it is reduced by the reading of the core clock at
-    /// which the request got on them, so that adding the current reading gives the core time.
+    /// Core time, in seconds. The core clock is subtracted when the request gets on the cores and added when it leaves
+    /// them, so the value is valid only off the cores.
     pub core_secs: f64,
 }
 
--- a/src/request_table.rs
+++ b/src/request_table.rs
@@ -22,7 +22,7 @@
     armed_timers: BTreeSet<(Instant, RequestId)>,
     /// Requests whose timers are not armed yet. Most have ended by the next decision and never need an armed timer.
     pending_timers: Vec<RequestId>,
-    /// Requests about which the host may have to be told something.
+    /// Requests that changed since the last decision, in the order of the changes.
     changed: Vec<RequestId>,
     usage: ResourceUsage,
     /// The core clock: the core time, in seconds, of a request that ran without a break since the policy's start.
@@ -65,12 +65,10 @@
         }
     }
 
-    /// The request with this index, if there is one.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.requests.get(id.0 as usize)?.as_ref()
     }
 
-    /// Whether there is a request with this index.
     pub fn contains(&self, id: RequestId) -> bool {
         self.get(id).is_some()
     }
@@ -174,7 +172,7 @@
         self[id].rate = after;
     }
 
-    /// Records that the host may have to be told something about a request.
+    /// Records a change about which the host may have to be told.
     pub fn mark_changed(&mut self, id: RequestId) {
         self.changed.push(id);
     }
--- a/src/tenant_rates.rs
+++ b/src/tenant_rates.rs
@@ -38,7 +38,6 @@
         self.rates.iter_mut().for_each(|rate| *rate *= decay);
     }
 
-    /// Counts a request of the tenant.
     pub fn count(&mut self, tenant: usize) {
         self.rates[tenant] += 1.0 / self.window_secs;
     }
