--- a/crates/core/engine/src/actions.rs
+++ b/crates/core/engine/src/actions.rs
@@ -8,12 +8,14 @@
 use crate::timers::Timer;
 use lynxtally::{Action, CallOutcome, Event, Instant, RequestId, RunOutcome, Span};
 
-impl<P: Scheduler, W, F, D: Copy + Ord> Engine<P, W, F, D> {
+impl<S: Scheduler, ExecutorState, ReplyTo, FrontendTimer: Copy + Ord>
+    Engine<S, ExecutorState, ReplyTo, FrontendTimer>
+{
     pub(crate) fn execute_actions(
         &mut self,
         now: Instant,
-        executor: &mut impl Executor<W>,
-        responder: &mut impl Responder<F>,
+        executor: &mut impl Executor<ExecutorState>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -27,23 +29,23 @@
         &mut self,
         now: Instant,
         action: Action,
-        executor: &mut impl Executor<W>,
-        responder: &mut impl Responder<F>,
+        executor: &mut impl Executor<ExecutorState>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         match action {
             Action::Start(request) => {
                 if let Some(open) = self.open.get_mut(request) {
-                    executor.start(request, &mut open.work);
+                    executor.start(request, &mut open.executor_state);
                 }
             }
             Action::Stop(request) => {
                 if let Some(open) = self.open.get_mut(request) {
-                    executor.stop(request, &mut open.work);
+                    executor.stop(request, &mut open.executor_state);
                 }
             }
             Action::Degrade(request) => {
                 if let Some(open) = self.open.get_mut(request) {
-                    executor.degrade(request, &mut open.work);
+                    executor.degrade(request, &mut open.executor_state);
                 }
             }
             Action::Call { request, timeout } => self.start_call(now, request, timeout, executor),
@@ -78,12 +80,12 @@
         now: Instant,
         request: RequestId,
         timeout: Span,
-        executor: &mut impl Executor<W>,
+        executor: &mut impl Executor<ExecutorState>,
     ) {
         let Some(open) = self.open.get_mut(request) else { return };
         self.last_call_number += 1;
         let number = self.last_call_number;
-        if executor.start_call(request, &mut open.work, number, timeout) {
+        if executor.start_call(request, &mut open.executor_state, number, timeout) {
             open.call_number = Some(number);
             self.timers.set(now + timeout, Timer::CallTimeout(request, number));
         } else {
@@ -95,8 +97,8 @@
         &mut self,
         now: Instant,
         request: RequestId,
-        executor: &mut impl Executor<W>,
-        responder: &mut impl Responder<F>,
+        executor: &mut impl Executor<ExecutorState>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         self.ids.release(request);
         let Some(mut open) = self.open.remove(request) else { return };
@@ -105,13 +107,13 @@
             self.settle_duplicates(settled, responder);
         }
         if let Some(number) = open.call_number {
-            executor.cancel_call(&mut open.work, number);
+            executor.cancel_call(&mut open.executor_state, number);
         }
-        executor.release(request, open.work);
+        executor.release(request, open.executor_state);
     }
 
     /// Drops a request's idempotency key: whoever comes under it next is the first.
-    pub(crate) fn release_key(&mut self, request: RequestId, responder: &mut impl Responder<F>) {
+    pub(crate) fn release_key(&mut self, request: RequestId, responder: &mut impl Responder<ReplyTo>) {
         if let Some(key) = self.idempotency_key(request) {
             let settled = self.deduplication.release_key(&key, request);
             self.settle_duplicates(settled, responder);
@@ -126,7 +128,7 @@
     pub(crate) fn settle_duplicates(
         &mut self,
         settled: impl IntoIterator<Item = SettledDuplicate>,
-        responder: &mut impl Responder<F>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         for SettledDuplicate { request, result } in settled {
             let response = result.map_or(FinalResponse::Failed, FinalResponse::Completed);
@@ -140,7 +142,7 @@
         &mut self,
         request: RequestId,
         response: FinalResponse,
-        responder: &mut impl Responder<F>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         let Some(open) = self.open.get_mut(request) else { return };
         let Some(reply_to) = open.reply_to.take() else { return };
--- a/crates/core/engine/src/deduplication.rs
+++ b/crates/core/engine/src/deduplication.rs
@@ -80,7 +80,7 @@
     }
 
     /// Whether a request that arrived then is a duplicate of this one.
-    fn covers(&self, arrived_at: Instant) -> bool {
+    fn applies_to(&self, arrived_at: Instant) -> bool {
         !self.released || self.retained_until.is_some_and(|until| until > arrived_at)
     }
 
@@ -119,7 +119,7 @@
         fingerprint: Fingerprint,
         request: RequestId,
     ) -> Result<Duplicate, KeyConflict> {
-        match self.entries.get(key).filter(|entry| entry.covers(arrived_at)) {
+        match self.entries.get(key).filter(|entry| entry.applies_to(arrived_at)) {
             Some(entry) if entry.fingerprint != fingerprint => Err(KeyConflict),
             Some(entry) if entry.released => Ok(Duplicate::OfReleased),
             Some(entry) => Ok(Duplicate::Of(entry.request)),
--- a/crates/core/engine/src/engine.rs
+++ b/crates/core/engine/src/engine.rs
@@ -15,11 +15,11 @@
 
 /// One instance: the scheduler, and all that it decides on. `P` is the scheduler, `W` what the executor keeps of a
 /// request, `F` where a response is awaited, `D` what the frontend's own timers are for.
-pub struct Engine<P, W, F, D> {
-    pub(crate) scheduler: Option<P>,
+pub struct Engine<S, ExecutorState, ReplyTo, FrontendTimer> {
+    pub(crate) scheduler: Option<S>,
     pub(crate) ids: RequestIdTable,
-    pub(crate) open: OpenRequests<W, F>,
-    pub(crate) timers: Timers<D>,
+    pub(crate) open: OpenRequests<ExecutorState, ReplyTo>,
+    pub(crate) timers: Timers<FrontendTimer>,
     /// Decided and not yet executed.
     pub(crate) actions: Vec<Action>,
     /// What executing actions brought about at once; reported to the scheduler before anything else.
@@ -33,7 +33,9 @@
     pub(crate) counts: RequestCounts,
 }
 
-impl<P: Scheduler, W, F, D: Copy + Ord> Engine<P, W, F, D> {
+impl<S: Scheduler, ExecutorState, ReplyTo, FrontendTimer: Copy + Ord>
+    Engine<S, ExecutorState, ReplyTo, FrontendTimer>
+{
     /// An engine without a scheduler yet; retained results take so many bytes at most.
     pub fn new(max_result_bytes: usize) -> Self {
         Self {
@@ -53,7 +55,7 @@
     }
 
     /// From now on requests are accepted. A graceful shutdown that began before is reported to the scheduler first.
-    pub fn start(&mut self, now: Instant, mut scheduler: P) {
+    pub fn start(&mut self, now: Instant, mut scheduler: S) {
         if let Some(shutdown_deadline) = self.shutdown_deadline {
             scheduler.handle(now, Event::Drain(shutdown_deadline));
         }
@@ -66,7 +68,7 @@
     }
 
     /// The scheduler, for reading its state.
-    pub fn scheduler_mut(&mut self) -> Option<&mut P> {
+    pub fn scheduler_mut(&mut self) -> Option<&mut S> {
         self.scheduler.as_mut()
     }
 
@@ -96,23 +98,23 @@
     }
 
     /// What the executor keeps of a request.
-    pub fn work(&mut self, request: RequestId) -> Option<&mut W> {
-        self.open.get_mut(request).map(|open| &mut open.work)
+    pub fn executor_state(&mut self, request: RequestId) -> Option<&mut ExecutorState> {
+        self.open.get_mut(request).map(|open| &mut open.executor_state)
     }
 
     /// What the executor keeps of all open requests, in the order of their ids.
-    pub fn works_mut(&mut self) -> impl Iterator<Item = &mut W> {
-        self.open.values_mut().map(|open| &mut open.work)
+    pub fn executor_states_mut(&mut self) -> impl Iterator<Item = &mut ExecutorState> {
+        self.open.values_mut().map(|open| &mut open.executor_state)
     }
 
     /// The requests whose responses are awaited where `is_own` says.
-    pub fn awaiting_reply(&self, is_own: impl Fn(&F) -> bool) -> Vec<RequestId> {
+    pub fn awaiting_reply(&self, is_own: impl Fn(&ReplyTo) -> bool) -> Vec<RequestId> {
         let awaited = self.open.iter().filter(|(_, open)| open.reply_to.as_ref().is_some_and(&is_own));
         awaited.map(|(request, _)| request).collect()
     }
 
     /// Where a request's response is awaited, while it is.
-    pub fn reply_to(&self, request: RequestId) -> Option<&F> {
+    pub fn reply_to(&self, request: RequestId) -> Option<&ReplyTo> {
         self.open.get(request)?.reply_to.as_ref()
     }
 
@@ -130,9 +132,9 @@
         now: Instant,
         name: Option<&str>,
         incoming: IncomingRequest,
-        work: W,
-        reply_to: F,
-    ) -> Result<RequestId, Rejection<F>> {
+        executor_state: ExecutorState,
+        reply_to: ReplyTo,
+    ) -> Result<RequestId, Rejection<ReplyTo>> {
         self.counts.received += 1;
         let rejection = if self.scheduler.is_none() {
             Some(RejectionReason::NotReady)
@@ -149,7 +151,7 @@
             Some(name) => self.ids.assign(name),
             None => self.ids.assign_unnamed(),
         };
-        let Ok(duplicate) = self.find_duplicate(now, request, &incoming) else {
+        let Ok(duplicate) = self.register_idempotency_key(now, request, &incoming) else {
             self.ids.release(request);
             self.counts.failed += 1;
             return Err(Rejection { reply_to, reason: RejectionReason::KeyConflict });
@@ -175,7 +177,7 @@
             idempotency_key: incoming.idempotency_key,
             call_number: None,
             price_hold: price.hold(),
-            work,
+            executor_state,
         };
         self.open.insert(request, open);
         self.notify_scheduler(now, Event::Arrived(arrival));
@@ -184,7 +186,7 @@
 
     /// What a request duplicates. That goes by when it arrived at the machine, not by when it is read: else a duplicate
     /// that lay unread while the key's time ran out would be executed again.
-    fn find_duplicate(
+    fn register_idempotency_key(
         &mut self,
         now: Instant,
         request: RequestId,
@@ -196,7 +198,12 @@
     }
 
     /// The caller waits no more, if it is the one that `is_own` knows; tells whether it was.
-    pub fn caller_gone(&mut self, now: Instant, request: RequestId, is_own: impl FnOnce(&F) -> bool) -> bool {
+    pub fn caller_gone(
+        &mut self,
+        now: Instant,
+        request: RequestId,
+        is_own: impl FnOnce(&ReplyTo) -> bool,
+    ) -> bool {
         let Some(open) = self.open.get_mut(request) else { return false };
         let gone = open.reply_to.take_if(|reply_to| is_own(reply_to)).is_some();
         if gone {
@@ -236,13 +243,13 @@
         now: Instant,
         request: RequestId,
         end: RunEnd,
-        executor: &mut impl Executor<W>,
-        responder: &mut impl Responder<F>,
+        executor: &mut impl Executor<ExecutorState>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         let Some(open) = self.open.get_mut(request) else { return };
         // A run that ends during its call cancels the call.
         if let Some(number) = open.call_number.take() {
-            executor.cancel_call(&mut open.work, number);
+            executor.cancel_call(&mut open.executor_state, number);
         }
         // A scheduler may resume a stopped run, so its duplicates wait on; lynxtally's policy never does, and they get their
         // own deadline's response.
@@ -308,7 +315,7 @@
     }
 
     /// Sets a timer of the frontend's own.
-    pub fn set_timer(&mut self, at: Instant, timer: D) {
+    pub fn set_timer(&mut self, at: Instant, timer: FrontendTimer) {
         self.timers.set(at, Timer::Frontend(timer));
     }
 
@@ -318,7 +325,11 @@
     }
 
     /// Takes expired timers: the engine's own are acted on, the first that is the frontend's comes back.
-    pub fn expire_timers(&mut self, now: Instant, executor: &mut impl Executor<W>) -> Option<D> {
+    pub fn expire_timers(
+        &mut self,
+        now: Instant,
+        executor: &mut impl Executor<ExecutorState>,
+    ) -> Option<FrontendTimer> {
         self.notify_deferred(now);
         while let Some(timer) = self.timers.pop_expired(now) {
             match timer {
@@ -333,7 +344,7 @@
                 Timer::CallTimeout(request, number) => {
                     let open = self.open.get_mut(request);
                     if let Some(open) = open.filter(|open| open.call_number == Some(number)) {
-                        executor.cancel_call(&mut open.work, number);
+                        executor.cancel_call(&mut open.executor_state, number);
                     }
                 }
             }
@@ -345,8 +356,8 @@
     pub fn decide(
         &mut self,
         now: Instant,
-        executor: &mut impl Executor<W>,
-        responder: &mut impl Responder<F>,
+        executor: &mut impl Executor<ExecutorState>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         while let Some(scheduler) = &mut self.scheduler {
             scheduler.decide(now, &mut self.actions);
@@ -359,8 +370,8 @@
     }
 
     /// After a failure of our own: where each open request's response is awaited. The frontend responds that it failed.
-    pub fn fail_all(&mut self) -> Vec<F> {
-        let awaited: Vec<F> = self.open.values_mut().filter_map(|open| open.reply_to.take()).collect();
+    pub fn fail_all(&mut self) -> Vec<ReplyTo> {
+        let awaited: Vec<ReplyTo> = self.open.values_mut().filter_map(|open| open.reply_to.take()).collect();
         self.counts.failed += awaited.len() as u64;
         self.counts.in_flight -= awaited.len() as u64;
         awaited
--- a/crates/core/engine/src/request.rs
+++ b/crates/core/engine/src/request.rs
@@ -46,42 +46,42 @@
 
 /// A request that was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Rejection<F> {
+pub struct Rejection<ReplyTo> {
     /// Where its response is awaited.
-    pub reply_to: F,
+    pub reply_to: ReplyTo,
     /// Why it was not accepted.
     pub reason: RejectionReason,
 }
 
 /// A request from its submission until the scheduler releases its id.
-pub(crate) struct OpenRequest<W, F> {
+pub(crate) struct OpenRequest<ExecutorState, ReplyTo> {
     /// Where its response is awaited; none once it was responded to or its caller is gone.
-    pub reply_to: Option<F>,
+    pub reply_to: Option<ReplyTo>,
     pub idempotency_key: Option<IdempotencyKey>,
     /// The number of the downstream call under way.
     pub call_number: Option<u64>,
     /// What is reserved for it of its tenant's wallet, until it is settled.
     pub price_hold: Option<PriceHold>,
-    pub work: W,
+    pub executor_state: ExecutorState,
 }
 
 /// The open requests by id. Ids are dense, so that a vector serves.
-pub(crate) struct OpenRequests<W, F>(Vec<Option<OpenRequest<W, F>>>);
+pub(crate) struct OpenRequests<ExecutorState, ReplyTo>(Vec<Option<OpenRequest<ExecutorState, ReplyTo>>>);
 
-impl<W, F> OpenRequests<W, F> {
+impl<ExecutorState, ReplyTo> OpenRequests<ExecutorState, ReplyTo> {
     pub fn new() -> Self {
         Self(Vec::new())
     }
 
-    pub fn get(&self, request: RequestId) -> Option<&OpenRequest<W, F>> {
+    pub fn get(&self, request: RequestId) -> Option<&OpenRequest<ExecutorState, ReplyTo>> {
         self.0.get(request.0 as usize)?.as_ref()
     }
 
-    pub fn get_mut(&mut self, request: RequestId) -> Option<&mut OpenRequest<W, F>> {
+    pub fn get_mut(&mut self, request: RequestId) -> Option<&mut OpenRequest<ExecutorState, ReplyTo>> {
         self.0.get_mut(request.0 as usize)?.as_mut()
     }
 
-    pub fn insert(&mut self, request: RequestId, open: OpenRequest<W, F>) {
+    pub fn insert(&mut self, request: RequestId, open: OpenRequest<ExecutorState, ReplyTo>) {
         let index = request.0 as usize;
         if self.0.len() <= index {
             self.0.resize_with(index + 1, || None);
@@ -89,18 +89,18 @@
         self.0[index] = Some(open);
     }
 
-    pub fn remove(&mut self, request: RequestId) -> Option<OpenRequest<W, F>> {
+    pub fn remove(&mut self, request: RequestId) -> Option<OpenRequest<ExecutorState, ReplyTo>> {
         self.0.get_mut(request.0 as usize)?.take()
     }
 
     /// All, in the order of their ids.
-    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &OpenRequest<W, F>)> {
+    pub fn iter(&self) -> impl Iterator<Item = (RequestId, &OpenRequest<ExecutorState, ReplyTo>)> {
         let slots = self.0.iter().enumerate();
         slots.filter_map(|(index, open)| Some((RequestId(index as u32), open.as_ref()?)))
     }
 
     /// All, in the order of their ids.
-    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut OpenRequest<W, F>> {
+    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut OpenRequest<ExecutorState, ReplyTo>> {
         self.0.iter_mut().flatten()
     }
 }
--- a/crates/core/engine/src/response.rs
+++ b/crates/core/engine/src/response.rs
@@ -20,9 +20,9 @@
 
 /// Delivers final responses, and reports the state of this backend to callers. `F` identifies where a response is
 /// awaited, such as a connection.
-pub trait Responder<F> {
+pub trait Responder<ReplyTo> {
     /// Delivers the one final response; false where nobody takes it any more.
-    fn respond(&mut self, reply_to: F, response: FinalResponse) -> bool;
+    fn respond(&mut self, reply_to: ReplyTo, response: FinalResponse) -> bool;
     /// What health checks report from now on.
     fn set_health(&mut self, _healthy: bool) {}
     /// The capacity that responses advertise from now on.
--- a/crates/core/engine/src/timers.rs
+++ b/crates/core/engine/src/timers.rs
@@ -10,9 +10,9 @@
 
 /// What a timer is for; `D` is the frontend's own. Timers due at the same instant expire in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Timer<D> {
+pub(crate) enum Timer<FrontendTimer> {
     /// One of the frontend's.
-    Frontend(D),
+    Frontend(FrontendTimer),
     /// The gauges are to be asked for.
     RequestGauges,
     /// The scheduler's periodic timer.
@@ -22,12 +22,12 @@
 }
 
 /// Pending timers, and the period of the scheduler's.
-pub(crate) struct Timers<D> {
-    pending: BTreeSet<(Instant, Timer<D>)>,
+pub(crate) struct Timers<FrontendTimer> {
+    pending: BTreeSet<(Instant, Timer<FrontendTimer>)>,
     period: Span,
 }
 
-impl<D: Copy + Ord> Timers<D> {
+impl<FrontendTimer: Copy + Ord> Timers<FrontendTimer> {
     pub fn new() -> Self {
         Self { pending: BTreeSet::new(), period: Span::ZERO }
     }
@@ -37,7 +37,7 @@
         self.period
     }
 
-    pub fn set(&mut self, at: Instant, timer: Timer<D>) {
+    pub fn set(&mut self, at: Instant, timer: Timer<FrontendTimer>) {
         self.pending.insert((at, timer));
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Removes and returns the first that has expired.
-    pub fn pop_expired(&mut self, now: Instant) -> Option<Timer<D>> {
+    pub fn pop_expired(&mut self, now: Instant) -> Option<Timer<FrontendTimer>> {
         if self.next()? > now {
             return None;
         }
--- a/crates/core/engine/src/wallets.rs
+++ b/crates/core/engine/src/wallets.rs
@@ -11,7 +11,7 @@
 
 /// Whether a request's price is covered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PriceCover {
+pub(crate) enum PriceCoverage {
     /// Nothing is to be paid.
     Free,
     /// The price is reserved until it is settled.
@@ -20,7 +20,7 @@
     NotCovered,
 }
 
-impl PriceCover {
+impl PriceCoverage {
     /// Whether the request may run as far as its price is concerned.
     pub fn is_covered(self) -> bool {
         self != Self::NotCovered
@@ -97,23 +97,23 @@
     }
 
     /// Reserves the price of a request of this class. A tenant without a wallet pays nothing.
-    pub fn reserve(&mut self, tenant: Option<usize>, class: usize) -> PriceCover {
-        let Some(tenant) = tenant else { return PriceCover::Free };
+    pub fn reserve(&mut self, tenant: Option<usize>, class: usize) -> PriceCoverage {
+        let Some(tenant) = tenant else { return PriceCoverage::Free };
         let Some(Some(Wallet { reservation, usage })) = self.0.get_mut(tenant) else {
-            return PriceCover::Free;
+            return PriceCoverage::Free;
         };
-        let Some(prices) = &reservation.prices else { return PriceCover::NotCovered };
+        let Some(prices) = &reservation.prices else { return PriceCoverage::NotCovered };
         let units = prices.get(class).copied().unwrap_or(0);
         usage.demand += units;
         if units == 0 {
-            return PriceCover::Free;
+            return PriceCoverage::Free;
         }
         let available = reservation.granted.saturating_sub(usage.spent + usage.reserved);
         if !reservation.in_force || available < units {
-            return PriceCover::NotCovered;
+            return PriceCoverage::NotCovered;
         }
         usage.reserved += units;
-        PriceCover::Reserved(PriceHold { tenant, units, reservation_id: reservation.reservation_id })
+        PriceCoverage::Reserved(PriceHold { tenant, units, reservation_id: reservation.reservation_id })
     }
 
     /// Settles a hold: its request has its final response, and is charged or not. A hold against an earlier reservation
--- a/crates/core/membership/src/lib.rs
+++ b/crates/core/membership/src/lib.rs
@@ -11,6 +11,6 @@
 mod views;
 
 pub use failure_detector::PhiAccrualDetector;
-pub use member::{Evidence, Explanation, KeptReason, MemberState, Observation, Source};
+pub use member::{Explanation, KeptReason, MemberState, Observation, Source, StateReason};
 pub use membership::{Membership, MembershipLimits};
 pub use views::{MembershipView, PublishLimits, ViewDifference, ViewMember, ViewPublisher};
--- a/crates/core/membership/src/member.rs
+++ b/crates/core/membership/src/member.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
     /// A static list: it tells who should be there.
-    List,
+    StaticList,
     /// A name held by a lease.
     Lease,
     /// The member's own report.
@@ -22,7 +22,7 @@
     /// Known, but not heard of by its own report or lease yet.
     Joining,
     /// Heard for the first time lately: its weight grows.
-    WarmingUp,
+    SlowStart,
     /// It has its whole weight.
     Ready,
     /// Its silence is longer than its intervals explain.
@@ -37,7 +37,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Joining => "joining",
-            Self::WarmingUp => "warming",
+            Self::SlowStart => "warming",
             Self::Ready => "ready",
             Self::Suspect => "suspect",
             Self::Draining => "leaving",
@@ -65,21 +65,21 @@
 
 /// Why a member is in its state.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Evidence {
+pub enum StateReason {
     /// It was observed for the first time.
     FirstObserved,
     /// It came back under its name with another address.
     AddressChanged,
     /// It came back after it was removed.
-    BackAfterRemoval,
+    ReturnedAfterRemoval,
     /// It announced a graceful shutdown.
-    AnnouncedDrain,
+    DrainAnnounced,
     /// It was heard of by itself.
-    Heard,
+    HeartbeatReceived,
     /// It was heard after it announced a graceful shutdown: it restarted in between.
-    HeardAfterDrain,
+    HeartbeatAfterDrain,
     /// Its warm-up is over.
-    WarmedUp,
+    SlowStartEnded,
     /// Its silence was too unlikely.
     Silent {
         /// For how long.
@@ -95,16 +95,16 @@
     Drained,
 }
 
-impl fmt::Display for Evidence {
+impl fmt::Display for StateReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::FirstObserved => f.write_str("first heard of"),
             Self::AddressChanged => f.write_str("back with another address"),
-            Self::BackAfterRemoval => f.write_str("back after it was gone"),
-            Self::AnnouncedDrain => f.write_str("it said that it leaves"),
-            Self::Heard => f.write_str("heard of itself"),
-            Self::HeardAfterDrain => f.write_str("it speaks again after it left"),
-            Self::WarmedUp => f.write_str("warm"),
+            Self::ReturnedAfterRemoval => f.write_str("back after it was gone"),
+            Self::DrainAnnounced => f.write_str("it said that it leaves"),
+            Self::HeartbeatReceived => f.write_str("heard of itself"),
+            Self::HeartbeatAfterDrain => f.write_str("it speaks again after it left"),
+            Self::SlowStartEnded => f.write_str("warm"),
             Self::Silent { silence, phi } => write!(f, "silent for {:.1} s, phi {phi:.1}", silence.secs()),
             Self::Recovered => f.write_str("heard again for long enough"),
             Self::SuspectTooLong => f.write_str("suspect for too long"),
@@ -139,9 +139,9 @@
     /// Since when.
     pub since: Instant,
     /// By which evidence.
-    pub evidence: Evidence,
+    pub reason: StateReason,
     /// Why it stays in the view although it is suspect, where it does.
-    pub kept: Option<KeptReason>,
+    pub kept_in_view: Option<KeptReason>,
 }
 
 #[derive(Clone, Debug)]
@@ -152,15 +152,15 @@
     pub zone: u16,
     pub state: MemberState,
     pub since: Instant,
-    pub evidence: Evidence,
+    pub reason: StateReason,
     pub detector: PhiAccrualDetector,
     /// Since when its silence is longer than its intervals explain.
-    pub late_since: Option<Instant>,
+    pub overdue_since: Option<Instant>,
     /// How often it was suspect lately.
-    pub suspicions: u32,
+    pub recent_suspicions: u32,
     /// While it is suspect: since when it is heard again.
-    pub heard_again_since: Option<Instant>,
-    pub kept: Option<KeptReason>,
+    pub heartbeats_resumed_at: Option<Instant>,
+    pub kept_in_view: Option<KeptReason>,
 }
 
 impl Member {
@@ -172,57 +172,61 @@
             zone: observation.zone,
             state: MemberState::Joining,
             since: now,
-            evidence: Evidence::FirstObserved,
+            reason: StateReason::FirstObserved,
             detector: PhiAccrualDetector::new(now),
-            late_since: None,
-            suspicions: 0,
-            heard_again_since: None,
-            kept: None,
+            overdue_since: None,
+            recent_suspicions: 0,
+            heartbeats_resumed_at: None,
+            kept_in_view: None,
         }
     }
 
     /// Whether it takes part in the view by its own report.
     pub fn is_alive(&self) -> bool {
-        matches!(self.state, MemberState::WarmingUp | MemberState::Ready)
+        matches!(self.state, MemberState::SlowStart | MemberState::Ready)
     }
 
     /// Whether it is suspect and was not heard since.
     pub fn is_unheard_suspect(&self) -> bool {
-        self.state == MemberState::Suspect && self.heard_again_since.is_none()
+        self.state == MemberState::Suspect && self.heartbeats_resumed_at.is_none()
     }
 
-    pub fn set_state(&mut self, now: Instant, state: MemberState, evidence: Evidence) {
+    pub fn set_state(&mut self, now: Instant, state: MemberState, reason: StateReason) {
         self.state = state;
         self.since = now;
-        self.evidence = evidence;
+        self.reason = reason;
     }
 
     /// A sign of life: its own report, or its lease.
-    pub fn heard(&mut self, now: Instant, draining: bool) {
-        self.detector.heard(now);
-        self.late_since = None;
+    pub fn record_heartbeat(&mut self, now: Instant, draining: bool) {
+        self.detector.record_heartbeat(now);
+        self.overdue_since = None;
         match self.state {
             _ if draining => {
                 if self.state != MemberState::Draining {
-                    self.set_state(now, MemberState::Draining, Evidence::AnnouncedDrain);
+                    self.set_state(now, MemberState::Draining, StateReason::DrainAnnounced);
                 }
             }
-            MemberState::Joining => self.set_state(now, MemberState::WarmingUp, Evidence::Heard),
+            MemberState::Joining => {
+                self.set_state(now, MemberState::SlowStart, StateReason::HeartbeatReceived)
+            }
             MemberState::Suspect => {
-                self.heard_again_since.get_or_insert(now);
+                self.heartbeats_resumed_at.get_or_insert(now);
+            }
+            MemberState::Draining => {
+                self.set_state(now, MemberState::SlowStart, StateReason::HeartbeatAfterDrain)
             }
-            MemberState::Draining => self.set_state(now, MemberState::WarmingUp, Evidence::HeardAfterDrain),
-            MemberState::WarmingUp | MemberState::Ready | MemberState::Removed => {}
+            MemberState::SlowStart | MemberState::Ready | MemberState::Removed => {}
         }
     }
 
     /// Its silence became too unlikely.
-    pub fn suspect(&mut self, now: Instant, phi: f64, kept: Option<KeptReason>) {
+    pub fn suspect(&mut self, now: Instant, phi: f64, kept_in_view: Option<KeptReason>) {
         let silence = self.detector.silence(now);
-        self.late_since = None;
-        self.suspicions += 1;
-        self.heard_again_since = None;
-        self.kept = kept;
-        self.set_state(now, MemberState::Suspect, Evidence::Silent { silence, phi });
+        self.overdue_since = None;
+        self.recent_suspicions += 1;
+        self.heartbeats_resumed_at = None;
+        self.kept_in_view = kept_in_view;
+        self.set_state(now, MemberState::Suspect, StateReason::Silent { silence, phi });
     }
 }
--- a/crates/core/membership/src/membership.rs
+++ b/crates/core/membership/src/membership.rs
@@ -1,18 +1,18 @@
 //! The members of a fleet, as one observer sees them: observations come in, time passes, and members change state.
 
-use crate::member::{Evidence, Explanation, KeptReason, Member, MemberState, Observation, Source};
+use crate::member::{Explanation, KeptReason, Member, MemberState, Observation, Source, StateReason};
 use crate::views::ViewMember;
 use lynxtally::{Instant, Span};
 use std::collections::BTreeMap;
 
 /// A gap between ticks of more than so many intervals is a pause of the observer.
-const PAUSE_TICKS: f64 = 5.0;
+const MIN_PAUSE_TICKS: f64 = 5.0;
 /// Steps in which a warming member's weight grows, so that views do not change at each tick.
-const WARMUP_STEPS: f64 = 4.0;
+const SLOW_START_STEPS: f64 = 4.0;
 /// How often the recovery time of a suspect doubles at most.
 const MAX_RECOVERY_DOUBLINGS: u32 = 10;
 /// A removed member is explained for so many removal times.
-const EXPLAINED_REMOVAL_TIMES: f64 = 2.0;
+const REMOVED_RETENTION_REMOVAL_TIMES: f64 = 2.0;
 /// A weight is in thousandths of the capacity's measure.
 const WEIGHT_SCALE: f64 = 1000.0;
 
@@ -24,7 +24,7 @@
     /// The deviation of a member's intervals counts as this at least.
     pub min_deviation: Span,
     /// For so long a new member's weight grows.
-    pub warmup_time: Span,
+    pub slow_start_duration: Span,
     /// No more than this fraction of the members is out of the view as suspect at once.
     pub max_ejected_fraction: f64,
     /// Where more than this fraction falls silent together, the observer suspects itself, and nobody is ejected for it.
@@ -69,18 +69,18 @@
         let address_changed = member.address != address;
         if (address_changed && source >= member.source) || member.state == MemberState::Removed {
             *member = new;
-            member.evidence =
-                if address_changed { Evidence::AddressChanged } else { Evidence::BackAfterRemoval };
+            member.reason =
+                if address_changed { StateReason::AddressChanged } else { StateReason::ReturnedAfterRemoval };
         }
         member.source = member.source.max(source);
         if capacity.is_finite() && capacity > 0.0 {
             member.capacity = capacity;
         }
         member.zone = zone;
-        if source == Source::List {
+        if source == Source::StaticList {
             return; // A list is no sign of life.
         }
-        member.heard(now, draining);
+        member.record_heartbeat(now, draining);
     }
 
     /// Time passes. Has to be called about every tick interval.
@@ -90,20 +90,20 @@
         }
         let gap = now - self.last_tick;
         self.last_tick = now;
-        self.excuse_pause(gap);
+        self.discount_observer_pause(gap);
         self.recover_suspects(now);
-        self.suspect_silent(now);
+        self.suspect_silent_members(now);
         self.limit_ejections();
-        self.expire(now);
+        self.expire_states(now);
     }
 
     /// A gap far longer than a tick: the observer slept or its clock jumped, so that nobody could be heard meanwhile.
     /// Without this all would be suspect after a pause of the observer.
-    fn excuse_pause(&mut self, gap: Span) {
+    fn discount_observer_pause(&mut self, gap: Span) {
         let tick_interval = self.limits.tick_interval;
-        if gap > tick_interval * PAUSE_TICKS {
+        if gap > tick_interval * MIN_PAUSE_TICKS {
             for member in self.members.values_mut() {
-                member.detector.excuse(gap - tick_interval);
+                member.detector.discount_pause(gap - tick_interval);
             }
         }
     }
@@ -112,38 +112,42 @@
     fn recover_suspects(&mut self, now: Instant) {
         let limits = self.limits;
         for member in self.members.values_mut().filter(|member| member.state == MemberState::Suspect) {
-            let Some(since) = member.heard_again_since else { continue };
+            let Some(since) = member.heartbeats_resumed_at else { continue };
             if member.detector.phi(now, limits.min_deviation) > limits.phi_threshold {
-                member.heard_again_since = None;
+                member.heartbeats_resumed_at = None;
                 continue;
             }
-            let doublings = member.suspicions.saturating_sub(1).min(MAX_RECOVERY_DOUBLINGS);
+            let doublings = member.recent_suspicions.saturating_sub(1).min(MAX_RECOVERY_DOUBLINGS);
             if now - since >= limits.recovery_time * f64::from(1_u32 << doublings) {
                 // One that stayed in the view has nothing to warm up for.
-                let stayed = member.kept.take().is_some();
-                let state = if stayed { MemberState::Ready } else { MemberState::WarmingUp };
-                member.set_state(now, state, Evidence::Recovered);
-                member.heard_again_since = None;
+                let stayed_in_view = member.kept_in_view.take().is_some();
+                let state = if stayed_in_view { MemberState::Ready } else { MemberState::SlowStart };
+                member.set_state(now, state, StateReason::Recovered);
+                member.heartbeats_resumed_at = None;
             }
         }
     }
 
     /// Members whose silence is longer than their intervals explain become suspect. Where many are so together, it is
     /// more likely that the observer does not hear than that they all failed: then they stay in the view.
-    fn suspect_silent(&mut self, now: Instant) {
+    fn suspect_silent_members(&mut self, now: Instant) {
         let limits = self.limits;
-        let is_late = |member: &Member| {
+        let is_overdue = |member: &Member| {
             member.is_alive() && member.detector.phi(now, limits.min_deviation) > limits.phi_threshold
         };
-        let late: Vec<String> =
-            self.members.iter().filter(|(_, member)| is_late(member)).map(|(name, _)| name.clone()).collect();
-        self.judge_observer(now, late.len());
+        let overdue: Vec<String> = self
+            .members
+            .iter()
+            .filter(|(_, member)| is_overdue(member))
+            .map(|(name, _)| name.clone())
+            .collect();
+        self.update_observer_fault(now, overdue.len());
         let observer_fault = self.observer_fault.is_some();
-        for name in late {
+        for name in overdue {
             let Some(member) = self.members.get_mut(&name) else { continue };
             // One more mean interval is waited, to see whether others are missed as well.
-            let late_since = *member.late_since.get_or_insert(now);
-            if !observer_fault && now - late_since < member.detector.mean_interval() {
+            let overdue_since = *member.overdue_since.get_or_insert(now);
+            if !observer_fault && now - overdue_since < member.detector.mean_interval() {
                 continue;
             }
             let phi = member.detector.phi(now, limits.min_deviation);
@@ -153,15 +157,15 @@
 
     /// Whether so many are silent that the observer suspects itself. It does so until enough of them are heard again,
     /// however long ago they fell silent.
-    fn judge_observer(&mut self, now: Instant, late: usize) {
+    fn update_observer_fault(&mut self, now: Instant, overdue: usize) {
         let limits = self.limits;
         let is_recent = |member: &Member| {
             member.is_unheard_suspect() && now - member.since < limits.observer_fault_window
         };
         let count = |is: &dyn Fn(&Member) -> bool| self.members.values().filter(|member| is(member)).count();
         let present = count(&|member| member.is_alive() || member.state == MemberState::Suspect);
-        let silent_together = late + count(&is_recent);
-        let silent = late + count(&Member::is_unheard_suspect);
+        let silent_together = overdue + count(&is_recent);
+        let silent = overdue + count(&Member::is_unheard_suspect);
         // Half of two is no crowd.
         let is_crowd =
             |silent: usize| silent > 1 && silent as f64 > present as f64 * limits.observer_fault_fraction;
@@ -169,7 +173,7 @@
             if self.observer_fault.is_none() {
                 // Those that were the first to be missed are no more to blame than the others.
                 for member in self.members.values_mut().filter(|member| is_recent(member)) {
-                    member.kept = Some(KeptReason::ObserverFault);
+                    member.kept_in_view = Some(KeptReason::ObserverFault);
                 }
             }
             self.observer_fault.get_or_insert(now);
@@ -189,8 +193,8 @@
         let max_ejected = ((alive + suspects.len()) as f64 * self.limits.max_ejected_fraction) as usize;
         for (rank, (_, name)) in suspects.into_iter().enumerate() {
             let Some(member) = self.members.get_mut(&name) else { continue };
-            member.kept = match member.kept {
-                Some(kept) if observer_fault => Some(kept),
+            member.kept_in_view = match member.kept_in_view {
+                Some(kept_in_view) if observer_fault => Some(kept_in_view),
                 _ if rank >= max_ejected => Some(KeptReason::EjectionLimit),
                 _ => None,
             };
@@ -198,28 +202,31 @@
     }
 
     /// States that end by themselves.
-    fn expire(&mut self, now: Instant) {
+    fn expire_states(&mut self, now: Instant) {
         let limits = self.limits;
         for member in self.members.values_mut() {
             let age = now - member.since;
             match member.state {
-                MemberState::WarmingUp if age >= limits.warmup_time => {
-                    member.set_state(now, MemberState::Ready, Evidence::WarmedUp);
+                MemberState::SlowStart if age >= limits.slow_start_duration => {
+                    member.set_state(now, MemberState::Ready, StateReason::SlowStartEnded);
                 }
-                MemberState::Suspect if age >= limits.removal_time && member.heard_again_since.is_none() => {
-                    member.set_state(now, MemberState::Removed, Evidence::SuspectTooLong);
+                MemberState::Suspect
+                    if age >= limits.removal_time && member.heartbeats_resumed_at.is_none() =>
+                {
+                    member.set_state(now, MemberState::Removed, StateReason::SuspectTooLong);
                 }
                 MemberState::Draining if member.detector.silence(now) >= limits.removal_time => {
-                    member.set_state(now, MemberState::Removed, Evidence::Drained);
+                    member.set_state(now, MemberState::Removed, StateReason::Drained);
                 }
                 // Well for long: earlier suspicions are forgotten.
-                MemberState::Ready if age >= limits.removal_time => member.suspicions = 0,
+                MemberState::Ready if age >= limits.removal_time => member.recent_suspicions = 0,
                 _ => {}
             }
         }
-        let explained_for = limits.removal_time * EXPLAINED_REMOVAL_TIMES;
-        self.members
-            .retain(|_, member| member.state != MemberState::Removed || now - member.since < explained_for);
+        let removed_retention = limits.removal_time * REMOVED_RETENTION_REMOVAL_TIMES;
+        self.members.retain(|_, member| {
+            member.state != MemberState::Removed || now - member.since < removed_retention
+        });
     }
 
     /// The members that the next view should have, with their weights.
@@ -246,13 +253,13 @@
     fn weight_fraction(&self, now: Instant, member: &Member) -> Option<f64> {
         match member.state {
             MemberState::Ready => Some(1.0),
-            MemberState::WarmingUp => {
-                let age = (now - member.since) / self.limits.warmup_time;
-                Some(((age * WARMUP_STEPS).floor() + 1.0).min(WARMUP_STEPS) / WARMUP_STEPS)
+            MemberState::SlowStart => {
+                let age = (now - member.since) / self.limits.slow_start_duration;
+                Some(((age * SLOW_START_STEPS).floor() + 1.0).min(SLOW_START_STEPS) / SLOW_START_STEPS)
             }
             // It counts only where nobody was heard: a list is better than nobody at all.
             MemberState::Joining => Some(0.0),
-            MemberState::Suspect if member.kept.is_some() => Some(1.0),
+            MemberState::Suspect if member.kept_in_view.is_some() => Some(1.0),
             MemberState::Suspect | MemberState::Draining | MemberState::Removed => None,
         }
     }
@@ -263,8 +270,8 @@
         Some(Explanation {
             state: member.state,
             since: member.since,
-            evidence: member.evidence,
-            kept: member.kept,
+            reason: member.reason,
+            kept_in_view: member.kept_in_view,
         })
     }
 
--- a/crates/core/membership/src/views.rs
+++ b/crates/core/membership/src/views.rs
@@ -125,10 +125,10 @@
             self.desired = desired;
             self.desired_since = now;
         }
-        if self.holds_after_restart(now) || now - self.desired_since < self.limits.settle_time {
+        if self.is_held_after_restart(now) || now - self.desired_since < self.limits.settle_time {
             return None;
         }
-        let members = self.not_emptier_than_allowed();
+        let members = self.with_retained_members();
         if members == self.current.members {
             return None;
         }
@@ -145,7 +145,7 @@
 
     /// Whether a restart was so recently that too few of the last view are known again. Without this the first views after
     /// a restart would lack all members that were not heard yet.
-    fn holds_after_restart(&mut self, now: Instant) -> bool {
+    fn is_held_after_restart(&mut self, now: Instant) -> bool {
         let Some(until) = self.hold_until else { return false };
         let last = &self.current.members;
         let known = last.keys().filter(|name| self.desired.contains_key(*name)).count();
@@ -158,7 +158,7 @@
 
     /// What is desired, and of the last view as many more as it must not be emptier by. Names decide which, so that it is
     /// always the same ones.
-    fn not_emptier_than_allowed(&mut self) -> BTreeMap<String, ViewMember> {
+    fn with_retained_members(&mut self) -> BTreeMap<String, ViewMember> {
         let mut members = self.desired.clone();
         let last = &self.current.members;
         let min_members = (last.len() as f64 * self.limits.min_kept_fraction).ceil() as usize;
--- a/crates/core/routes/src/plan/mod.rs
+++ b/crates/core/routes/src/plan/mod.rs
@@ -37,7 +37,7 @@
     }
 
     /// Whether it is a plan for as many classes and pools as the problem has.
-    fn fits(&self, problem: &Problem) -> bool {
+    fn matches_dimensions(&self, problem: &Problem) -> bool {
         let pools = problem.pool_cores.len();
         self.rates.len() == problem.classes.len() && self.rates.iter().all(|own| own.len() == pools)
     }
@@ -52,15 +52,15 @@
         let fractions: Vec<f64> = self.pool_cores.iter().map(fraction).collect();
         let split = |demand: f64| fractions.iter().map(|fraction| demand * fraction).collect();
         let rates: Vec<Vec<f64>> = self.classes.iter().map(|class| split(class.demand)).collect();
-        let cut = self.common_cut(&rates);
+        let cut = self.common_scale_factor(&rates);
         let cut_all = |own: Vec<f64>| own.into_iter().map(|rate| rate * cut).collect();
         let rates: Vec<Vec<f64>> = rates.into_iter().map(cut_all).collect();
-        let utility = self.utility_of(&rates);
+        let utility = self.utility_of_rates(&rates);
         Plan { rates, utility }
     }
 
     /// The factor, at most 1, that brings these rates within the capacity of every pool and dependency.
-    fn common_cut(&self, rates: &[Vec<f64>]) -> f64 {
+    fn common_scale_factor(&self, rates: &[Vec<f64>]) -> f64 {
         let factor = |available: f64, used: f64| if used > 0.0 { available / used } else { 1.0 };
         let mut cut = 1.0_f64;
         for (pool, cores) in self.pool_cores.iter().enumerate() {
@@ -75,7 +75,7 @@
         cut.min(1.0)
     }
 
-    fn utility_of(&self, rates: &[Vec<f64>]) -> f64 {
+    fn utility_of_rates(&self, rates: &[Vec<f64>]) -> f64 {
         let classes = self.classes.iter().zip(rates);
         classes.map(|(class, own)| class.utility * own.iter().sum::<f64>()).sum()
     }
@@ -95,7 +95,8 @@
     pub fn update(&mut self, problem: &Problem) -> &Plan {
         let solved = problem.solve();
         self.last_error = solved.as_ref().err().cloned();
-        let plan = solved.ok().or_else(|| self.current.take().filter(|plan| plan.fits(problem)));
+        let plan =
+            solved.ok().or_else(|| self.current.take().filter(|plan| plan.matches_dimensions(problem)));
         self.current.insert(plan.unwrap_or_else(|| problem.proportional()))
     }
 }
--- a/crates/core/routes/src/plan/problem.rs
+++ b/crates/core/routes/src/plan/problem.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanError {
     /// This class has not one cost a pool and one figure a dependency.
-    WrongShape {
+    DimensionMismatch {
         /// The class's index.
         class: usize,
     },
@@ -52,7 +52,7 @@
 impl fmt::Display for PlanError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::WrongShape { class } => {
+            Self::DimensionMismatch { class } => {
                 write!(f, "class {class} has not one cost a pool and one figure a dependency")
             }
             Self::InvalidClass { class } => {
@@ -75,7 +75,7 @@
         for (index, class) in self.classes.iter().enumerate() {
             class.check(index, self.pool_cores.len(), self.dependency_rates.len())?;
         }
-        if !self.pool_cores.iter().chain(&self.dependency_rates).all(is_valid) {
+        if !self.pool_cores.iter().chain(&self.dependency_rates).all(is_finite_and_non_negative) {
             return Err(PlanError::InvalidCapacity);
         }
         Ok(())
@@ -85,11 +85,11 @@
 impl ClassDemand {
     fn check(&self, class: usize, pools: usize, dependencies: usize) -> Result<(), PlanError> {
         if self.core_seconds.len() != pools || self.calls.len() != dependencies {
-            return Err(PlanError::WrongShape { class });
+            return Err(PlanError::DimensionMismatch { class });
         }
         let scalars = [self.utility, self.demand, self.reserved];
         let mut figures = self.core_seconds.iter().chain(&self.calls).chain(&scalars);
-        if figures.all(is_valid) {
+        if figures.all(is_finite_and_non_negative) {
             Ok(())
         } else {
             Err(PlanError::InvalidClass { class })
@@ -97,6 +97,6 @@
     }
 }
 
-fn is_valid(figure: &f64) -> bool {
+fn is_finite_and_non_negative(figure: &f64) -> bool {
     figure.is_finite() && *figure >= 0.0
 }
--- a/crates/core/routes/src/plan/solve.rs
+++ b/crates/core/routes/src/plan/solve.rs
@@ -23,7 +23,7 @@
                     .collect()
             })
             .collect();
-        let model = variables.maximise(self.earned(&rates)).using(microlp);
+        let model = variables.maximise(self.total_utility(&rates)).using(microlp);
         let model = self.limit_classes(model, &rates);
         let model = self.limit_pools(model, &rates);
         let model = self.limit_dependencies(model, &rates);
@@ -33,11 +33,11 @@
         })?;
         let value = |rate: &Variable| solution.value(*rate).max(0.0);
         let rates: Vec<Vec<f64>> = rates.iter().map(|own| own.iter().map(value).collect()).collect();
-        let utility = self.utility_of(&rates);
+        let utility = self.utility_of_rates(&rates);
         Ok(Plan { rates, utility })
     }
 
-    fn earned(&self, rates: &Rates) -> Expression {
+    fn total_utility(&self, rates: &Rates) -> Expression {
         let classes = self.classes.iter().zip(rates);
         classes.flat_map(|(class, own)| own.iter().map(|rate| class.utility * *rate)).sum()
     }
--- a/crates/core/routes/src/subset.rs
+++ b/crates/core/routes/src/subset.rs
@@ -44,7 +44,7 @@
 }
 
 /// Members by weight instead of by number: the same members, each fraction times its member's weight over the mean one.
-pub fn weighted(parts: &[SubsetMember], weights: &[f64]) -> Vec<SubsetMember> {
+pub fn apply_weights(parts: &[SubsetMember], weights: &[f64]) -> Vec<SubsetMember> {
     let weight = |part: &SubsetMember| part.fraction * weights[part.member];
     let sum: f64 = parts.iter().map(weight).sum();
     if sum <= 0.0 {
--- a/crates/lynxtally-coordinator/src/suspicion.rs
+++ b/crates/lynxtally-coordinator/src/suspicion.rs
@@ -36,7 +36,7 @@
         let limits = MembershipLimits {
             phi_threshold: 8.0,
             min_deviation: renewal_period * 0.5,
-            warmup_time: renewal_period,
+            slow_start_duration: renewal_period,
             max_ejected_fraction: 1.0,
             observer_fault_fraction: 0.5,
             observer_fault_window: renewal_period * 2.0,
@@ -69,7 +69,7 @@
     }
 
     fn is_suspected(&mut self, now: Instant, member: &ListedMember) -> bool {
-        match self.0.explain(&member.name).map(|explanation| (explanation.state, explanation.kept)) {
+        match self.0.explain(&member.name).map(|explanation| (explanation.state, explanation.kept_in_view)) {
             Some((MemberState::Suspect, None) | (MemberState::Removed, _)) => true,
             Some(_) => false,
             None => {
--- a/crates/lynxtally-node/src/event_loop/calls.rs
+++ b/crates/lynxtally-node/src/event_loop/calls.rs
@@ -21,7 +21,7 @@
             return;
         }
         debug!(id, ?outcome, "call ended");
-        let Some(work) = self.engine.work(request) else { return };
+        let Some(work) = self.engine.executor_state(request) else { return };
         work.call = None;
         if let CallEnd::Replied(reply) = end {
             if outcome == CallOutcome::Succeeded {
--- a/crates/lynxtally-node/src/event_loop/executor_events.rs
+++ b/crates/lynxtally-node/src/event_loop/executor_events.rs
@@ -15,7 +15,7 @@
                 self.executor_started(now, cold_start, uptime_ms);
             }
             ExecutorEvent::CaughtUp { link } => {
-                self.executor.link_caught_up(link, self.engine.works_mut());
+                self.executor.link_caught_up(link, self.engine.executor_states_mut());
             }
             ExecutorEvent::Gauges { number, values } => self.gauges_reported(now, number, &values),
             ExecutorEvent::CallRequested { id, body } => self.call_requested(now, &id, body),
@@ -68,7 +68,7 @@
         let can_be_resumed = status == RunStatus::Stopped
             && self.config.backend.stop_keeps_progress
             && self.engine.reply_to(request).is_some();
-        if let Some(work) = self.engine.work(request) {
+        if let Some(work) = self.engine.executor_state(request) {
             work.unconfirmed.clear();
             work.is_paused = can_be_resumed;
         }
@@ -105,7 +105,7 @@
 
     fn find_work(&mut self, id: &str) -> Option<(RequestId, &mut RequestWork)> {
         let request = self.engine.find(id)?;
-        Some((request, self.engine.work(request)?))
+        Some((request, self.engine.executor_state(request)?))
     }
 
     fn unknown_request(&self, id: &str) {
