--- a/crates/core/engine/src/actions.rs
+++ b/crates/core/engine/src/actions.rs
@@ -1,4 +1,4 @@
-//! Executes the scheduler's actions, and sees to it that each request gets one final response and is charged once.
+//! Executes the scheduler's actions, and ensures that each request gets one final response and is charged at most once.
 
 use crate::deduplication::{IdempotencyKey, SettledDuplicate};
 use crate::engine::Engine;
@@ -21,7 +21,7 @@
         for action in actions.drain(..) {
             self.execute(now, action, executor, responder);
         }
-        // Given back for its capacity.
+        // The drained vector is put back so that its allocation is reused.
         self.actions = actions;
     }
 
@@ -53,7 +53,7 @@
                 self.respond(request, FinalResponse::Rejected { retry_after, no_retry }, responder);
             }
             Action::Fail(request) => self.respond(request, FinalResponse::Failed, responder),
-            // Whatever the scheduler thinks of its health, health checks fail during a graceful shutdown.
+            // Health checks fail during a graceful shutdown, even if the scheduler reports that the backend is healthy.
             Action::SetHealth(healthy) => responder.set_health(healthy && self.shutdown_deadline.is_none()),
             Action::AdvertiseCapacity(capacity) => responder.advertise_capacity(capacity),
             Action::CloseIdleConnections(idle_for) => responder.close_idle_connections(idle_for),
@@ -112,7 +112,7 @@
         executor.release(request, open.executor_state);
     }
 
-    /// Drops a request's idempotency key: whoever comes under it next is the first.
+    /// Forgets a request's idempotency key, so that the next request with this key runs. Duplicates that waited fail.
     pub(crate) fn release_key(&mut self, request: RequestId, responder: &mut impl Responder<ReplyTo>) {
         if let Some(key) = self.idempotency_key(request) {
             let settled = self.deduplication.release_key(&key, request);
@@ -124,7 +124,8 @@
         self.open.get(request)?.idempotency_key.clone()
     }
 
-    /// Responds to duplicates with the result of the first run; the scheduler learns that their runs ended.
+    /// Responds to duplicates with the result of the first run, or that they failed if there is none. The scheduler is told
+    /// that their runs ended.
     pub(crate) fn settle_duplicates(
         &mut self,
         settled: impl IntoIterator<Item = SettledDuplicate>,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Gives a request its final response, unless it had one or its caller is gone.
+    /// Sends a request its final response, unless it already got one or its caller is gone.
     pub(crate) fn respond(
         &mut self,
         request: RequestId,
@@ -155,11 +156,12 @@
         let completed = matches!(response, FinalResponse::Completed(_));
         let delivered = responder.respond(reply_to, response);
         self.counts.undelivered += u64::from(!delivered);
-        // A result costs, and only one that somebody took; rejected and failed requests cost nothing.
+        // The tenant is charged only for a result that was delivered, not for rejected or failed requests.
         self.settle_price(request, completed && delivered);
     }
 
-    /// Settles what is reserved for a request, once. Requests under one idempotency key are charged once.
+    /// Settles the price that is reserved for a request; later calls for the same request do nothing. All requests with one
+    /// idempotency key are charged once.
     pub(crate) fn settle_price(&mut self, request: RequestId, charged: bool) {
         let Some(open) = self.open.get_mut(request) else { return };
         let Some(hold) = open.price_hold.take() else { return };
--- a/crates/core/engine/src/counts.rs
+++ b/crates/core/engine/src/counts.rs
@@ -1,27 +1,28 @@
-//! The count by which an operator sees that every request received gets exactly one final response.
+//! Counts by which an operator can check that every request received gets exactly one final response.
 
-/// Requests received, and how they ended. Each request received is in exactly one of `completed`, `rejected`, `failed`,
-/// `caller_gone` and `in_flight`.
+/// Counts of received requests by how they ended. Each received request is counted in exactly one of `completed`,
+/// `rejected`, `failed`, `caller_gone` and `in_flight`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RequestCounts {
-    /// Requests received.
+    /// All requests that a frontend submitted.
     pub received: u64,
-    /// Responded to with a result.
+    /// Requests that got a result.
     pub completed: u64,
-    /// Responded to that they had no effect here, and those not accepted before the scheduler or under a name in use.
+    /// Requests that were rejected, so that they had no effect here. Includes requests that the engine does not accept
+    /// because it has no scheduler yet or their name is in use.
     pub rejected: u64,
-    /// Responded to that they failed.
+    /// Requests that got the response that they failed.
     pub failed: u64,
-    /// Their callers were gone before the response.
+    /// Requests whose caller stopped waiting before the response.
     pub caller_gone: u64,
-    /// Responses that nobody took any more; each is counted under how it ended as well.
+    /// Responses that could not be delivered. Each is also counted as completed, rejected or failed.
     pub undelivered: u64,
-    /// Still owed a response.
+    /// Requests that have not got a response yet.
     pub in_flight: u64,
 }
 
 impl RequestCounts {
-    /// Whether each request received got one response, is still in flight, or its caller is gone.
+    /// Whether the counts add up: each received request got one response, is in flight, or its caller is gone.
     pub fn is_consistent(&self) -> bool {
         self.received == self.completed + self.rejected + self.failed + self.caller_gone + self.in_flight
     }
--- a/crates/core/engine/src/deduplication.rs
+++ b/crates/core/engine/src/deduplication.rs
@@ -1,9 +1,9 @@
-//! Which requests are duplicates of one another, and the results retained for them.
+//! Recognizes duplicate requests by their idempotency keys, and retains results for them.
 //!
-//! A request is a duplicate of an earlier one where idempotency key and fingerprint are the same. One that comes under
-//! the key of another with a fingerprint of its own conflicts with it: it is neither run nor given the other's result.
-//! This catches keys that were copied or guessed and such as a client uses twice. It harms a client whose retries differ
-//! in their bodies: they fail, and nothing runs twice.
+//! A request is a duplicate of an earlier one if both the idempotency key and the fingerprint are equal. A request with
+//! the same key but another fingerprint is a conflict: it is not run and does not get the earlier request's result. This
+//! protects against keys that are copied, guessed or used twice by mistake. The cost is that a client whose retries
+//! differ in their bodies sees these retries fail; nothing is executed twice.
 
 use lynxtally::{Duplicate, Instant, RequestId, Span};
 use std::collections::BTreeMap;
@@ -18,10 +18,11 @@
     pub value: String,
 }
 
-/// What tells requests under one key apart, such as a digest of their bodies. All alike where a frontend gives none.
+/// Distinguishes requests with the same idempotency key, such as a digest of the body. A frontend that computes none
+/// uses the same value for every request.
 pub type Fingerprint = [u8; 32];
 
-/// A request came under the key of another, and is not the same.
+/// The idempotency key of a request is in use by an earlier request with another fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyConflict;
 
@@ -33,36 +34,36 @@
 
 impl std::error::Error for KeyConflict {}
 
-/// A duplicate that waits no longer for the first request's result.
+/// A duplicate that is to be responded to now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettledDuplicate {
     /// The duplicate.
     pub request: RequestId,
-    /// The result it is responded to with; none where there is none, so that it fails.
+    /// The result to respond with; none if the duplicate is to fail.
     pub result: Option<Vec<u8>>,
 }
 
-/// How far the first request of a key is.
+/// The state of the first request with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum FirstRun {
     Open,
     Completed(Vec<u8>),
-    /// It ended without a result, or there was no room to retain one.
+    /// The run ended without a result, or its result did not fit in the memory for retained results.
     WithoutResult,
 }
 
 struct Entry {
-    /// The first request, or the newest duplicate that has taken the entry over.
+    /// The first request with this key, or the latest duplicate for which [`Deduplication::retain_key`] was called.
     request: RequestId,
     fingerprint: Fingerprint,
     /// Whether the scheduler has released the request's id.
     released: bool,
-    /// The key is retained until then, where the scheduler asked for it.
+    /// Until when the key is retained; none if the scheduler has not asked for it.
     retained_until: Option<Instant>,
     first_run: FirstRun,
-    /// Duplicates that wait for the result.
+    /// The duplicates that wait for the result.
     waiting: Vec<RequestId>,
-    /// Whether a response under this key was charged for.
+    /// Whether the tenant has already been charged for a response to this key.
     charged: bool,
 }
 
@@ -79,18 +80,19 @@
         }
     }
 
-    /// Whether a request that arrived then is a duplicate of this one.
+    /// Whether a request that arrived at this time and has the same key is checked against this entry.
     fn applies_to(&self, arrived_at: Instant) -> bool {
         !self.released || self.retained_until.is_some_and(|until| until > arrived_at)
     }
 
-    /// Whether no duplicate can come any more: what arrived while the key was retained may be read this much later.
+    /// Whether no duplicate can be read any more. One that arrived while the key was retained may be read up to
+    /// `max_receive_delay` later.
     fn is_expired(&self, now: Instant, max_receive_delay: Span) -> bool {
         self.released && self.retained_until.is_none_or(|until| until + max_receive_delay <= now)
     }
 }
 
-/// The keys now known, with their results.
+/// The known idempotency keys and their retained results.
 pub struct Deduplication {
     entries: BTreeMap<IdempotencyKey, Entry>,
     result_bytes: usize,
@@ -99,19 +101,22 @@
 }
 
 impl Deduplication {
-    /// Without keys; retained results take so many bytes at most.
+    /// Creates an empty table. Retained results take at most `max_result_bytes` bytes in total.
     pub fn new(max_result_bytes: usize) -> Self {
         Self { entries: BTreeMap::new(), result_bytes: 0, max_result_bytes, max_receive_delay: Span::ZERO }
     }
 
-    /// Requests may wait so long at most before they are read: for so long after its time a key is still known to those
-    /// that arrived within it.
+    /// Sets the longest time that a request can wait on this machine before it is read. A key is remembered for this long
+    /// after it expires, for duplicates that arrived before.
     pub fn set_max_receive_delay(&mut self, max_receive_delay: Span) {
         self.max_receive_delay = max_receive_delay;
     }
 
-    /// Registers a request that arrived at the machine then, however late it is read, and tells what it duplicates. One
-    /// that duplicates nothing becomes the first of its key.
+    /// Registers a request and returns which earlier request it duplicates. A request that duplicates none becomes the
+    /// first with its key. `arrived_at` is when the request reached this machine, which may be long before it was read.
+    ///
+    /// # Errors
+    /// The key is in use by a request with another fingerprint.
     pub fn register(
         &mut self,
         arrived_at: Instant,
@@ -131,7 +136,7 @@
         }
     }
 
-    /// Retains a request's key for so long; a newer duplicate takes the entry over.
+    /// Retains a key for `duration` from now, and makes `request` the one that later duplicates refer to.
     pub fn retain_key(&mut self, now: Instant, key: &IdempotencyKey, request: RequestId, duration: Span) {
         if let Some(entry) = self.entries.get_mut(key) {
             entry.retained_until = Some(now + duration);
@@ -140,7 +145,8 @@
         }
     }
 
-    /// Drops a request's key: whoever comes under it next is the first.
+    /// Forgets a key, if `request` is the one that holds it, so that the next request with this key runs. Returns the
+    /// duplicates that waited; they fail.
     pub fn release_key(&mut self, key: &IdempotencyKey, request: RequestId) -> Vec<SettledDuplicate> {
         if self.entries.get(key).is_some_and(|entry| entry.request == request) {
             return self.remove(key);
@@ -148,7 +154,8 @@
         Vec::new()
     }
 
-    /// Has a duplicate responded to with the first run's result: now, or once there is one.
+    /// Makes a duplicate share the result of the first run. Returns the duplicate if it can be responded to now; otherwise
+    /// it waits until the first run ends.
     pub fn coalesce(&mut self, key: &IdempotencyKey, request: RequestId) -> Option<SettledDuplicate> {
         let without_result = Some(SettledDuplicate { request, result: None });
         let Some(entry) = self.entries.get_mut(key) else { return without_result };
@@ -162,8 +169,9 @@
         }
     }
 
-    /// A request's run ended; returns the duplicates that waited for it. Where the result has no room among those that
-    /// are retained it is not: nothing is evicted for it, and later duplicates fail rather than run again.
+    /// Records that a request's run ended, and returns the duplicates that waited for it. A result that does not fit in the
+    /// memory for retained results is not retained. No older result is evicted for it, and later duplicates fail instead
+    /// of being executed again.
     pub fn run_ended(
         &mut self,
         key: &IdempotencyKey,
@@ -186,7 +194,7 @@
         waiting.into_iter().map(settle).collect()
     }
 
-    /// The scheduler released a request's id: nothing more comes of it.
+    /// Records that the scheduler has released a request's id. Returns the duplicates that waited for its result; they fail.
     pub fn release_request(
         &mut self,
         now: Instant,
@@ -195,7 +203,7 @@
     ) -> Vec<SettledDuplicate> {
         let settled = self.run_ended(key, request, None);
         let Some(entry) = self.entries.get_mut(key) else { return settled };
-        // It waits no longer: its id may soon be another's, who would get a response that is not its own.
+        // The released id may soon be assigned to another request, which must not get the response to this one.
         entry.waiting.retain(|duplicate| *duplicate != request);
         if entry.request == request {
             entry.released = true;
@@ -206,7 +214,7 @@
         settled
     }
 
-    /// Marks this key as charged for; true the first time, and where the key is not known.
+    /// Marks a key as charged. Returns true if its tenant is to be charged: the first time, or if the key is unknown.
     pub fn charge_once(&mut self, key: &IdempotencyKey) -> bool {
         let Some(entry) = self.entries.get_mut(key) else { return true };
         let first = !entry.charged;
@@ -214,7 +222,7 @@
         first
     }
 
-    /// Drops the keys whose time is over.
+    /// Forgets the expired keys.
     pub fn remove_expired(&mut self, now: Instant) {
         let max_receive_delay = self.max_receive_delay;
         let expired = |entry: &Entry| entry.is_expired(now, max_receive_delay);
--- a/crates/core/engine/src/engine.rs
+++ b/crates/core/engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine itself: what a driver reports to it, and the state that its decisions act on.
+//! The [`Engine`]: its state, and the methods through which a driver reports events.
 
 use crate::counts::RequestCounts;
 use crate::deduplication::{Deduplication, KeyConflict};
@@ -13,20 +13,24 @@
     RunOutcome, Span,
 };
 
-/// One instance: the scheduler, and all that it decides on. `P` is the scheduler, `W` what the executor keeps of a
-/// request, `F` where a response is awaited, `D` what the frontend's own timers are for.
+/// One instance of the request engine: a scheduler and the requests, timers and wallets that it decides on.
+///
+/// - `S` is the [`Scheduler`].
+/// - `ExecutorState` is what the [`Executor`] stores with each open request.
+/// - `ReplyTo` identifies where the response to a request is awaited, such as a connection.
+/// - `FrontendTimer` identifies a timer that the frontend sets for itself.
 pub struct Engine<S, ExecutorState, ReplyTo, FrontendTimer> {
     pub(crate) scheduler: Option<S>,
     pub(crate) ids: RequestIdTable,
     pub(crate) open: OpenRequests<ExecutorState, ReplyTo>,
     pub(crate) timers: Timers<FrontendTimer>,
-    /// Decided and not yet executed.
+    /// Actions that the scheduler has decided on and that are not executed yet.
     pub(crate) actions: Vec<Action>,
-    /// What executing actions brought about at once; reported to the scheduler before anything else.
+    /// Events caused by executing actions or by settling duplicates, not yet reported to the scheduler.
     pub(crate) deferred_events: Vec<Event>,
     pub(crate) deduplication: Deduplication,
     pub(crate) wallets: Wallets,
-    /// The number of the newest downstream call.
+    /// The number of the downstream call that was started last.
     pub(crate) last_call_number: u64,
     gauges: GaugeReading,
     pub(crate) shutdown_deadline: Option<Instant>,
@@ -36,7 +40,7 @@
 impl<S: Scheduler, ExecutorState, ReplyTo, FrontendTimer: Copy + Ord>
     Engine<S, ExecutorState, ReplyTo, FrontendTimer>
 {
-    /// An engine without a scheduler yet; retained results take so many bytes at most.
+    /// Creates an engine without a scheduler. Retained results take at most `max_result_bytes` bytes in total.
     pub fn new(max_result_bytes: usize) -> Self {
         Self {
             scheduler: None,
@@ -54,7 +58,8 @@
         }
     }
 
-    /// From now on requests are accepted. A graceful shutdown that began before is reported to the scheduler first.
+    /// Sets the scheduler, so that requests are accepted from now on. If a graceful shutdown has already begun, the
+    /// scheduler is told about it first.
     pub fn start(&mut self, now: Instant, mut scheduler: S) {
         if let Some(shutdown_deadline) = self.shutdown_deadline {
             scheduler.handle(now, Event::Drain(shutdown_deadline));
@@ -62,71 +67,72 @@
         self.scheduler = Some(scheduler);
     }
 
-    /// Whether there is a scheduler yet.
+    /// Whether [`Engine::start`] has been called.
     pub fn is_started(&self) -> bool {
         self.scheduler.is_some()
     }
 
-    /// The scheduler, for reading its state.
+    /// The scheduler, so that a driver can read its state; none before [`Engine::start`].
     pub fn scheduler_mut(&mut self) -> Option<&mut S> {
         self.scheduler.as_mut()
     }
 
-    /// The requests received so far, and how they ended.
+    /// Counts of the requests received so far, by how they ended.
     pub fn counts(&self) -> RequestCounts {
         self.counts
     }
 
-    /// The period of the scheduler's timer; zero before it was first set.
+    /// The period of the scheduler's timer; zero until the scheduler first sets it.
     pub fn timer_period(&self) -> Span {
         self.timers.period()
     }
 
-    /// When a graceful shutdown ends, once it began.
+    /// When the graceful shutdown ends; none if none has begun.
     pub fn shutdown_deadline(&self) -> Option<Instant> {
         self.shutdown_deadline
     }
 
-    /// The id of an open request by its name.
+    /// The id of the open request with this name.
     pub fn find(&self, name: &str) -> Option<RequestId> {
         self.ids.find(name).filter(|request| self.open.get(*request).is_some())
     }
 
-    /// The name of a request, where it has one.
+    /// The name of a request; none if it was submitted without one.
     pub fn name(&self, request: RequestId) -> Option<&str> {
         self.ids.name(request)
     }
 
-    /// What the executor keeps of a request.
+    /// The executor's state of an open request.
     pub fn executor_state(&mut self, request: RequestId) -> Option<&mut ExecutorState> {
         self.open.get_mut(request).map(|open| &mut open.executor_state)
     }
 
-    /// What the executor keeps of all open requests, in the order of their ids.
+    /// The executor's state of each open request, in the order of request ids.
     pub fn executor_states_mut(&mut self) -> impl Iterator<Item = &mut ExecutorState> {
         self.open.values_mut().map(|open| &mut open.executor_state)
     }
 
-    /// The requests whose responses are awaited where `is_own` says.
+    /// The open requests whose `reply_to` satisfies `is_own`.
     pub fn awaiting_reply(&self, is_own: impl Fn(&ReplyTo) -> bool) -> Vec<RequestId> {
         let awaited = self.open.iter().filter(|(_, open)| open.reply_to.as_ref().is_some_and(&is_own));
         awaited.map(|(request, _)| request).collect()
     }
 
-    /// Where a request's response is awaited, while it is.
+    /// Where a request's response is awaited; none once it has been sent or the caller is gone.
     pub fn reply_to(&self, request: RequestId) -> Option<&ReplyTo> {
         self.open.get(request)?.reply_to.as_ref()
     }
 
-    /// Requests may wait so long at most before they are read, which is how late a duplicate may be read.
+    /// Sets the longest time that a request can wait on this machine before it is read. Expired idempotency keys are
+    /// remembered for this long, because a duplicate that arrived in time may still be unread.
     pub fn set_max_receive_delay(&mut self, max_receive_delay: Span) {
         self.deduplication.set_max_receive_delay(max_receive_delay);
     }
 
-    /// Submits a request. One that is not accepted comes back with the reason, and the frontend responds to it.
+    /// Submits a request that the frontend has read.
     ///
     /// # Errors
-    /// See [`RejectionReason`].
+    /// If the request is not accepted, returns `reply_to` and the [`RejectionReason`]; the frontend then responds to it.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -184,8 +190,9 @@
         Ok(request)
     }
 
-    /// What a request duplicates. That goes by when it arrived at the machine, not by when it is read: else a duplicate
-    /// that lay unread while the key's time ran out would be executed again.
+    /// Registers a request under its idempotency key and returns which request it duplicates. The time that counts is when
+    /// the request arrived at this machine, not when it was read: otherwise a duplicate that waited unread while its key
+    /// expired would be executed again.
     fn register_idempotency_key(
         &mut self,
         now: Instant,
@@ -197,7 +204,8 @@
         self.deduplication.register(arrived_at, key, incoming.fingerprint, request)
     }
 
-    /// The caller waits no more, if it is the one that `is_own` knows; tells whether it was.
+    /// Reports that a caller has stopped waiting. Does nothing and returns false if the request's `reply_to` does not
+    /// satisfy `is_own`, or if it has already been responded to.
     pub fn caller_gone(
         &mut self,
         now: Instant,
@@ -209,19 +217,19 @@
         if gone {
             self.counts.caller_gone += 1;
             self.counts.in_flight -= 1;
-            // No response is owed, so none is paid for.
+            // The caller gets no response, so its tenant is not charged.
             self.settle_price(request, false);
             self.notify_scheduler(now, Event::CallerGone(request));
         }
         gone
     }
 
-    /// A running request is ready to make its downstream call.
+    /// Reports that a running request is ready to make its downstream call.
     pub fn call_requested(&mut self, now: Instant, request: RequestId) {
         self.notify_scheduler(now, Event::CallRequested(request));
     }
 
-    /// A call ended; false where that call is not awaited any more.
+    /// Reports that a downstream call ended. Returns false if the request no longer waits for the call with this number.
     pub fn call_ended(
         &mut self,
         now: Instant,
@@ -237,7 +245,7 @@
         awaited
     }
 
-    /// A run ended. Its request is responded to, and so are the duplicates that waited for it.
+    /// Reports that a run ended. Responds to its request and to the duplicates that waited for its result.
     pub fn run_ended(
         &mut self,
         now: Instant,
@@ -247,12 +255,12 @@
         responder: &mut impl Responder<ReplyTo>,
     ) {
         let Some(open) = self.open.get_mut(request) else { return };
-        // A run that ends during its call cancels the call.
+        // The run no longer needs the result of a call that is still in flight.
         if let Some(number) = open.call_number.take() {
             executor.cancel_call(&mut open.executor_state, number);
         }
-        // A scheduler may resume a stopped run, so its duplicates wait on; lynxtally's policy never does, and they get their
-        // own deadline's response.
+        // The duplicates of a stopped run keep waiting, because a scheduler may resume it. lynxtally's policy never resumes a
+        // run, so its duplicates get their response at their own deadline.
         if let Some(key) = open.idempotency_key.clone().filter(|_| end != RunEnd::Stopped) {
             let result = if let RunEnd::Completed(result) = &end { Some(&result[..]) } else { None };
             let settled = self.deduplication.run_ended(&key, request, result);
@@ -269,12 +277,12 @@
             }
             RunEnd::Stopped => RunOutcome::Cancelled,
             RunEnd::NotStarted => {
-                // Nothing was executed: whoever comes under its key next is the first.
+                // Nothing was executed, so the next request with this key must run.
                 self.release_key(request, responder);
                 RunOutcome::NotStarted
             }
             RunEnd::Unavailable(retry_after) => {
-                // Nothing was executed: whoever comes under its key next is the first.
+                // Nothing was executed, so the next request with this key must run.
                 self.release_key(request, responder);
                 self.respond(request, FinalResponse::Rejected { retry_after, no_retry: false }, responder);
                 RunOutcome::NotStarted
@@ -283,12 +291,13 @@
         self.notify_scheduler(now, Event::RunEnded(request, outcome));
     }
 
-    /// Reports the backend's own gauges.
+    /// Reports the current measurements of this backend.
     pub fn update_gauges(&mut self, now: Instant, gauges: Gauges) {
         self.gauges = GaugeReading { reported_at: now, gauges };
     }
 
-    /// Begins a graceful shutdown: the process ends after `time_left`. False where it began before.
+    /// Begins a graceful shutdown: the process will end after `time_left`. Does nothing and returns false if a shutdown has
+    /// already begun.
     pub fn begin_drain(&mut self, now: Instant, time_left: Span) -> bool {
         if self.shutdown_deadline.is_some() {
             return false;
@@ -299,32 +308,33 @@
         true
     }
 
-    /// The quotas leased to this backend have changed.
+    /// Reports the quotas that are now leased to this backend.
     pub fn set_quotas(&mut self, now: Instant, quotas: LeasedQuotas) {
         self.notify_scheduler(now, Event::QuotasChanged(quotas));
     }
 
-    /// A tenant's wallet reservation, as it is from now on.
+    /// Replaces a tenant's wallet reservation.
     pub fn set_reservation(&mut self, tenant: usize, reservation: WalletReservation) {
         self.wallets.set(tenant, reservation);
     }
 
-    /// What was used of a tenant's wallet reservation so far.
+    /// How much of a tenant's wallet reservation has been used so far.
     pub fn reservation_usage(&self, tenant: usize) -> ReservationUsage {
         self.wallets.usage(tenant)
     }
 
-    /// Sets a timer of the frontend's own.
+    /// Sets a timer of the frontend; [`Engine::expire_timers`] returns it once it has expired.
     pub fn set_timer(&mut self, at: Instant, timer: FrontendTimer) {
         self.timers.set(at, Timer::Frontend(timer));
     }
 
-    /// When the next timer expires.
+    /// When the next timer expires; none if no timer is set.
     pub fn next_timer(&self) -> Option<Instant> {
         self.timers.next()
     }
 
-    /// Takes expired timers: the engine's own are acted on, the first that is the frontend's comes back.
+    /// Handles the expired timers of the engine. Stops at the first expired timer of the frontend and returns it, so it
+    /// must be called until it returns none.
     pub fn expire_timers(
         &mut self,
         now: Instant,
@@ -352,7 +362,7 @@
         None
     }
 
-    /// Has the scheduler decide on everything reported since the last call, and executes its actions.
+    /// Lets the scheduler decide on all events since the last call, and executes its actions.
     pub fn decide(
         &mut self,
         now: Instant,
@@ -369,7 +379,8 @@
         }
     }
 
-    /// After a failure of our own: where each open request's response is awaited. The frontend responds that it failed.
+    /// Counts all open requests as failed, after an internal error, and returns where their responses are awaited. The
+    /// frontend responds to each that it failed.
     pub fn fail_all(&mut self) -> Vec<ReplyTo> {
         let awaited: Vec<ReplyTo> = self.open.values_mut().filter_map(|open| open.reply_to.take()).collect();
         self.counts.failed += awaited.len() as u64;
--- a/crates/core/engine/src/executor.rs
+++ b/crates/core/engine/src/executor.rs
@@ -1,15 +1,15 @@
-//! The interface through which the engine runs requests, and how their runs end.
+//! The interface through which the engine runs requests, and the ways in which a run can end.
 
 use lynxtally::{RequestId, Span};
 
-/// Starts, stops and resumes runs. Their ends come back through [`crate::Engine::run_ended`]. `W` is what the executor
-/// keeps of a request.
+/// Starts, stops and resumes runs. The driver reports the end of each run with [`crate::Engine::run_ended`].
+/// `ExecutorState` is what the executor stores with each open request.
 pub trait Executor<ExecutorState> {
-    /// Starts a request, or resumes it where it was stopped and kept its progress.
+    /// Starts the run of a request, or resumes a run that was stopped and kept its progress.
     fn start(&mut self, request: RequestId, executor_state: &mut ExecutorState);
-    /// Takes a running request off the cores.
+    /// Stops the run of a request, so that it uses no core any more.
     fn stop(&mut self, request: RequestId, executor_state: &mut ExecutorState);
-    /// Starts a request's downstream call; false where none can be made, so that it is not executed.
+    /// Starts the downstream call of a request. Returns false if the call can't be sent; it was then not executed.
     fn start_call(
         &mut self,
         request: RequestId,
@@ -17,29 +17,29 @@
         number: u64,
         timeout: Span,
     ) -> bool;
-    /// Cancels the call with this number; its end is still reported.
+    /// Cancels the call with this number. The driver still reports its end with [`crate::Engine::call_ended`].
     fn cancel_call(&mut self, executor_state: &mut ExecutorState, number: u64);
-    /// Has a request finish without its call.
+    /// Lets a running request finish with a degraded response, without its downstream call.
     fn degrade(&mut self, _request: RequestId, _executor_state: &mut ExecutorState) {}
-    /// Asks for the gauges, to be reported by [`crate::Engine::update_gauges`].
+    /// Requests a measurement of the gauges, which the driver reports with [`crate::Engine::update_gauges`].
     fn request_gauges(&mut self) {}
-    /// The scheduler's timer fired.
+    /// Called each time the scheduler's timer expires.
     fn on_timer(&mut self) {}
-    /// The request is over: nothing more is reported of it, and its id may be given to another.
+    /// Drops the state of a request that has ended. Its id may be assigned to another request from now on.
     fn release(&mut self, _request: RequestId, _executor_state: ExecutorState) {}
 }
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RunEnd {
-    /// Successfully, with this result.
+    /// The run succeeded with this result.
     Completed(Vec<u8>),
-    /// With an error.
+    /// The run ended with an error.
     Failed,
-    /// It was stopped, or ended because nobody waits.
+    /// The run was stopped, or ended itself because no caller waits for the response.
     Stopped,
-    /// Nothing was started.
+    /// The run was never started.
     NotStarted,
-    /// Nobody was available to execute it, and nothing of it was done: it may be retried after so long.
+    /// No executor was available, so nothing was executed. The request may be retried after this time.
     Unavailable(Span),
 }
--- a/crates/core/engine/src/lib.rs
+++ b/crates/core/engine/src/lib.rs
@@ -1,22 +1,29 @@
-//! The request engine that every frontend stands on: the scheduler, the request id table, the open requests, timers
-//! in one ordered structure, and the count that every request read got one final response. It reads no clock and does
-//! no I/O: a driver tells it what happened and when, an [`Executor`] runs requests, a [`Responder`] gives their final
-//! responses. The same code serves on sockets and in simulated time.
+//! The request engine that every frontend is built on.
 //!
-//! A turn of a driver: report what happened ([`Engine::submit`], [`Engine::run_ended`], ...), take expired timers with
-//! [`Engine::expire_timers`] until there are none, then [`Engine::decide`] once for the whole batch, and wait no
-//! longer than [`Engine::next_timer`].
+//! The engine connects a frontend, a [`Scheduler`] and an executor. It holds the scheduler, the table of request ids, the
+//! open requests and all timers, and it counts that each request read gets exactly one final response. It reads no clock
+//! and does no I/O. The frontend's event loop (the driver) reports events with their time, an [`Executor`] runs requests,
+//! and a [`Responder`] delivers their final responses. The same code therefore serves real sockets and simulated time.
 //!
-//! | module | what it has |
+//! A driver repeats these steps:
+//!
+//! 1. Report all events that are ready ([`Engine::submit`], [`Engine::run_ended`], ...).
+//! 2. Call [`Engine::expire_timers`] until it returns `None`.
+//! 3. Call [`Engine::decide`] once for the whole batch.
+//! 4. Wait for the next event, but no longer than until [`Engine::next_timer`].
+//!
+//! A caller in this crate is the direct sender of a request: a client or another backend.
+//!
+//! | module | contents |
 //! | --- | --- |
-//! | `engine` | what a driver reports, and the state of an instance |
-//! | `actions` | the scheduler's actions executed; final responses and their price |
-//! | `request` | requests as submitted, the table of open ones |
+//! | `engine` | the state of one instance, and the methods through which a driver reports events |
+//! | `actions` | execution of the scheduler's actions; final responses and their price |
+//! | `request` | submitted requests and the table of open requests |
 //! | `deduplication` | idempotency keys and retained results |
-//! | `wallets` | prices reserved and settled |
-//! | `timers` | all timers, and how long gauges count |
-//! | `scheduler`, `executor`, `response` | the interfaces to what decides, what runs and what responds |
-//! | `counts` | requests received, and how they ended |
+//! | `wallets` | prices that are reserved and settled |
+//! | `timers` | all timers, and the maximum age of gauges |
+//! | `scheduler`, `executor`, `response` | the interfaces to the scheduler, the executor and the frontend's responses |
+//! | `counts` | counts of received requests by how they ended |
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/engine/src/request.rs
+++ b/crates/core/engine/src/request.rs
@@ -1,71 +1,71 @@
-//! Requests as a frontend submits them, why one is not accepted, and the table of those that are open.
+//! Requests as a frontend submits them, the reasons why one is not accepted, and the table of open requests.
 
 use crate::deduplication::{Fingerprint, IdempotencyKey};
 use crate::wallets::PriceHold;
 use lynxtally::{Instant, RequestId, Span};
 
-/// What a frontend knows of a request that it read.
+/// What a frontend knows about a request that it has read.
 #[derive(Clone, Debug, Default)]
 pub struct IncomingRequest {
-    /// Its class's index.
+    /// The index of its request class.
     pub class: usize,
-    /// Its tenant's index.
+    /// The index of its tenant; none if it belongs to no tenant.
     pub tenant: Option<usize>,
-    /// The caller's number.
+    /// A number that is the same for all requests of one caller.
     pub caller: u64,
-    /// The expected work on a standard core.
+    /// The expected time of the run on one standard core.
     pub expected_work: Option<Span>,
-    /// How long it waited on this machine before it was read.
+    /// How long the request waited on this machine before it was read.
     pub receive_delay: Span,
-    /// When the caller gives this attempt up, where known.
+    /// When the caller stops waiting for this attempt, if known.
     pub deadline: Option<Instant>,
-    /// Whether it is marked as a retry.
+    /// Whether the request is marked as a retry.
     pub is_retry: bool,
-    /// The idempotency key by which its duplicates are recognized.
+    /// The idempotency key by which duplicates of the request are recognized.
     pub idempotency_key: Option<IdempotencyKey>,
-    /// What else its duplicates have in common with it.
+    /// Equal for duplicates; a request with the same key and another fingerprint is a conflict.
     pub fingerprint: Fingerprint,
-    /// Whether it reads something named, so that its response may serve other requests.
+    /// Whether the request only reads a named resource, so that its result may be shared with other requests for it.
     pub coalescable: bool,
-    /// Its memory while queued, in kilobytes.
+    /// The memory that the request takes while queued, in kilobytes.
     pub memory_kb: f64,
 }
 
-/// Why a request was not accepted. It was never executed.
+/// Why a request was not accepted. In all cases it was never executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectionReason {
-    /// There is no scheduler yet. The frontend responds that it was rejected.
+    /// There is no scheduler yet. The frontend responds that the request was rejected.
     NotReady,
-    /// Its name is in use by another request. The frontend responds that it was rejected where the request is idempotent;
-    /// else that it failed, as its caller may take it for the other one, which may be executed.
+    /// Another open request has the same name. The frontend responds that the request was rejected if it is idempotent,
+    /// and otherwise that it failed: the caller may confuse it with the other request, which may be executed.
     NameInUse,
-    /// It came under the idempotency key of another request and is not the same. The frontend responds that it failed:
-    /// a caller that takes the two for one must not be told that neither was executed.
+    /// Another request with the same idempotency key has a different fingerprint. The frontend responds that the request
+    /// failed: a caller that confuses the two must not be told that neither was executed.
     KeyConflict,
 }
 
 /// A request that was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection<ReplyTo> {
-    /// Where its response is awaited.
+    /// Where the response is awaited.
     pub reply_to: ReplyTo,
-    /// Why it was not accepted.
+    /// Why the request was not accepted.
     pub reason: RejectionReason,
 }
 
-/// A request from its submission until the scheduler releases its id.
+/// A request between its submission and the release of its id by the scheduler.
 pub(crate) struct OpenRequest<ExecutorState, ReplyTo> {
-    /// Where its response is awaited; none once it was responded to or its caller is gone.
+    /// Where the response is awaited; none once it has been sent or the caller is gone.
     pub reply_to: Option<ReplyTo>,
     pub idempotency_key: Option<IdempotencyKey>,
-    /// The number of the downstream call under way.
+    /// The number of the downstream call in flight.
     pub call_number: Option<u64>,
-    /// What is reserved for it of its tenant's wallet, until it is settled.
+    /// The price reserved in the tenant's wallet, until the request is settled.
     pub price_hold: Option<PriceHold>,
     pub executor_state: ExecutorState,
 }
 
-/// The open requests by id. Ids are dense, so that a vector serves.
+/// The open requests by id. A vector is enough, because ids are dense.
 pub(crate) struct OpenRequests<ExecutorState, ReplyTo>(Vec<Option<OpenRequest<ExecutorState, ReplyTo>>>);
 
 impl<ExecutorState, ReplyTo> OpenRequests<ExecutorState, ReplyTo> {
@@ -93,13 +93,13 @@
         self.0.get_mut(request.0 as usize)?.take()
     }
 
-    /// All, in the order of their ids.
+    /// All open requests, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (RequestId, &OpenRequest<ExecutorState, ReplyTo>)> {
         let slots = self.0.iter().enumerate();
         slots.filter_map(|(index, open)| Some((RequestId(index as u32), open.as_ref()?)))
     }
 
-    /// All, in the order of their ids.
+    /// All open requests, in the order of their ids.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut OpenRequest<ExecutorState, ReplyTo>> {
         self.0.iter_mut().flatten()
     }
--- a/crates/core/engine/src/response.rs
+++ b/crates/core/engine/src/response.rs
@@ -1,34 +1,34 @@
-//! Final responses and the interface through which a frontend delivers them.
+//! Final responses, and the interface through which a frontend delivers them.
 
 use lynxtally::Span;
 
 /// The final response to a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// The result that its run made, unchanged.
+    /// The request was executed; this is the result of its run, unchanged.
     Completed(Vec<u8>),
-    /// It had no effect: it was never started, or it is idempotent. The caller may send it elsewhere.
+    /// The request had no effect: it was never started, or it is idempotent. The caller may send it to another backend.
     Rejected {
-        /// How long the caller should stay away.
+        /// How long the caller should wait before it sends another request to this backend.
         retry_after: Span,
-        /// Asks that it not be retried elsewhere.
+        /// Asks the caller not to retry the request on another backend.
         no_retry: bool,
     },
-    /// Failed, with no promise that it had no effect.
+    /// The request failed. It may have had an effect.
     Failed,
 }
 
-/// Delivers final responses, and reports the state of this backend to callers. `F` identifies where a response is
-/// awaited, such as a connection.
+/// Delivers final responses and reports the state of this backend to callers. Implemented by a frontend. `ReplyTo`
+/// identifies where a response is awaited, such as a connection.
 pub trait Responder<ReplyTo> {
-    /// Delivers the one final response; false where nobody takes it any more.
+    /// Delivers the final response to a request. Returns false if the caller can't be reached any more.
     fn respond(&mut self, reply_to: ReplyTo, response: FinalResponse) -> bool;
-    /// What health checks report from now on.
+    /// Sets what health checks report from now on.
     fn set_health(&mut self, _healthy: bool) {}
-    /// The capacity that responses advertise from now on.
+    /// Sets the capacity that responses advertise from now on.
     fn advertise_capacity(&mut self, _capacity: f64) {}
-    /// Connections that have been idle for so long are to be closed.
+    /// Closes the connections that have been idle for at least this long.
     fn close_idle_connections(&mut self, _idle_for: Span) {}
-    /// A line for the log.
+    /// Writes a line of the scheduler to the log.
     fn log(&mut self, _text: &str) {}
 }
--- a/crates/core/engine/src/scheduler.rs
+++ b/crates/core/engine/src/scheduler.rs
@@ -1,12 +1,12 @@
-//! The interface of what decides, implemented by lynxtally's policy and by the baselines it is compared with.
+//! The interface of a scheduler, implemented by lynxtally's policy and by the baselines that it is compared with.
 
 use lynxtally::{Action, Event, Instant, Policy};
 
-/// Decides which requests run, which are rejected and what is advertised.
+/// Decides which requests run, which are rejected, and which capacity is advertised.
 pub trait Scheduler {
-    /// Takes in one event.
+    /// Updates the scheduler's state with one event.
     fn handle(&mut self, now: Instant, event: Event);
-    /// Decides on all events since the last call, and appends what the engine is to do to `actions`.
+    /// Decides on all events since the last call, and appends the actions that the engine is to execute to `actions`.
     fn decide(&mut self, now: Instant, actions: &mut Vec<Action>);
 }
 
--- a/crates/core/engine/src/timers.rs
+++ b/crates/core/engine/src/timers.rs
@@ -1,27 +1,28 @@
-//! All timers of an instance in one ordered set: the engine's own and those of the frontend.
+//! All timers of an instance, those of the engine and those of the frontend, in one ordered set.
 
 use lynxtally::{Gauges, Instant, RequestId, Span};
 use std::collections::BTreeSet;
 
-/// The gauges are asked for this part of the timer's period before it fires, so that they are fresh then.
+/// The gauges are requested this fraction of the scheduler's timer period before the timer expires, so that they are
+/// recent when the scheduler gets them.
 const GAUGE_REQUEST_LEAD: f64 = 0.25;
-/// Gauges older than this many periods are not reported to the scheduler.
+/// Gauges older than this many periods of the scheduler's timer are not reported to the scheduler.
 const MAX_GAUGE_AGE_PERIODS: f64 = 2.0;
 
-/// What a timer is for; `D` is the frontend's own. Timers due at the same instant expire in the order of the variants.
+/// What a timer is for. Timers that are due at the same instant expire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer<FrontendTimer> {
-    /// One of the frontend's.
+    /// A timer that the frontend set.
     Frontend(FrontendTimer),
-    /// The gauges are to be asked for.
+    /// The executor is to be asked for the gauges.
     RequestGauges,
     /// The scheduler's periodic timer.
     Scheduler,
-    /// The downstream call of this request, with this number, times out.
+    /// The timeout of the downstream call of this request, with this call number.
     CallTimeout(RequestId, u64),
 }
 
-/// Pending timers, and the period of the scheduler's.
+/// The pending timers, and the period of the scheduler's timer.
 pub(crate) struct Timers<FrontendTimer> {
     pending: BTreeSet<(Instant, Timer<FrontendTimer>)>,
     period: Span,
@@ -32,7 +33,7 @@
         Self { pending: BTreeSet::new(), period: Span::ZERO }
     }
 
-    /// The period of the scheduler's timer; zero before it was first set.
+    /// The period of the scheduler's timer; zero until it is first set.
     pub fn period(&self) -> Span {
         self.period
     }
@@ -41,19 +42,19 @@
         self.pending.insert((at, timer));
     }
 
-    /// Sets the scheduler's timer, and the request for gauges ahead of it.
+    /// Sets the scheduler's timer, and the timer that requests the gauges before it expires.
     pub fn set_period(&mut self, now: Instant, period: Span) {
         self.period = period;
         self.set(now + period, Timer::Scheduler);
         self.set(now + period * (1.0 - GAUGE_REQUEST_LEAD), Timer::RequestGauges);
     }
 
-    /// When the next one expires.
+    /// When the next timer expires.
     pub fn next(&self) -> Option<Instant> {
         self.pending.first().map(|(at, _)| *at)
     }
 
-    /// Removes and returns the first that has expired.
+    /// Removes and returns the earliest timer, if it has expired.
     pub fn pop_expired(&mut self, now: Instant) -> Option<Timer<FrontendTimer>> {
         if self.next()? > now {
             return None;
@@ -62,7 +63,7 @@
     }
 }
 
-/// The gauges as last reported.
+/// The gauges that were last reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct GaugeReading {
     pub reported_at: Instant,
@@ -70,8 +71,8 @@
 }
 
 impl GaugeReading {
-    /// The gauges, or none where they are too old. An executor that stopped reporting would otherwise have the scheduler
-    /// act on the last load it saw for good.
+    /// The gauges, or the default, without any value, if they are too old. Otherwise the scheduler would act on the last
+    /// reported load forever after an executor stops reporting.
     pub fn current(&self, now: Instant, period: Span) -> Gauges {
         if now - self.reported_at <= period * MAX_GAUGE_AGE_PERIODS {
             self.gauges
--- a/crates/core/engine/src/wallets.rs
+++ b/crates/core/engine/src/wallets.rs
@@ -1,7 +1,7 @@
-//! What tenants have bought in advance and this node may spend. Each request's price is reserved as it is submitted, and
-//! settled with its one final response. No decision is made here: the scheduler learns whether the price is covered.
+//! The prepaid units of each tenant that this node may spend. The price of a request is reserved when it is submitted
+//! and settled with its final response. No decision is made here: the scheduler is told whether the price is covered.
 
-/// A price reserved for a request.
+/// The price that is reserved for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct PriceHold {
     tenant: usize,
@@ -12,21 +12,21 @@
 /// Whether a request's price is covered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PriceCoverage {
-    /// Nothing is to be paid.
+    /// The request costs nothing.
     Free,
-    /// The price is reserved until it is settled.
+    /// The price is reserved until the request is settled.
     Reserved(PriceHold),
-    /// The tenant's reservation does not cover it.
+    /// The tenant's reservation does not cover the price.
     NotCovered,
 }
 
 impl PriceCoverage {
-    /// Whether the request may run as far as its price is concerned.
+    /// Whether the request may run: its price is reserved, or it costs nothing.
     pub fn is_covered(self) -> bool {
         self != Self::NotCovered
     }
 
-    /// What was reserved.
+    /// The reserved price; none if nothing was reserved.
     pub fn hold(self) -> Option<PriceHold> {
         match self {
             Self::Reserved(hold) => Some(hold),
@@ -35,29 +35,30 @@
     }
 }
 
-/// One tenant's reservation on this node.
+/// The reservation of one tenant's wallet that this node holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct WalletReservation {
-    /// Which reservation it is; another number is another reservation, for which nothing was spent yet.
+    /// Identifies the reservation. A new id is a new reservation, of which nothing has been spent yet.
     pub reservation_id: u64,
-    /// The units of it that may be spent, including those already spent.
+    /// The units that may be spent in total, including those already spent.
     pub granted: u64,
-    /// Whether requests may be accepted against it: not once its lease is over.
+    /// Whether the lease of the reservation is still valid. If not, requests that cost something are not covered.
     pub in_force: bool,
-    /// What each class costs, by its index; none while the prices are unknown, and nothing is accepted then.
+    /// The price of a request of each class, in units, by class index. While the prices are unknown (none), no request of
+    /// the tenant is covered.
     pub prices: Option<Vec<u64>>,
 }
 
-/// What was used of a reservation so far, in units.
+/// How much of a reservation has been used so far, in units.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReservationUsage {
-    /// Which reservation.
+    /// Identifies the reservation.
     pub reservation_id: u64,
-    /// Charged against it.
+    /// Charged for completed requests.
     pub spent: u64,
-    /// Reserved for requests that are open.
+    /// Reserved for open requests.
     pub reserved: u64,
-    /// The price of all requests since the start, whether they were covered or not.
+    /// The total price of all requests since the process started, over all reservations, covered or not.
     pub demand: u64,
 }
 
@@ -67,12 +68,12 @@
     usage: ReservationUsage,
 }
 
-/// The wallets of all tenants that have one, by the tenant's index.
+/// The wallets of all tenants that have one, by tenant index.
 #[derive(Debug, Default)]
 pub(crate) struct Wallets(Vec<Option<Wallet>>);
 
 impl Wallets {
-    /// Sets a tenant's reservation, as it is from now on.
+    /// Replaces a tenant's reservation. If its id is new, nothing has been spent or reserved of it yet.
     pub fn set(&mut self, tenant: usize, reservation: WalletReservation) {
         if self.0.len() <= tenant {
             self.0.resize(tenant + 1, None);
@@ -91,7 +92,7 @@
         self.0[tenant] = Some(Wallet { reservation, usage });
     }
 
-    /// What was used of a tenant's reservation.
+    /// How much of a tenant's reservation has been used.
     pub fn usage(&self, tenant: usize) -> ReservationUsage {
         self.0.get(tenant).and_then(Option::as_ref).map(|wallet| wallet.usage).unwrap_or_default()
     }
@@ -116,8 +117,8 @@
         PriceCoverage::Reserved(PriceHold { tenant, units, reservation_id: reservation.reservation_id })
     }
 
-    /// Settles a hold: its request has its final response, and is charged or not. A hold against an earlier reservation
-    /// is dropped: that reservation was accounted for without it.
+    /// Releases a reserved price, and charges it to the tenant if `charged` is true. Does nothing for a price reserved
+    /// under an earlier reservation, because that reservation has already been accounted for.
     pub fn settle(&mut self, hold: PriceHold, charged: bool) {
         let Some(Some(Wallet { usage, .. })) = self.0.get_mut(hold.tenant) else { return };
         if usage.reservation_id != hold.reservation_id {
