--- a/crates/frontends/net/src/close_reason.rs
+++ b/crates/frontends/net/src/close_reason.rs
@@ -1,4 +1,5 @@
-//! Why a connection ended, and the one place that says what follows from that for a caller and for a call.
+//! The reasons why a connection ended. Their effect on a caller (the sender of a request) and on a downstream call is
+//! defined only here.
 
 use lynxtally::CallOutcome;
 use std::fmt;
@@ -7,36 +8,36 @@
 /// Why a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The peer closed it between two messages.
+    /// The peer closed the connection between two messages.
     ClosedByPeer,
-    /// The peer closed it in the middle of a message.
+    /// The peer closed the connection in the middle of a message.
     Truncated,
-    /// It was reset.
+    /// The connection was reset.
     Reset,
-    /// Nobody listens at the address.
+    /// The connection was refused: no process listens on the address.
     Refused,
-    /// It was not made, for another reason than a refusal.
+    /// The connection could not be established, for another reason than a refusal.
     ConnectFailed,
-    /// Its time ran out.
+    /// A timeout or deadline passed.
     TimedOut,
-    /// What it was for was cancelled.
+    /// The request or call on the connection was cancelled.
     Cancelled,
-    /// What came on it can't be parsed.
+    /// The received bytes can't be parsed.
     Malformed,
-    /// We closed it because it was idle.
+    /// This program closed the connection because it was idle.
     IdleTimeout,
-    /// We closed it after the last response on it.
+    /// This program closed the connection after the last response on it.
     Completed,
-    /// We closed it to make room for others.
+    /// This program closed the connection to make room for others.
     Evicted,
-    /// We left it for another address.
+    /// This program closed the connection because the address of the peer, or the object that it serves, changed.
     AddressChanged,
-    /// Our own code failed on it.
+    /// An internal error of this program ended the connection.
     InternalError,
 }
 
 impl CloseReason {
-    /// All reasons, in the order of their numbers, which index the counters.
+    /// All reasons, in the order of the variants' numbers, which index the counters.
     pub const ALL: [Self; 13] = [
         Self::ClosedByPeer,
         Self::Truncated,
@@ -53,7 +54,7 @@
         Self::InternalError,
     ];
 
-    /// The reason behind an error of an open connection.
+    /// The reason for an I/O error on an established connection.
     pub fn from_io_error(error: &io::Error) -> Self {
         match error.kind() {
             ErrorKind::TimedOut => Self::TimedOut,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// The reason behind an error while connecting.
+    /// The reason for an I/O error while connecting.
     pub fn from_connect_error(error: &io::Error) -> Self {
         match error.kind() {
             ErrorKind::ConnectionRefused => Self::Refused,
@@ -70,14 +71,14 @@
         }
     }
 
-    /// Whether a caller whose connection ended so no longer waits for its response. One that only stopped sending, the
-    /// half-close of [`Self::ClosedByPeer`], still reads it.
+    /// Whether a caller whose connection ended for this reason has stopped waiting for its response. A caller that only
+    /// closed its sending side ([`Self::ClosedByPeer`]) still reads the response.
     pub fn caller_gone(self) -> bool {
         !matches!(self, Self::ClosedByPeer | Self::Completed | Self::IdleTimeout)
     }
 
-    /// What is known of a call whose connection ended so; `written` says whether any byte of the call was written.
-    /// Before its first byte was written it was not executed.
+    /// The outcome of a call whose connection ended for this reason. `written` tells whether any byte of the call was
+    /// written; a call of which nothing was written was not executed.
     pub fn call_outcome(self, written: bool) -> CallOutcome {
         if written && !matches!(self, Self::Refused | Self::ConnectFailed) {
             CallOutcome::MaybeExecuted
@@ -86,7 +87,7 @@
         }
     }
 
-    /// Its key in the printed counters, which scripts read.
+    /// The key of this reason in the printed counters, which scripts parse.
     pub fn name(self) -> &'static str {
         match self {
             Self::ClosedByPeer => "closed",
--- a/crates/frontends/net/src/connection.rs
+++ b/crates/frontends/net/src/connection.rs
@@ -1,5 +1,5 @@
-//! A connection with a write buffer: it reads what is there, writes what can be written, and waits. What the bytes
-//! mean is for the codecs to say.
+//! A connection with a write buffer. It reads and writes without blocking, and can wait for events. Parsing is left to
+//! the codecs.
 
 use crate::close_reason::CloseReason;
 use crate::fair_yield::FairYield;
@@ -9,21 +9,22 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// What one read takes at most, in bytes.
+/// The maximum size of one read, in bytes.
 const READ_CHUNK_BYTES: usize = 4096;
 
-/// How far [`Connection::fill`] came.
+/// Why [`Connection::fill`] stopped reading.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadProgress {
-    /// All that was there has been read.
+    /// All available bytes have been read.
     Drained,
-    /// The buffer is full. What is left has to be read without waiting: no further event announces it.
+    /// The buffer is full. The remaining bytes must be read without waiting first, because no event announces bytes that
+    /// have already arrived.
     BufferFull,
-    /// The peer sends no more.
+    /// The peer closed its sending side.
     EndOfStream,
 }
 
-/// A connection, and the bytes that wait to be written on it.
+/// A connection, and the bytes that are still to be written on it.
 pub struct Connection {
     socket: Socket,
     output: Vec<u8>,
@@ -31,23 +32,23 @@
 }
 
 impl Connection {
-    /// Takes an accepted connection over.
+    /// Wraps an accepted connection.
     ///
     /// # Errors
-    /// The connection is broken already.
+    /// The connection is already broken, or can't be registered with the event loop.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         Ok(Self { socket: Socket::new(stream)?, output: Vec::new(), written: 0 })
     }
 
-    /// Connects within the given time.
+    /// Connects to an address within a timeout.
     ///
     /// # Errors
-    /// Why no connection was made.
+    /// The reason why no connection was made.
     pub fn connect(to: SocketAddr, timeout: Duration) -> Result<Self, CloseReason> {
         Ok(Self { socket: Socket::connect(to, timeout)?, output: Vec::new(), written: 0 })
     }
 
-    /// Reads what is there into the buffer, until the buffer holds `capacity` bytes.
+    /// Appends available bytes to the buffer, until the buffer holds `capacity` bytes.
     ///
     /// # Errors
     /// The connection broke.
@@ -57,7 +58,7 @@
             if start >= capacity {
                 return Ok(ReadProgress::BufferFull);
             }
-            // Read in place: a coroutine's stack is too small for read buffers.
+            // Reads directly into the vector, because a coroutine's stack is too small for a read buffer.
             buffer.resize(start + READ_CHUNK_BYTES.min(capacity - start), 0);
             let outcome = self.socket.read(&mut buffer[start..]);
             let read = if let Ok(ReadOutcome::Bytes(read)) = outcome { read } else { 0 };
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The write buffer: append here, then [`Connection::flush`].
+    /// The write buffer. Bytes that are appended to it are sent by [`Connection::flush`].
     pub fn output(&mut self) -> &mut Vec<u8> {
         &mut self.output
     }
@@ -80,12 +81,12 @@
         self.output.is_empty()
     }
 
-    /// How many bytes of the write buffer have been written so far; zero once it was flushed whole.
+    /// How many bytes of the write buffer have been written so far; zero once all have been written.
     pub fn written(&self) -> usize {
         self.written
     }
 
-    /// Writes as much as the system takes now.
+    /// Writes as much of the write buffer as the kernel accepts now.
     ///
     /// # Errors
     /// The connection broke.
@@ -98,22 +99,22 @@
         Ok(())
     }
 
-    /// Waits until something can be read or written, or the connection's mailbox has a message.
+    /// Waits until the connection is readable or writable, or its mailbox has a message.
     pub fn wait(&self) {
         self.socket.wait();
     }
 
-    /// Lets other connections run where this one could go on at once.
+    /// Lets other connections run before this one continues. To be called by a connection that could continue at once.
     pub fn yield_to_others(&self, fair_yield: &FairYield) {
         fair_yield.yield_on(&self.socket);
     }
 
-    /// Whether the peer is known to be gone altogether.
+    /// Whether the kernel reports an error of the connection, such as a reset. A half-closed connection is not broken.
     pub fn is_broken(&self) -> bool {
         self.socket.is_broken()
     }
 
-    /// Closes the writing side; false where the connection is gone altogether.
+    /// Closes the sending side. Returns false if the connection is already broken.
     pub fn shutdown_write(&self) -> bool {
         self.socket.shutdown_write()
     }
--- a/crates/frontends/net/src/connection_table.rs
+++ b/crates/frontends/net/src/connection_table.rs
@@ -1,5 +1,5 @@
-//! The open connections of a frontend, up to a maximum: where the table is full, the connection that has been idle
-//! longest is evicted for a new one. A busy connection never is.
+//! A table of the open connections of a frontend, up to a maximum. If the table is full, a new connection evicts the
+//! connection that has been idle longest. A busy connection is never evicted.
 
 use crate::sync::lock;
 use std::collections::BTreeMap;
@@ -10,11 +10,11 @@
 struct Entry<T> {
     handle: T,
     is_idle: bool,
-    /// Since when it has been idle, or busy.
+    /// When the connection last became idle or busy.
     since: Instant,
 }
 
-/// The open connections of a frontend; `T` is how the frontend reaches one.
+/// The open connections of a frontend. `T` is a handle through which the frontend reaches a connection.
 pub struct ConnectionTable<T> {
     entries: Mutex<BTreeMap<u64, Entry<T>>>,
     next_number: AtomicU64,
@@ -28,19 +28,19 @@
 /// A connection that was added to the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Inserted<T> {
-    /// Its number, for all further calls.
+    /// The number that identifies the connection in later calls to the table.
     pub number: u64,
-    /// The connection that the caller has to close in exchange. It counts until it is removed.
+    /// The connection that must be closed in exchange. It stays in the table until it is removed.
     pub evicted: Option<T>,
 }
 
 impl<T: Clone> ConnectionTable<T> {
-    /// An empty table for so many connections at most.
+    /// Creates an empty table for `max_connections` connections. It holds more only until evicted ones are removed.
     pub fn new(max_connections: usize) -> Self {
         Self { entries: Mutex::default(), next_number: AtomicU64::new(0), max_connections }
     }
 
-    /// Adds a connection, idle at first.
+    /// Adds a connection, which is idle at first.
     ///
     /// # Errors
     /// The table is full of busy connections.
@@ -65,10 +65,10 @@
         }
     }
 
-    /// The connections that have been idle for at least so long.
-    pub fn idle_for(&self, least: Duration) -> Vec<T> {
+    /// The connections that have been idle for at least `min_idle`.
+    pub fn idle_for(&self, min_idle: Duration) -> Vec<T> {
         let entries = lock(&self.entries);
-        let idle = entries.values().filter(|entry| entry.is_idle && entry.since.elapsed() >= least);
+        let idle = entries.values().filter(|entry| entry.is_idle && entry.since.elapsed() >= min_idle);
         idle.map(|entry| entry.handle.clone()).collect()
     }
 
--- a/crates/frontends/net/src/coroutine.rs
+++ b/crates/frontends/net/src/coroutine.rs
@@ -1,4 +1,4 @@
-//! Starting coroutines, and catching panics in them.
+//! Starts coroutines and catches their panics.
 
 use may::coroutine::{Builder, JoinHandle};
 use std::any::Any;
@@ -14,7 +14,7 @@
     fn from_payload(payload: &(dyn Any + Send)) -> Self {
         let literal = payload.downcast_ref::<&str>().map(|text| (*text).to_owned());
         let message = literal.or_else(|| payload.downcast_ref::<String>().cloned());
-        Self(message.unwrap_or_else(|| "a panic".to_owned()))
+        Self(message.unwrap_or_else(|| "panic without a text message".to_owned()))
     }
 }
 
@@ -26,19 +26,19 @@
 
 impl std::error::Error for Panic {}
 
-/// Runs a piece of work.
+/// Calls a function and catches its panic.
 ///
 /// # Errors
-/// The work panicked.
-pub fn catch_panic<T>(work: impl FnOnce() -> T) -> Result<T, Panic> {
-    catch_unwind(AssertUnwindSafe(work)).map_err(|payload| Panic::from_payload(&*payload))
+/// The function panicked.
+pub fn catch_panic<T>(function: impl FnOnce() -> T) -> Result<T, Panic> {
+    catch_unwind(AssertUnwindSafe(function)).map_err(|payload| Panic::from_payload(&*payload))
 }
 
-/// Starts a coroutine with a stack of so many machine words. `on_panic` is called if it panics; without that, a
-/// panic would end the coroutine silently.
+/// Starts a coroutine with a stack of `stack_words` machine words. If it panics, `on_panic` is called; otherwise the
+/// panic would end the coroutine without a trace.
 ///
 /// # Errors
-/// No stack could be allocated.
+/// The stack could not be allocated.
 pub fn spawn<F, G>(stack_words: usize, work: F, on_panic: G) -> io::Result<JoinHandle<()>>
 where
     F: FnOnce() + Send + 'static,
@@ -49,9 +49,9 @@
             on_panic(panic);
         }
     };
-    // SAFETY: may asks two things of a coroutine. It must not rely on thread-local storage across a point
-    // where it waits, and none of ours does; and its stack must suffice, which is sized with room and guarded
-    // by a page.
+    // SAFETY: `may` has two requirements. A coroutine must not rely on thread-local storage across a point where it
+    // waits; no coroutine of this project does. The stack must not overflow; all stack sizes include a reserve, and a
+    // guard page turns an overflow into a fault.
     #[allow(unsafe_code)]
     unsafe {
         Builder::new().stack_size(stack_words).spawn(watched)
--- a/crates/frontends/net/src/directory.rs
+++ b/crates/frontends/net/src/directory.rs
@@ -1,4 +1,4 @@
-//! A directory on a file system as storage for logs and snapshots.
+//! A file system directory as storage for logs and snapshots.
 
 use lynxtally_wal::Storage;
 use std::collections::BTreeMap;
@@ -7,10 +7,10 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// So many files stay open; then all are closed, and those still in use are opened again.
+/// If more files than this are open, all are closed. A file that is still in use is opened again at its next append.
 const MAX_OPEN_FILES: usize = 64;
 
-/// A directory as storage. Files that are appended to stay open.
+/// Storage in a directory. A file stays open after the first append to it.
 #[derive(Debug)]
 pub struct DirectoryStorage {
     path: PathBuf,
@@ -18,16 +18,16 @@
 }
 
 impl DirectoryStorage {
-    /// Opens a directory, creating it where it does not exist.
+    /// Opens a directory, and creates it if it does not exist.
     ///
     /// # Errors
-    /// It can't be created.
+    /// The directory can't be created.
     pub fn new(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         Ok(Self { path: path.to_owned(), open_files: BTreeMap::new() })
     }
 
-    /// Makes created and renamed files durable: their names stand in the directory.
+    /// Makes the names of created and renamed files durable. Syncing a file does not write its directory entry.
     fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
@@ -54,7 +54,7 @@
         if !self.open_files.contains_key(name) {
             let file = OpenOptions::new().append(true).create(true).open(self.path.join(name))?;
             self.sync_directory()?;
-            // Logs of old generations are not appended to any more.
+            // Logs of old generations are not appended to any more, so their files need not stay open.
             if self.open_files.len() > MAX_OPEN_FILES {
                 self.open_files.clear();
             }
@@ -93,15 +93,15 @@
 }
 
 impl DirectoryStorage {
-    /// Reads at most `most` bytes of a file, from an offset on.
+    /// Reads at most `max_bytes` bytes of a file, starting at an offset.
     ///
     /// # Errors
     /// The file can't be read.
-    pub fn read_at(&self, name: &str, offset: u64, most: usize) -> io::Result<Vec<u8>> {
+    pub fn read_at(&self, name: &str, offset: u64, max_bytes: usize) -> io::Result<Vec<u8>> {
         let file = File::open(self.path.join(name))?;
-        let mut bytes = vec![0; most];
+        let mut bytes = vec![0; max_bytes];
         let mut read = 0;
-        while read < most {
+        while read < max_bytes {
             match file.read_at(&mut bytes[read..], offset + read as u64)? {
                 0 => break,
                 more => read += more,
--- a/crates/frontends/net/src/fair_yield.rs
+++ b/crates/frontends/net/src/fair_yield.rs
@@ -1,8 +1,8 @@
-//! Lets connections that always have more to do take turns with all the others.
+//! Lets a connection that always has more to do yield to all other connections.
 //!
-//! A coroutine that only yields is put at the front of its worker's queue again, and the worker never polls for
-//! other events: one client that never stops sending would keep all others waiting. A coroutine that yields here is
-//! woken by an event, which the worker sees only when it polls for all of them.
+//! `may`'s own yield puts the coroutine back at the front of its worker's queue, and the worker does not poll for other
+//! events first: one client that never stops sending would block all others. A coroutine that yields through this module
+//! is woken by an event instead, and the worker sees that event only when it polls for the events of all connections.
 
 use crate::coroutine::spawn;
 use crate::socket::Socket;
@@ -13,23 +13,24 @@
 use std::sync::{Arc, Mutex};
 use tracing::error;
 
+/// The stack size of the waking coroutine, in machine words.
 const STACK_WORDS: usize = 0x1000;
 
 struct Shared {
     waiting: Mutex<Vec<WaitIoWaker>>,
-    /// A byte written here wakes the coroutine that wakes those that wait.
+    /// A byte written here wakes the coroutine that wakes all waiting connections.
     signal: UnixStream,
 }
 
-/// Where connections yield.
+/// A handle with which connections yield to one another.
 #[derive(Clone)]
 pub struct FairYield(Arc<Shared>);
 
 impl FairYield {
-    /// Starts the coroutine that wakes those that yielded. It ends with the last clone.
+    /// Starts the coroutine that wakes connections that yielded. It ends when the last clone of the handle is dropped.
     ///
     /// # Errors
-    /// The system gives no socket pair, or no stack could be allocated.
+    /// The operating system can't create a socket pair, or the stack could not be allocated.
     pub fn start() -> io::Result<Self> {
         let (signal, receiver) = UnixStream::pair()?;
         signal.set_nonblocking(true)?;
@@ -37,7 +38,7 @@
         let fair_yield = Self(Arc::new(Shared { waiting: Mutex::default(), signal }));
         let shared = Arc::downgrade(&fair_yield.0);
         let work = move || loop {
-            // The bytes say only that somebody waits.
+            // The values of the bytes have no meaning; a byte only signals that a connection waits.
             let ended = matches!(receiver.inner().read(&mut [0; 64]), Ok(0));
             let Some(shared) = shared.upgrade().filter(|_| !ended) else { return };
             let waiting = std::mem::take(&mut *lock(&shared.waiting));
@@ -45,18 +46,22 @@
             waiting.iter().for_each(WaitIoWaker::wakeup);
             receiver.wait_io();
         };
-        spawn(STACK_WORDS, work, |panic| error!(%panic, "the coroutine that gives turns failed"))?;
+        spawn(
+            STACK_WORDS,
+            work,
+            |panic| error!(%panic, "fair-yield coroutine panicked; connections that yield may stall"),
+        )?;
         Ok(fair_yield)
     }
 
-    /// Waits on a socket for the next turn, or for anything else that wakes it.
+    /// Waits until all other connections with pending events had a chance to run, or until another event of the socket.
     pub fn yield_on(&self, socket: &Socket) {
         let mut waiting = lock(&self.0.waiting);
         let is_first = waiting.is_empty();
         waiting.push(socket.waker());
         drop(waiting);
         if is_first {
-            // Where the socket pair is full, the coroutine is about to be woken anyway.
+            // A failure is ignored: if the socket pair is full, the coroutine is about to be woken anyway.
             let _ = (&self.0.signal).write(&[0]);
         }
         socket.wait();
--- a/crates/frontends/net/src/lib.rs
+++ b/crates/frontends/net/src/lib.rs
@@ -1,7 +1,8 @@
-//! What every frontend reads and writes through: sockets and connections, why a connection was closed, listeners,
-//! the table of open connections, the timer, the clock, a directory as storage, and what `main` functions have in
-//! common. It knows no protocol and decides
-//! nothing.
+//! The input and output that all frontends share.
+//!
+//! Contains sockets and connections, reasons for closing a connection, listeners, the table of open connections, the
+//! timer, the clock, a directory as storage, and what the `main` functions have in common. It knows no protocol and makes
+//! no scheduling decisions.
 
 pub mod clock;
 pub mod close_reason;
--- a/crates/frontends/net/src/listener.rs
+++ b/crates/frontends/net/src/listener.rs
@@ -1,4 +1,4 @@
-//! Listeners: connections are accepted until the set of listeners is closed.
+//! Listening sockets that accept connections until they are closed together.
 
 use crate::sync::lock;
 use crate::timer::Timer;
@@ -10,14 +10,15 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Connections that wait to be accepted, at most.
+/// The maximum number of established connections that wait to be accepted.
 const BACKLOG: i32 = 1024;
-/// The pause after a connection could not be accepted: with no descriptor left, accepting fails at once each time.
+/// The pause after a failed `accept`. Without it the loop would spin when no file descriptor is left, because each
+/// `accept` then fails at once.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How many such pauses [`ListenerSet::close`] waits for the listeners to be closed.
+/// How many pauses [`ListenerSet::close`] waits at most until all listeners are closed.
 const MAX_CLOSE_PAUSES: usize = 10;
 
-/// The listeners of a frontend.
+/// The listeners of a frontend, which are closed together.
 pub struct ListenerSet {
     closing: AtomicBool,
     closed: AtomicUsize,
@@ -25,42 +26,43 @@
     timer: Timer,
 }
 
-/// Listens for connections on an address that nobody else listens on. What is left of connections of an earlier
-/// process on the same address does not prevent that.
+/// Listens for connections on an address. Connections of an earlier process on the same address that are still in
+/// TIME_WAIT do not prevent this (`SO_REUSEADDR`).
 ///
 /// # Errors
-/// The address is in use, or is not this machine's.
-pub fn listen(at: SocketAddr) -> io::Result<TcpListener> {
+/// Another process listens on the address, or it is not an address of this machine.
+pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     use socket2::{Domain, Socket, Type};
-    let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
+    let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
+    socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
-/// Instructions of the classic BPF packet filter: load a byte, mask it, skip ahead if it is not equal, return.
+// Opcodes of the classic BPF packet filter: load a byte, mask it, skip the next instruction if it is not equal, return.
 const BPF_LOAD_BYTE: u16 = 0x30;
 const BPF_AND: u16 = 0x54;
 const BPF_JUMP_IF_EQUAL: u16 = 0x15;
 const BPF_RETURN: u16 = 0x06;
-/// What the filter returns: how many bytes of the segment to keep.
+// Return values of the filter: how many bytes of the segment to keep.
 const DROP_SEGMENT: u32 = 0;
 const KEEP_SEGMENT: u32 = u32::MAX;
-/// Where a TCP segment's flags stand, and those that tell a request for a connection from what follows it.
+// The offset of the flags in a TCP header, and the flags that distinguish the first segment of a connection (SYN without
+// ACK) from all later ones.
 const TCP_FLAGS_OFFSET: u32 = 13;
 const TCP_SYN: u32 = 0x02;
 const TCP_SYN_AND_ACK: u32 = 0x12;
 
-/// Ignores new connections at a listener that is about to be closed, while handshakes under way still complete.
+/// Drops new connection attempts at a listener that is about to be closed. Handshakes that have begun still complete.
 ///
-/// The failure this guards against: a connection is established between the last `accept` and the closing. The
-/// system has accepted it, so what the client wrote counts as read, and the closing resets it: a request without a
-/// response. The guard drops requests for a connection (SYN) before the last `accept`. The client's system repeats
-/// its SYN after a second, when the listener is closed, and the client sees the refusal that late; that is its cost.
+/// Without this, the kernel can establish a connection between the last `accept` and the closing of the listener. The
+/// client may have sent a request on it, and closing the listener resets the connection, so that the request gets no
+/// response. To be called before the last `accept`: from then on the SYN segments of new connections are dropped. The
+/// cost is that such a client sees its connection refused only when its kernel repeats the SYN, after one second.
 ///
 /// # Errors
-/// The system has no packet filters; the gap stays then.
+/// The operating system has no packet filters. Connections can then be reset as described.
 pub fn ignore_new_connections(listener: &TcpListener) -> io::Result<()> {
     use socket2::{SockFilter, SockRef};
     SockRef::from(listener).attach_filter(&[
@@ -73,15 +75,18 @@
 }
 
 impl ListenerSet {
-    /// A set without listeners.
+    /// Creates a set without listeners.
     pub fn new(timer: Timer) -> Self {
         Self { closing: AtomicBool::new(false), closed: AtomicUsize::new(0), wakers: Mutex::default(), timer }
     }
 
-    /// Accepts connections until the set is closed. Runs on a coroutine of its own.
+    /// Accepts connections until the set is closed. Each listener needs a coroutine of its own for this.
     pub fn accept(&self, listener: TcpListener, on_accepted: impl Fn(TcpStream, SocketAddr)) {
-        let Ok(listener) = CoIo::new(listener) else {
-            return warn!("the listener can't be registered with the event loop");
+        let listener = match CoIo::new(listener) {
+            Ok(listener) => listener,
+            Err(error) => {
+                return warn!(%error, "can't register listener with event loop; it accepts no connections");
+            }
         };
         lock(&self.wakers).push(listener.waker());
         while !self.closing.load(Ordering::Acquire) {
@@ -91,7 +96,7 @@
                     listener.wait_io();
                 }
                 Err(error) => {
-                    warn!(%error, "a connection could not be accepted");
+                    warn!(%error, "can't accept a connection; retrying after a pause");
                     self.timer.sleep(ACCEPT_RETRY_PAUSE);
                 }
             }
@@ -100,8 +105,8 @@
         self.closed.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Accepts no connections any more, and waits until all listeners are closed. Blocks its thread, so it is not for
-    /// coroutines.
+    /// Stops accepting connections, and waits for a limited time until all listeners are closed. Blocks the calling thread,
+    /// so it must not be called on a coroutine.
     pub fn close(&self) {
         self.closing.store(true, Ordering::Release);
         lock(&self.wakers).iter().for_each(WaitIoWaker::wakeup);
--- a/crates/frontends/net/src/mailbox.rs
+++ b/crates/frontends/net/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! Messages for a coroutine that waits on its connection.
+//! A message queue for a coroutine that waits on its connection.
 
 use crate::connection::Connection;
 use crate::sync::lock;
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::sync::Mutex;
 
-/// A queue of messages for a coroutine that waits on its connection; a new message wakes it.
+/// A message queue for a coroutine that waits on its connection; a new message wakes the coroutine.
 pub struct Mailbox<T> {
     state: Mutex<State<T>>,
 }
@@ -24,7 +24,7 @@
 }
 
 impl<T> Mailbox<T> {
-    /// Adds a message and wakes the connection; false where the mailbox is closed and nobody will take it.
+    /// Adds a message and wakes the attached connection. Returns false and drops the message if the mailbox is closed.
     pub fn push(&self, message: T) -> bool {
         let mut state = lock(&self.state);
         if state.closed {
@@ -37,34 +37,34 @@
         true
     }
 
-    /// Wakes the connection without a message.
+    /// Wakes the attached connection without adding a message.
     pub fn wake(&self) {
         if let Some(waker) = &lock(&self.state).waker {
             waker.wakeup();
         }
     }
 
-    /// Takes the oldest message.
+    /// Removes and returns the oldest message.
     pub fn take(&self) -> Option<T> {
         lock(&self.state).queue.pop_front()
     }
 
-    /// Looks at the oldest message without taking it.
+    /// Calls a function with the oldest message, which stays in the queue.
     pub fn peek<R>(&self, look: impl FnOnce(&T) -> R) -> Option<R> {
         lock(&self.state).queue.front().map(look)
     }
 
-    /// From now on messages wake this connection.
+    /// Makes new messages wake this connection.
     pub fn attach(&self, connection: &Connection) {
         lock(&self.state).waker = Some(connection.waker());
     }
 
-    /// No connection is woken until the next one is attached.
+    /// Makes new messages wake no connection until another one is attached.
     pub fn detach(&self) {
         lock(&self.state).waker = None;
     }
 
-    /// Accepts no message any more; those not taken yet are handed back.
+    /// Closes the mailbox to new messages, and returns those that have not been taken.
     pub fn close(&self) -> VecDeque<T> {
         let mut state = lock(&self.state);
         state.closed = true;
--- a/crates/frontends/net/src/socket.rs
+++ b/crates/frontends/net/src/socket.rs
@@ -1,5 +1,4 @@
-//! A TCP socket that several coroutines may read and write without blocking; one that has nothing left to do waits
-//! on it.
+//! A non-blocking TCP socket, which several coroutines may read and write, and on which a coroutine can wait for events.
 
 use crate::close_reason::CloseReason;
 use may::io::{CoIo, WaitIo, WaitIoWaker};
@@ -7,17 +6,17 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// `may` takes a connect timeout of zero for none at all, so no timeout is shorter than this.
+/// The shortest connect timeout. `may` treats a timeout of zero as no timeout.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// What one read found.
+/// The result of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadOutcome {
-    /// So many bytes.
+    /// This many bytes were read.
     Bytes(usize),
-    /// Nothing is there yet.
+    /// No bytes are available yet.
     WouldBlock,
-    /// The peer sends no more.
+    /// The peer closed its sending side.
     EndOfStream,
 }
 
@@ -27,31 +26,31 @@
 }
 
 impl Socket {
-    /// Takes an accepted connection over. Small writes are sent at once (`TCP_NODELAY`).
+    /// Wraps an accepted connection. Small writes are sent without delay (`TCP_NODELAY`).
     ///
     /// # Errors
-    /// The connection is broken already.
+    /// The connection is already broken, or can't be registered with the event loop.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         let stream = CoIo::new(stream).map_err(|error| io::Error::other(error.to_string()))?;
         Ok(Self { stream })
     }
 
-    /// Connects within the given time.
+    /// Connects to an address within a timeout.
     ///
     /// # Errors
-    /// Why no connection was made.
+    /// The reason why no connection was made.
     pub fn connect(to: SocketAddr, timeout: Duration) -> Result<Self, CloseReason> {
         let connected = may::net::TcpStream::connect_timeout(&to, timeout.max(MIN_CONNECT_TIMEOUT));
         let connected = connected.map_err(|error| CloseReason::from_connect_error(&error))?;
-        // The same socket, registered anew with the event loop: this registration has seen no events of the connect.
+        // Registers the same socket again: the new registration has no pending events of the connect.
         let stream =
             connected.inner().try_clone().map_err(|error| CloseReason::from_connect_error(&error))?;
         drop(connected);
         Self::new(stream).map_err(|error| CloseReason::from_connect_error(&error))
     }
 
-    /// Reads what is there, as far as the buffer has room.
+    /// Reads the bytes that are available, at most as many as fit in the buffer.
     ///
     /// # Errors
     /// The connection broke.
@@ -67,57 +66,57 @@
         }
     }
 
-    /// Writes as much as the system takes now, and returns how many bytes that was.
+    /// Writes as many bytes as the kernel accepts now, and returns how many that were.
     ///
     /// # Errors
-    /// The connection broke before any byte was taken; see [`write_available`].
+    /// The connection broke before any byte was accepted; see [`write_available`].
     pub fn write(&self, bytes: &[u8]) -> Result<usize, CloseReason> {
         write_available(&mut self.stream.inner(), bytes)
     }
 
-    /// Waits until something can be read or written, or the waker is used.
+    /// Waits until the socket is readable or writable, or its waker is used.
     pub fn wait(&self) {
         self.stream.wait_io();
     }
 
-    /// Wakes the coroutine that waits on this socket.
+    /// A handle that wakes the coroutine that waits on this socket.
     pub fn waker(&self) -> WaitIoWaker {
         self.stream.waker()
     }
 
-    /// Whether the peer is known to be gone altogether.
+    /// Whether the kernel reports an error of the connection, such as a reset. A half-closed connection is not broken.
     pub fn is_broken(&self) -> bool {
         !matches!(self.stream.inner().take_error(), Ok(None))
     }
 
-    /// Closes the writing side; false where the connection is gone altogether.
+    /// Closes the sending side. Returns false if the connection is already broken.
     pub fn shutdown_write(&self) -> bool {
         self.stream.inner().shutdown(Shutdown::Write).is_ok()
     }
 
-    /// Limits the system's send and receive buffers to about so many bytes each.
+    /// Limits the kernel's send and receive buffers to about `bytes` each.
     pub fn limit_buffers(&self, bytes: usize) {
         let socket = socket2::SockRef::from(self.stream.inner());
-        // Where the system has limits of its own, those hold.
+        // A failure is ignored: limits of the operating system take precedence.
         let _ = socket.set_recv_buffer_size(bytes).and(socket.set_send_buffer_size(bytes));
     }
 
-    /// From now on closing the socket resets the connection, so that the peer can't take what was sent on it for a
-    /// complete message.
+    /// Makes closing the socket reset the connection, so that the peer can't mistake a partly sent message for a complete
+    /// one.
     pub fn reset_on_close(&self) {
-        // Where this fails, the connection is gone already.
+        // A failure is ignored: it means that the connection is already gone.
         let _ = socket2::SockRef::from(self.stream.inner()).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// Writes as much as a non-blocking writer takes now, and returns how many bytes that was.
+/// Writes as many bytes as a non-blocking writer accepts now, and returns how many that were.
 ///
-/// Bytes written before a failure are counted, and the failure is left to the next call, because the peer may have acted on
-/// them. Were the count lost with the error, a request sent in part would look like one of which nothing was sent, and
-/// might be sent a second time elsewhere. A connection that failed once fails every later write, so nothing is hidden.
+/// If the writer fails after it has accepted some bytes, their count is returned and the next call returns the error: the
+/// peer may have acted on these bytes. If the error replaced the count, a partly sent request would look unsent and might
+/// be sent again to another server. No error is lost, because a connection that failed once fails every later write.
 ///
 /// # Errors
-/// The writer failed before it took any byte.
+/// The writer failed before it accepted any byte.
 pub fn write_available(to: &mut impl Write, bytes: &[u8]) -> Result<usize, CloseReason> {
     let mut written = 0;
     while written < bytes.len() {
--- a/crates/frontends/net/src/startup.rs
+++ b/crates/frontends/net/src/startup.rs
@@ -1,29 +1,28 @@
-//! What the `main` functions of the programs have in common: the command line with one path, exit codes, and the log
-//! level.
+//! Code shared by the `main` functions of the programs: a command line with one path, exit codes, and the log level.
 
 use std::fmt;
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
 
-/// Names the log level: error, warn, info, debug, trace or off.
+/// The environment variable that sets the log level: error, warn, info, debug, trace or off.
 const LOG_LEVEL_VARIABLE: &str = "LYNXTALLY_LOG";
-/// The exit code after a command line that can't be understood.
+/// The exit code for an invalid command line.
 const EXIT_USAGE: u8 = 2;
 
-/// A program whose command line is one path.
+/// A program whose command line has one path.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// Its name, which begins each error message.
+    /// The name of the program, with which each error message begins.
     pub name: &'static str,
-    /// Its version.
+    /// The version of the program.
     pub version: &'static str,
-    /// The text for `--help`, and for a command line that can't be understood.
+    /// The text that is printed for `--help` and for an invalid command line.
     pub usage: &'static str,
 }
 
 impl Program {
-    /// Runs the program with the path of the command line, or with the default path where the command line has none,
-    /// and returns its exit code. An error is printed as one line.
+    /// Runs the program with the path from the command line, or with the default path if the command line has none. Prints
+    /// an error as one line, and returns the exit code.
     pub fn run<E: fmt::Display>(
         &self,
         default_path: impl FnOnce() -> Option<String>,
@@ -57,7 +56,7 @@
     }
 }
 
-/// The environment names a log level that does not exist.
+/// The environment variable for the log level has an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLevelError {
     value: String,
@@ -65,16 +64,16 @@
 
 impl fmt::Display for LogLevelError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{LOG_LEVEL_VARIABLE}: {:?} is no level", self.value)
+        write!(f, "{LOG_LEVEL_VARIABLE}: {:?} is not a log level", self.value)
     }
 }
 
 impl std::error::Error for LogLevelError {}
 
-/// The log level that the environment names; info where it names none.
+/// The log level that the environment variable `LYNXTALLY_LOG` sets; info if it is not set.
 ///
 /// # Errors
-/// It names a level that does not exist.
+/// The variable does not name a log level.
 pub fn log_level() -> Result<LevelFilter, LogLevelError> {
     match std::env::var(LOG_LEVEL_VARIABLE) {
         Ok(value) => value.parse().map_err(|_| LogLevelError { value }),
--- a/crates/frontends/net/src/timer.rs
+++ b/crates/frontends/net/src/timer.rs
@@ -1,8 +1,8 @@
-//! The one timer of a program: a thread that runs callbacks when they are due.
+//! The timer of a program: a thread that runs callbacks when they are due.
 //!
-//! `may`'s own timed waits are not used for this. They start the timer before the coroutine is suspended, so that on
-//! a busy core a short wait can expire in between, and the coroutine is never woken. They would also run coroutines
-//! on a second thread.
+//! The timed waits of `may` are not used, because they start the timer before they suspend the coroutine. On a busy core
+//! a short wait can expire in between, and the coroutine is then never woken. They would also run coroutines on a second
+//! thread.
 
 use crate::sync::lock;
 use std::cmp::{Ordering, Reverse};
@@ -13,7 +13,8 @@
 
 type Callback = Box<dyn FnOnce() + Send>;
 
-/// A callback, and when it is due. Of those due at the same instant the one scheduled first runs first.
+/// A callback and the time at which it is due. Callbacks due at the same time run in the order of their numbers, which is
+/// the order in which they were scheduled.
 struct Scheduled {
     due: Instant,
     number: u64,
@@ -40,7 +41,7 @@
     }
 }
 
-/// The callbacks that are not due yet.
+/// The callbacks that have not run yet, the next one on top.
 #[derive(Default)]
 struct Queue {
     callbacks: BinaryHeap<Reverse<Scheduled>>,
@@ -53,15 +54,15 @@
     changed: Condvar,
 }
 
-/// A handle to the timer's thread.
+/// A handle to the timer thread.
 #[derive(Clone)]
 pub struct Timer(Arc<Shared>);
 
 impl Timer {
-    /// Starts the thread.
+    /// Starts the timer thread.
     ///
     /// # Errors
-    /// The system starts no thread.
+    /// The operating system can't start a thread.
     pub fn start() -> std::io::Result<Self> {
         let timer = Self(Arc::default());
         let shared = timer.0.clone();
@@ -69,7 +70,7 @@
         Ok(timer)
     }
 
-    /// Runs a callback on the timer's thread after so long. It must not block: all others wait for it.
+    /// Runs a callback on the timer thread after `wait`. The callback must not block, because it delays all others.
     pub fn run_after(&self, wait: Duration, callback: impl FnOnce() + Send + 'static) {
         let mut queue = lock(&self.0.queue);
         queue.last_number += 1;
@@ -79,10 +80,10 @@
         self.0.changed.notify_one();
     }
 
-    /// Suspends the calling coroutine for so long.
+    /// Suspends the calling coroutine for `wait`.
     pub fn sleep(&self, wait: Duration) {
         let (wake, woken) = may::sync::mpsc::channel();
-        // The receiver is gone only where the program ends.
+        // Sending fails only if the receiver is gone, which means that the program is ending.
         self.run_after(wait, move || {
             let _ = wake.send(());
         });
