--- a/crates/core/retry/src/backoff.rs
+++ b/crates/core/retry/src/backoff.rs
@@ -2,11 +2,12 @@
 
 use lynxtally::{Pcg, Span};
 
-/// The next delay is drawn up to so many times the last one.
+/// The next delay is at most this many times the last one.
 const MAX_GROWTH: f64 = 3.0;
 
-/// How long to wait before the next attempt: longer each time, and not the same for many that failed together, so that
-/// they do not come back together. Source: M. Brooker, "Exponential Backoff And Jitter" (2015), the decorrelated form.
+/// Computes the delay before each retry. The delays grow with each failed attempt, and random jitter spreads the retries
+/// of clients that failed at the same time. Source: M. Brooker, "Exponential Backoff And Jitter" (2015), the variant with
+/// decorrelated jitter.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Backoff {
     min_delay: Span,
@@ -15,7 +16,7 @@
 }
 
 impl Backoff {
-    /// Delays of at least `min_delay` and never longer than `max_delay`.
+    /// Creates a backoff whose delays are between `min_delay` and `max_delay`.
     pub fn new(min_delay: Span, max_delay: Span) -> Self {
         Self { min_delay, max_delay, last_delay: min_delay }
     }
@@ -28,7 +29,7 @@
         self.last_delay
     }
 
-    /// An attempt succeeded: the next delay is a first one again.
+    /// Restarts the growth of the delays, after an attempt has succeeded.
     pub fn reset(&mut self) {
         self.last_delay = self.min_delay;
     }
--- a/crates/core/retry/src/lib.rs
+++ b/crates/core/retry/src/lib.rs
@@ -1,5 +1,8 @@
-//! Retries, without I/O: whether there is a budget for one ([`RetryBudget`]), how long to wait before it ([`Backoff`]),
-//! and which servers get no requests for a while after failures in a row ([`OutlierDetector`]).
+//! Retry decisions, without I/O.
+//!
+//! - [`RetryBudget`] decides whether a retry is allowed.
+//! - [`Backoff`] computes the delay before a retry.
+//! - [`OutlierDetector`] ejects servers for some time after consecutive failures.
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/retry/src/outliers.rs
+++ b/crates/core/retry/src/outliers.rs
@@ -1,22 +1,22 @@
-//! Outlier detection: servers that fail in a row are ejected for a while.
+//! Outlier detection: servers are ejected for some time after consecutive failures.
 
 use lynxtally::{Instant, Span};
 
-/// The ejection time doubles no more often than this.
+/// The ejection time doubles at most this many times.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// What outlier detection is held to.
+/// The parameters of outlier detection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OutlierLimits {
-    /// So many failures in a row eject a server.
+    /// The number of consecutive failures after which a server is ejected.
     pub consecutive_failures: u32,
-    /// For so long the first time; twice as long each time again.
+    /// How long a server is ejected the first time. The time doubles with each further ejection until a probation ends.
     pub base_ejection_time: Span,
-    /// And no longer than this.
+    /// The longest time for which a server is ejected.
     pub max_ejection_time: Span,
-    /// No more than this fraction of the servers is ejected at once.
+    /// The largest fraction of the servers that may be ejected at the same time.
     pub max_ejected_fraction: f64,
-    /// A server that came back is on probation until so many requests succeeded.
+    /// After an ejection, a server is on probation until this many requests to it have succeeded.
     pub probation_successes: u32,
 }
 
@@ -25,12 +25,13 @@
     failures_in_row: u32,
     ejections: u32,
     ejected_until: Option<Instant>,
-    /// Successes until it is off probation.
+    /// How many more successes end the probation; zero if the server is not on probation.
     probation_left: u32,
 }
 
-/// Which servers are ejected, by their index. Where many fail together the cause is probably not theirs: never more than
-/// a fraction is ejected, so that the others are not overloaded in turn.
+/// Decides which servers are ejected. Servers are identified by their index. If many servers fail at the same time, the
+/// cause is probably elsewhere, so only a limited fraction is ejected; otherwise the remaining servers would be
+/// overloaded as well.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     limits: OutlierLimits,
@@ -38,7 +39,7 @@
 }
 
 impl OutlierDetector {
-    /// So many servers, none ejected.
+    /// Creates a detector for `count` servers, of which none is ejected.
     pub fn new(count: usize, limits: OutlierLimits) -> Self {
         Self { limits, servers: vec![Server::default(); count] }
     }
@@ -48,12 +49,12 @@
         self.servers[server].ejected_until.is_some_and(|until| until > now)
     }
 
-    /// Whether a server is on probation: it is to be given little.
+    /// Whether a server is on probation, during which it should get only a few requests.
     pub fn is_on_probation(&self, server: usize) -> bool {
         self.servers[server].probation_left > 0
     }
 
-    /// A request to a server succeeded.
+    /// Records that a request to a server succeeded.
     pub fn record_success(&mut self, server: usize) {
         let server = &mut self.servers[server];
         server.failures_in_row = 0;
@@ -64,13 +65,13 @@
         }
     }
 
-    /// A request to a server failed; tells whether it is ejected from now on.
+    /// Records that a request to a server failed. Returns whether the server is ejected because of this failure.
     pub fn record_failure(&mut self, now: Instant, server: usize) -> bool {
         let may_eject = self.may_eject_one_more(now);
         let OutlierLimits { consecutive_failures, base_ejection_time, max_ejection_time, .. } = self.limits;
         let server = &mut self.servers[server];
         server.failures_in_row += 1;
-        // One on probation has no second chance.
+        // A single failure on probation ejects the server again.
         let on_probation = server.probation_left > 0;
         if !may_eject || (server.failures_in_row < consecutive_failures && !on_probation) {
             return false;
--- a/crates/core/routes/src/lib.rs
+++ b/crates/core/routes/src/lib.rs
@@ -1,5 +1,8 @@
-//! Who gets what fraction of which requests, without I/O: the members that a proxy uses ([`subset`]), how requests spill
-//! over from zone to zone ([`spillover`]), and the plan that earns most ([`plan`]).
+//! Routing decisions, without I/O: which fraction of which requests goes where.
+//!
+//! - [`subset`] selects the members that a proxy sends to.
+//! - [`spillover`] distributes the requests of each zone over all zones.
+//! - [`plan`] computes the rates of request classes to pools that maximize utility.
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/routes/src/plan/problem.rs
+++ b/crates/core/routes/src/plan/problem.rs
@@ -1,51 +1,51 @@
-//! What is planned for, and what is wrong with it.
+//! The planning problem, and the reasons why it can't be solved.
 
 use std::fmt;
 
-/// The demand of a request class.
+/// The demand of a request class, and what one request of it costs and earns.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassDemand {
-    /// What a request earns.
+    /// The utility of one served request.
     pub utility: f64,
-    /// Requests a second that arrive.
+    /// The arrival rate, in requests per second.
     pub demand: f64,
-    /// Core time of a request on each pool, in seconds; learned.
+    /// The learned core time of one request on each pool, in seconds.
     pub core_seconds: Vec<f64>,
-    /// Calls of a request to each dependency.
+    /// The number of calls that one request makes to each dependency.
     pub calls: Vec<f64>,
-    /// Requests a second that are served whatever they earn, as long as there is capacity.
+    /// The rate that is served whatever its utility is, in requests per second, limited by the demand.
     pub reserved: f64,
 }
 
-/// What is planned for.
+/// The input of a plan: demand, and capacity of pools and dependencies.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Problem {
     /// The request classes.
     pub classes: Vec<ClassDemand>,
     /// The capacity of each pool, in cores.
     pub pool_cores: Vec<f64>,
-    /// Calls a second that each dependency can take.
+    /// The capacity of each dependency, in calls per second.
     pub dependency_rates: Vec<f64>,
 }
 
-/// Why there is no plan.
+/// Why a problem has no plan.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlanError {
-    /// This class has not one cost a pool and one figure a dependency.
+    /// This class does not have exactly one core time for each pool and one number of calls for each dependency.
     DimensionMismatch {
         /// The class's index.
         class: usize,
     },
-    /// This class has a figure that is negative or endless.
+    /// This class has a value that is negative, infinite or not a number.
     InvalidClass {
         /// The class's index.
         class: usize,
     },
-    /// A pool or a dependency has a figure that is negative or endless.
+    /// A pool or dependency has a capacity that is negative, infinite or not a number.
     InvalidCapacity,
-    /// What is reserved can't all be served.
+    /// The capacity does not suffice for the reserved rates of all classes.
     Infeasible,
-    /// The solver gave up, with this message.
+    /// The solver failed with this message.
     Solver(String),
 }
 
@@ -53,16 +53,16 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::DimensionMismatch { class } => {
-                write!(f, "class {class} has not one cost a pool and one figure a dependency")
+                write!(f, "class {class} needs one core time per pool and one number of calls per dependency")
             }
             Self::InvalidClass { class } => {
-                write!(f, "class {class} has a figure that is negative or endless")
+                write!(f, "class {class} has a value that is negative or not finite")
             }
             Self::InvalidCapacity => {
-                f.write_str("a pool or a dependency has a figure that is negative or endless")
+                f.write_str("the capacity of a pool or dependency is negative or not finite")
             }
-            Self::Infeasible => f.write_str("what is reserved can't all be served"),
-            Self::Solver(message) => write!(f, "no plan was found: {message}"),
+            Self::Infeasible => f.write_str("the capacity does not suffice for the reserved rates"),
+            Self::Solver(message) => write!(f, "the solver of the linear program failed: {message}"),
         }
     }
 }
@@ -70,7 +70,7 @@
 impl std::error::Error for PlanError {}
 
 impl Problem {
-    /// Whether all figures are there, finite and not negative.
+    /// Checks that all values are present, finite and not negative.
     pub(crate) fn check(&self) -> Result<(), PlanError> {
         for (index, class) in self.classes.iter().enumerate() {
             class.check(index, self.pool_cores.len(), self.dependency_rates.len())?;
@@ -88,8 +88,8 @@
             return Err(PlanError::DimensionMismatch { class });
         }
         let scalars = [self.utility, self.demand, self.reserved];
-        let mut figures = self.core_seconds.iter().chain(&self.calls).chain(&scalars);
-        if figures.all(is_finite_and_non_negative) {
+        let mut values = self.core_seconds.iter().chain(&self.calls).chain(&scalars);
+        if values.all(is_finite_and_non_negative) {
             Ok(())
         } else {
             Err(PlanError::InvalidClass { class })
@@ -97,6 +97,6 @@
     }
 }
 
-fn is_finite_and_non_negative(figure: &f64) -> bool {
-    figure.is_finite() && *figure >= 0.0
+fn is_finite_and_non_negative(value: &f64) -> bool {
+    value.is_finite() && *value >= 0.0
 }
--- a/crates/core/routes/src/plan/solve.rs
+++ b/crates/core/routes/src/plan/solve.rs
@@ -1,16 +1,16 @@
-//! The linear program.
+//! The linear program whose solution is the plan.
 
 use super::{Plan, PlanError, Problem};
 use good_lp::{microlp, variable, Expression, ProblemVariables, Solution, SolverModel, Variable};
 
-/// Requests a second by class and pool, as variables of the program.
+/// Requests per second by class and pool, as variables of the linear program.
 type Rates = Vec<Vec<Variable>>;
 
 impl Problem {
-    /// The plan that earns most.
+    /// Returns the plan with the highest total utility.
     ///
     /// # Errors
-    /// Where a figure is wrong, the reserves can't be served, or the solver gives up.
+    /// A value is invalid, the capacity does not suffice for the reserved rates, or the solver fails.
     pub fn solve(&self) -> Result<Plan, PlanError> {
         self.check()?;
         let mut variables = ProblemVariables::new();
@@ -32,20 +32,21 @@
             other => PlanError::Solver(other.to_string()),
         })?;
         let value = |rate: &Variable| solution.value(*rate).max(0.0);
-        let rates: Vec<Vec<f64>> = rates.iter().map(|own| own.iter().map(value).collect()).collect();
+        let rates: Vec<Vec<f64>> =
+            rates.iter().map(|class_rates| class_rates.iter().map(value).collect()).collect();
         let utility = self.utility_of_rates(&rates);
         Ok(Plan { rates, utility })
     }
 
     fn total_utility(&self, rates: &Rates) -> Expression {
         let classes = self.classes.iter().zip(rates);
-        classes.flat_map(|(class, own)| own.iter().map(|rate| class.utility * *rate)).sum()
+        classes.flat_map(|(class, class_rates)| class_rates.iter().map(|rate| class.utility * *rate)).sum()
     }
 
-    /// No class is served more than it demands, nor less than it has reserved.
+    /// Constrains the rate of each class to at most its demand and at least its reserved rate.
     fn limit_classes<M: SolverModel>(&self, mut model: M, rates: &Rates) -> M {
-        for (class, own) in self.classes.iter().zip(rates) {
-            let served = || -> Expression { own.iter().map(|rate| 1.0 * *rate).sum() };
+        for (class, class_rates) in self.classes.iter().zip(rates) {
+            let served = || -> Expression { class_rates.iter().map(|rate| 1.0 * *rate).sum() };
             model = model.with(served().leq(class.demand));
             if class.reserved > 0.0 {
                 model = model.with(served().geq(class.reserved.min(class.demand)));
@@ -54,22 +55,25 @@
         model
     }
 
-    /// No pool gets more work than its cores do.
+    /// Constrains the core time used on each pool to its cores.
     fn limit_pools<M: SolverModel>(&self, mut model: M, rates: &Rates) -> M {
         for (pool, cores) in self.pool_cores.iter().enumerate() {
             let classes = self.classes.iter().zip(rates);
-            let used: Expression = classes.map(|(class, own)| class.core_seconds[pool] * own[pool]).sum();
+            let used: Expression =
+                classes.map(|(class, class_rates)| class.core_seconds[pool] * class_rates[pool]).sum();
             model = model.with(used.leq(*cores));
         }
         model
     }
 
-    /// No dependency gets more calls than it can take.
+    /// Constrains the call rate to each dependency to its capacity.
     fn limit_dependencies<M: SolverModel>(&self, mut model: M, rates: &Rates) -> M {
         for (dependency, calls) in self.dependency_rates.iter().enumerate() {
             let classes = self.classes.iter().zip(rates);
             let used: Expression = classes
-                .flat_map(|(class, own)| own.iter().map(move |rate| class.calls[dependency] * *rate))
+                .flat_map(|(class, class_rates)| {
+                    class_rates.iter().map(move |rate| class.calls[dependency] * *rate)
+                })
                 .sum();
             model = model.with(used.leq(*calls));
         }
--- a/crates/core/routes/src/spillover.rs
+++ b/crates/core/routes/src/spillover.rs
@@ -1,24 +1,27 @@
-//! How the requests of a zone are spread: to its own members up to their capacity, the rest to other zones by their spare
-//! capacity. Where no zone has any left, the rest goes to all by capacity: the members themselves reject what is too much.
+//! Zone-aware routing with spillover.
+//!
+//! The requests of a zone go to members of the same zone up to their capacity. The excess goes to other zones in
+//! proportion to their spare capacity. If no zone has spare capacity, the rest is distributed over all zones in proportion
+//! to capacity, and overloaded members reject requests themselves.
 
-/// The part of a zone's capacity that is given out; the rest is for errors in the learned capacity.
+/// The fraction of a zone's capacity that is used. The rest is a reserve for errors in the learned capacity.
 const MAX_UTILIZATION: f64 = 0.85;
 
-/// Keeps a division by a sum of capacities finite.
+/// The smallest divisor for a sum of capacities, in requests per second, so that the quotient stays finite.
 const MIN_CAPACITY: f64 = 1e-9;
 
-/// From each zone (rows) to each zone (columns), as fractions of the row's demand. `demand` and `capacity` are by zone, in
-/// requests a second.
+/// Returns, for each zone (row), the fractions of its demand that go to each zone (column). `demand` and `capacity` are
+/// given for each zone, in requests per second.
 pub fn spillover(demand: &[f64], capacity: &[f64]) -> Vec<Vec<f64>> {
     let totals = Totals::new(demand, capacity);
     (0..demand.len()).map(|from| totals.row(from, demand[from], capacity)).collect()
 }
 
-/// What all zones have and lack together.
+/// Demand and capacity of all zones, from which each row is computed.
 struct Totals {
-    /// The part of each zone's demand that its own members take.
+    /// The rate of each zone's demand that its own members serve.
     local: Vec<f64>,
-    /// What each zone's members can take of others' demand.
+    /// The rate that each zone's members can serve for other zones.
     spare: Vec<f64>,
     excess_sum: f64,
     spare_sum: f64,
@@ -37,7 +40,7 @@
         Self { local, spare, excess_sum, spare_sum, capacity_sum: capacity.iter().sum() }
     }
 
-    /// Where one zone's demand goes.
+    /// The fractions of one zone's demand that go to each zone.
     fn row(&self, from: usize, demand: f64, capacity: &[f64]) -> Vec<f64> {
         if demand <= 0.0 {
             return self.row_without_demand(from, capacity);
@@ -49,7 +52,7 @@
         if rest <= 0.0 {
             return fractions;
         }
-        // The excess is shared by spare capacity; what does not fit even there is spread by capacity.
+        // The excess is distributed by spare capacity; what exceeds all spare capacity is distributed by capacity.
         let fits = if self.excess_sum > 0.0 { (self.spare_sum / self.excess_sum).min(1.0) } else { 1.0 };
         for to in 0..zones {
             let by_spare = if self.spare_sum > 0.0 { self.spare[to] / self.spare_sum } else { 0.0 };
@@ -60,7 +63,8 @@
         fractions
     }
 
-    /// Whoever comes first to a zone without demand stays there, if the zone has any capacity.
+    /// The fractions for a zone that has no demand yet: its first requests stay in the zone if it has any capacity, and
+    /// are otherwise distributed by capacity.
     fn row_without_demand(&self, from: usize, capacity: &[f64]) -> Vec<f64> {
         if capacity[from] > 0.0 {
             let mut fractions = vec![0.0; capacity.len()];
