--- a/crates/core/membership/src/lib.rs
+++ b/crates/core/membership/src/lib.rs
@@ -1,7 +1,9 @@
-//! Who belongs to a fleet, without I/O: members with states from what is observed of them ([`Membership`]), suspicion by
-//! a phi accrual failure detector ([`PhiAccrualDetector`]) that is damped for the whole, and numbered views
-//! ([`MembershipView`]) of which the next one is published only when it differs, is settled, and is not emptier than it
-//! may be ([`ViewPublisher`]).
+//! Membership of a fleet, without I/O.
+//!
+//! - [`Membership`] derives the state of each member from observations. A member whose silence is too unlikely for the
+//!   [`PhiAccrualDetector`] becomes suspect; limits prevent that too many members are ejected at the same time.
+//! - [`ViewPublisher`] publishes numbered membership views ([`MembershipView`]). A new view is published only if it
+//!   differs from the last one, the difference has lasted for some time, and enough members are kept.
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/membership/src/member.rs
+++ b/crates/core/membership/src/member.rs
@@ -1,35 +1,35 @@
-//! One member: its states, what is observed of it, and why it is in its state.
+//! A member of the fleet: its states, the observations of it, and the reason for its state.
 
 use crate::failure_detector::PhiAccrualDetector;
 use lynxtally::{Instant, Span};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// From where a member is known; later ones are trusted more.
+/// The source of an observation. Later variants are trusted more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
-    /// A static list: it tells who should be there.
+    /// A static list of the members that should exist. It does not show that a member is alive.
     StaticList,
-    /// A name held by a lease.
+    /// A lease that the member holds on its name.
     Lease,
-    /// The member's own report.
+    /// A report that the member sent itself.
     Report,
 }
 
 /// A member's state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// Known, but not heard of by its own report or lease yet.
+    /// Known from a static list; no heartbeat (report or lease) has been received yet.
     Joining,
-    /// Heard for the first time lately: its weight grows.
+    /// In slow start after its first heartbeat: its weight grows to its full capacity.
     SlowStart,
-    /// It has its whole weight.
+    /// In the view with its full weight.
     Ready,
-    /// Its silence is longer than its intervals explain.
+    /// Silent for so long that the failure detector suspects that it failed.
     Suspect,
-    /// It announced a graceful shutdown.
+    /// Announced a graceful shutdown.
     Draining,
-    /// It is over.
+    /// No longer a member: it was suspect for too long, or ended its graceful shutdown.
     Removed,
 }
 
@@ -46,104 +46,105 @@
     }
 }
 
-/// What is observed of a member.
+/// One observation of a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Observation {
-    /// Its name.
+    /// The name of the member.
     pub name: String,
-    /// Its address.
+    /// The address of the member.
     pub address: SocketAddr,
-    /// Where it comes from.
+    /// Where the observation comes from.
     pub source: Source,
-    /// Its capacity, in a measure that all members share.
+    /// The capacity of the member, in a unit that is the same for all members. Ignored if not positive and finite.
     pub capacity: f64,
-    /// Its zone.
+    /// The zone of the member.
     pub zone: u16,
-    /// Whether it announces a graceful shutdown.
+    /// Whether the member announces a graceful shutdown.
     pub draining: bool,
 }
 
-/// Why a member is in its state.
+/// Why a member changed to its current state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StateReason {
-    /// It was observed for the first time.
+    /// The member was observed for the first time.
     FirstObserved,
-    /// It came back under its name with another address.
+    /// An observation of the same name had another address, so it is a new process.
     AddressChanged,
-    /// It came back after it was removed.
+    /// The member was observed again after it was removed.
     ReturnedAfterRemoval,
-    /// It announced a graceful shutdown.
+    /// The member announced a graceful shutdown.
     DrainAnnounced,
-    /// It was heard of by itself.
+    /// The first heartbeat of the member was received.
     HeartbeatReceived,
-    /// It was heard after it announced a graceful shutdown: it restarted in between.
+    /// A heartbeat without the announcement was received after a graceful shutdown was announced: the member restarted.
     HeartbeatAfterDrain,
-    /// Its warm-up is over.
+    /// The slow start of the member ended.
     SlowStartEnded,
-    /// Its silence was too unlikely.
+    /// The silence of the member was too unlikely for the failure detector.
     Silent {
-        /// For how long.
+        /// How long the member had been silent.
         silence: Span,
-        /// How unlikely, as a power of ten.
+        /// How unlikely this silence was, as -log10 of its probability.
         phi: f64,
     },
-    /// It was suspect, and was heard for long enough.
+    /// The member was suspect, and its heartbeats have been regular for long enough since.
     Recovered,
-    /// It was suspect for too long.
+    /// The member was suspect for too long.
     SuspectTooLong,
-    /// It announced a graceful shutdown and fell silent.
+    /// The member announced a graceful shutdown and then fell silent.
     Drained,
 }
 
 impl fmt::Display for StateReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::FirstObserved => f.write_str("first heard of"),
-            Self::AddressChanged => f.write_str("back with another address"),
-            Self::ReturnedAfterRemoval => f.write_str("back after it was gone"),
-            Self::DrainAnnounced => f.write_str("it said that it leaves"),
-            Self::HeartbeatReceived => f.write_str("heard of itself"),
-            Self::HeartbeatAfterDrain => f.write_str("it speaks again after it left"),
+            Self::FirstObserved => f.write_str("observed for the first time"),
+            Self::AddressChanged => f.write_str("observed with another address"),
+            Self::ReturnedAfterRemoval => f.write_str("observed again after removal"),
+            Self::DrainAnnounced => f.write_str("announced a graceful shutdown"),
+            Self::HeartbeatReceived => f.write_str("first heartbeat received"),
+            Self::HeartbeatAfterDrain => f.write_str("heartbeat received after a graceful shutdown"),
             Self::SlowStartEnded => f.write_str("warm"),
             Self::Silent { silence, phi } => write!(f, "silent for {:.1} s, phi {phi:.1}", silence.secs()),
-            Self::Recovered => f.write_str("heard again for long enough"),
+            Self::Recovered => f.write_str("heartbeats regular again for long enough"),
             Self::SuspectTooLong => f.write_str("suspect for too long"),
-            Self::Drained => f.write_str("it left"),
+            Self::Drained => f.write_str("silent after a graceful shutdown"),
         }
     }
 }
 
-/// Why a suspect member stays in the view.
+/// Why a suspect member is kept in the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeptReason {
-    /// The observer suspects itself.
+    /// So many members fell silent together that the fault is probably the observer's.
     ObserverFault,
-    /// As many as may be are ejected already.
+    /// The maximum number of members is already ejected.
     EjectionLimit,
 }
 
 impl fmt::Display for KeptReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::ObserverFault => "many fell silent together: we may be the ones who don't hear",
-            Self::EjectionLimit => "no more may be out at once",
+            Self::ObserverFault => "many members fell silent together, so the observer may be at fault",
+            Self::EjectionLimit => "the maximum fraction of members is already ejected",
         })
     }
 }
 
-/// Why a member is in its state, and since when.
+/// The state of a member, with the reason for it and its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Explanation {
-    /// The state.
+    /// The current state.
     pub state: MemberState,
-    /// Since when.
+    /// When the member changed to this state.
     pub since: Instant,
-    /// By which evidence.
+    /// Why the member changed to this state.
     pub reason: StateReason,
-    /// Why it stays in the view although it is suspect, where it does.
+    /// Why a suspect member is kept in the view; none if it is not.
     pub kept_in_view: Option<KeptReason>,
 }
 
+/// What the observer knows about one member.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub address: SocketAddr,
@@ -151,15 +152,18 @@
     pub capacity: f64,
     pub zone: u16,
     pub state: MemberState,
+    /// When the member changed to `state`.
     pub since: Instant,
+    /// Why the member changed to `state`.
     pub reason: StateReason,
     pub detector: PhiAccrualDetector,
-    /// Since when its silence is longer than its intervals explain.
+    /// When its silence first exceeded the threshold of the failure detector; none if it does not.
     pub overdue_since: Option<Instant>,
-    /// How often it was suspect lately.
+    /// How often the member became suspect; reset once it has been ready for the removal time.
     pub recent_suspicions: u32,
-    /// While it is suspect: since when it is heard again.
+    /// For a suspect member: when its heartbeats resumed; none while it is silent.
     pub heartbeats_resumed_at: Option<Instant>,
+    /// For a suspect member: why it is kept in the view; none if it is ejected.
     pub kept_in_view: Option<KeptReason>,
 }
 
@@ -181,12 +185,12 @@
         }
     }
 
-    /// Whether it takes part in the view by its own report.
+    /// Whether the member is in slow start or ready.
     pub fn is_alive(&self) -> bool {
         matches!(self.state, MemberState::SlowStart | MemberState::Ready)
     }
 
-    /// Whether it is suspect and was not heard since.
+    /// Whether the member is suspect and no heartbeat has been received since.
     pub fn is_unheard_suspect(&self) -> bool {
         self.state == MemberState::Suspect && self.heartbeats_resumed_at.is_none()
     }
@@ -197,7 +201,7 @@
         self.reason = reason;
     }
 
-    /// A sign of life: its own report, or its lease.
+    /// Records a heartbeat of the member: its own report, or its lease.
     pub fn record_heartbeat(&mut self, now: Instant, draining: bool) {
         self.detector.record_heartbeat(now);
         self.overdue_since = None;
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Its silence became too unlikely.
+    /// Makes the member suspect, because its silence became too unlikely.
     pub fn suspect(&mut self, now: Instant, phi: f64, kept_in_view: Option<KeptReason>) {
         let silence = self.detector.silence(now);
         self.overdue_since = None;
--- a/crates/core/membership/src/membership.rs
+++ b/crates/core/membership/src/membership.rs
@@ -1,61 +1,64 @@
-//! The members of a fleet, as one observer sees them: observations come in, time passes, and members change state.
+//! The members of a fleet as one observer sees them. Members change state through observations and as time passes.
 
 use crate::member::{Explanation, KeptReason, Member, MemberState, Observation, Source, StateReason};
 use crate::views::ViewMember;
 use lynxtally::{Instant, Span};
 use std::collections::BTreeMap;
 
-/// A gap between ticks of more than so many intervals is a pause of the observer.
+/// A time between two ticks of more than this many tick intervals counts as a pause of the observer.
 const MIN_PAUSE_TICKS: f64 = 5.0;
-/// Steps in which a warming member's weight grows, so that views do not change at each tick.
+/// The number of steps in which a member's weight grows during slow start. With few steps the view does not change at
+/// each tick.
 const SLOW_START_STEPS: f64 = 4.0;
-/// How often the recovery time of a suspect doubles at most.
+/// The maximum number of times that the recovery time of a suspect member doubles.
 const MAX_RECOVERY_DOUBLINGS: u32 = 10;
-/// A removed member is explained for so many removal times.
+/// A removed member is remembered, for [`Membership::explain`], for this many times the removal time.
 const REMOVED_RETENTION_REMOVAL_TIMES: f64 = 2.0;
-/// A weight is in thousandths of the capacity's measure.
+/// Weight units per unit of capacity.
 const WEIGHT_SCALE: f64 = 1000.0;
 
-/// What members are held to.
+/// The parameters of [`Membership`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipLimits {
-    /// A member is suspect once its silence is less likely than this power of ten.
+    /// A member becomes suspect when phi, the -log10 of the probability of its silence, exceeds this threshold.
     pub phi_threshold: f64,
-    /// The deviation of a member's intervals counts as this at least.
+    /// The smallest standard deviation that is assumed for a member's heartbeat intervals.
     pub min_deviation: Span,
-    /// For so long a new member's weight grows.
+    /// How long the weight of a new member grows to its full capacity.
     pub slow_start_duration: Span,
-    /// No more than this fraction of the members is out of the view as suspect at once.
+    /// The largest fraction of the members that may be ejected from the view as suspect at the same time.
     pub max_ejected_fraction: f64,
-    /// Where more than this fraction falls silent together, the observer suspects itself, and nobody is ejected for it.
+    /// If more than this fraction of the members falls silent together, the observer assumes that the fault is its own and
+    /// ejects none of them.
     pub observer_fault_fraction: f64,
-    /// Silence that begins within this time counts as together.
+    /// Members that became suspect less than this time ago count as falling silent together.
     pub observer_fault_window: Span,
-    /// A suspect has to be heard for so long before it is back, twice as long each time again.
+    /// How long the heartbeats of a suspect member must be regular before it recovers. Doubles with each suspicion.
     pub recovery_time: Span,
-    /// A suspect is removed after so long.
+    /// How long a member stays suspect, or silent after a graceful shutdown, before it is removed. A member that has been
+    /// ready for this long has its earlier suspicions forgotten.
     pub removal_time: Span,
-    /// Ticks come this often; a far longer gap is a pause of the observer, not a silence of the members.
+    /// The usual time between two ticks. A much longer time counts as a pause of the observer, not as silence of the members.
     pub tick_interval: Span,
 }
 
-/// The members of a fleet.
+/// The members of a fleet, as one observer sees them.
 #[derive(Clone, Debug)]
 pub struct Membership {
     limits: MembershipLimits,
     members: BTreeMap<String, Member>,
     last_tick: Instant,
-    /// Since when the observer suspects itself.
+    /// Since when the observer assumes that it is at fault itself; none if it does not.
     observer_fault: Option<Instant>,
 }
 
 impl Membership {
-    /// Without members yet.
+    /// Creates a fleet without members.
     pub fn new(limits: MembershipLimits, now: Instant) -> Self {
         Self { limits, members: BTreeMap::new(), last_tick: now, observer_fault: None }
     }
 
-    /// Takes in an observation. A less trusted source changes nothing of a member that reports itself.
+    /// Records an observation. An observation from a less trusted source is ignored, unless the member is suspect or removed.
     pub fn observe(&mut self, now: Instant, observation: Observation) {
         let now = now.max(self.last_tick);
         let new = Member::new(now, &observation);
@@ -65,7 +68,7 @@
         if source < member.source && !silenced {
             return;
         }
-        // Back with another address, or after it was removed: another process, of which nothing is known.
+        // With another address, or after its removal, the member is a new process, for which nothing has been learned.
         let address_changed = member.address != address;
         if (address_changed && source >= member.source) || member.state == MemberState::Removed {
             *member = new;
@@ -78,15 +81,15 @@
         }
         member.zone = zone;
         if source == Source::StaticList {
-            return; // A list is no sign of life.
+            return; // A static list does not show that the member is alive.
         }
         member.record_heartbeat(now, draining);
     }
 
-    /// Time passes. Has to be called about every tick interval.
+    /// Updates all states as time passes. Has to be called about once per tick interval.
     pub fn tick(&mut self, now: Instant) {
         if now <= self.last_tick {
-            return; // A clock that goes back tells nothing.
+            return; // The clock went back, so no time is known to have passed.
         }
         let gap = now - self.last_tick;
         self.last_tick = now;
@@ -97,8 +100,9 @@
         self.expire_states(now);
     }
 
-    /// A gap far longer than a tick: the observer slept or its clock jumped, so that nobody could be heard meanwhile.
-    /// Without this all would be suspect after a pause of the observer.
+    /// If the time since the last tick is much longer than a tick, the observer was paused or its clock jumped, and it could
+    /// receive no heartbeats meanwhile. This time is excluded from the silence of all members; otherwise all of them would
+    /// become suspect.
     fn discount_observer_pause(&mut self, gap: Span) {
         let tick_interval = self.limits.tick_interval;
         if gap > tick_interval * MIN_PAUSE_TICKS {
@@ -108,7 +112,7 @@
         }
     }
 
-    /// Suspects that have been heard for long enough come back.
+    /// Ends the suspicion of members whose heartbeats have been regular for the recovery time.
     fn recover_suspects(&mut self, now: Instant) {
         let limits = self.limits;
         for member in self.members.values_mut().filter(|member| member.state == MemberState::Suspect) {
@@ -119,7 +123,7 @@
             }
             let doublings = member.recent_suspicions.saturating_sub(1).min(MAX_RECOVERY_DOUBLINGS);
             if now - since >= limits.recovery_time * f64::from(1_u32 << doublings) {
-                // One that stayed in the view has nothing to warm up for.
+                // A member that was kept in the view still has its full load, so it needs no slow start.
                 let stayed_in_view = member.kept_in_view.take().is_some();
                 let state = if stayed_in_view { MemberState::Ready } else { MemberState::SlowStart };
                 member.set_state(now, state, StateReason::Recovered);
@@ -128,8 +132,8 @@
         }
     }
 
-    /// Members whose silence is longer than their intervals explain become suspect. Where many are so together, it is
-    /// more likely that the observer does not hear than that they all failed: then they stay in the view.
+    /// Makes members suspect whose silence is too unlikely for the failure detector. If many fall silent together, it is
+    /// more likely that the observer receives nothing than that all of them failed, so they are kept in the view.
     fn suspect_silent_members(&mut self, now: Instant) {
         let limits = self.limits;
         let is_overdue = |member: &Member| {
@@ -145,7 +149,7 @@
         let observer_fault = self.observer_fault.is_some();
         for name in overdue {
             let Some(member) = self.members.get_mut(&name) else { continue };
-            // One more mean interval is waited, to see whether others are missed as well.
+            // Waits one more mean interval, to see whether other members fall silent as well.
             let overdue_since = *member.overdue_since.get_or_insert(now);
             if !observer_fault && now - overdue_since < member.detector.mean_interval() {
                 continue;
@@ -155,8 +159,8 @@
         }
     }
 
-    /// Whether so many are silent that the observer suspects itself. It does so until enough of them are heard again,
-    /// however long ago they fell silent.
+    /// Updates whether so many members are silent that the observer assumes a fault of its own. The fault begins when many
+    /// fall silent together, and ends when enough members are heard again, however long ago they fell silent.
     fn update_observer_fault(&mut self, now: Instant, overdue: usize) {
         let limits = self.limits;
         let is_recent = |member: &Member| {
@@ -166,12 +170,12 @@
         let present = count(&|member| member.is_alive() || member.state == MemberState::Suspect);
         let silent_together = overdue + count(&is_recent);
         let silent = overdue + count(&Member::is_unheard_suspect);
-        // Half of two is no crowd.
+        // A single silent member is never taken for a fault of the observer, even in a fleet of two.
         let is_crowd =
             |silent: usize| silent > 1 && silent as f64 > present as f64 * limits.observer_fault_fraction;
         if is_crowd(silent_together) {
             if self.observer_fault.is_none() {
-                // Those that were the first to be missed are no more to blame than the others.
+                // The members that became suspect before the fault was noticed probably did not fail either.
                 for member in self.members.values_mut().filter(|member| is_recent(member)) {
                     member.kept_in_view = Some(KeptReason::ObserverFault);
                 }
@@ -182,7 +186,8 @@
         }
     }
 
-    /// No more than a fraction is ejected at once: of the suspects, those that were silent first.
+    /// Ejects at most the configured fraction of members: the suspect members that fell silent first. Those beyond the limit
+    /// are kept in the view.
     fn limit_ejections(&mut self) {
         let observer_fault = self.observer_fault.is_some();
         let suspects = self.members.iter().filter(|(_, member)| member.state == MemberState::Suspect);
@@ -201,7 +206,7 @@
         }
     }
 
-    /// States that end by themselves.
+    /// Ends the states that end after some time, and forgets members that were removed long ago.
     fn expire_states(&mut self, now: Instant) {
         let limits = self.limits;
         for member in self.members.values_mut() {
@@ -218,7 +223,7 @@
                 MemberState::Draining if member.detector.silence(now) >= limits.removal_time => {
                     member.set_state(now, MemberState::Removed, StateReason::Drained);
                 }
-                // Well for long: earlier suspicions are forgotten.
+                // The member has been ready for long, so earlier suspicions no longer prolong its recovery time.
                 MemberState::Ready if age >= limits.removal_time => member.recent_suspicions = 0,
                 _ => {}
             }
@@ -229,7 +234,7 @@
         });
     }
 
-    /// The members that the next view should have, with their weights.
+    /// The members that the next view should contain, with their weights.
     pub fn desired_view(&self, now: Instant) -> Vec<(String, ViewMember)> {
         let mut desired = Vec::new();
         for (name, member) in &self.members {
@@ -241,7 +246,7 @@
         if desired.iter().any(|(_, entry)| entry.weight > 0) {
             desired.retain(|(_, entry)| entry.weight > 0);
         } else {
-            // Only a list is known: all of it, alike.
+            // Only a static list is known: all its members get the same weight.
             for (_, entry) in &mut desired {
                 entry.weight = WEIGHT_SCALE as u64;
             }
@@ -249,7 +254,7 @@
         desired
     }
 
-    /// The part of its capacity that a member's weight has; none where it is not in the view.
+    /// The fraction of its capacity that a member's weight is; none if the member is not in the view.
     fn weight_fraction(&self, now: Instant, member: &Member) -> Option<f64> {
         match member.state {
             MemberState::Ready => Some(1.0),
@@ -257,14 +262,14 @@
                 let age = (now - member.since) / self.limits.slow_start_duration;
                 Some(((age * SLOW_START_STEPS).floor() + 1.0).min(SLOW_START_STEPS) / SLOW_START_STEPS)
             }
-            // It counts only where nobody was heard: a list is better than nobody at all.
+            // Members without a heartbeat are used only if no member has a positive weight.
             MemberState::Joining => Some(0.0),
             MemberState::Suspect if member.kept_in_view.is_some() => Some(1.0),
             MemberState::Suspect | MemberState::Draining | MemberState::Removed => None,
         }
     }
 
-    /// Why a member is in its state.
+    /// The state of a member and the reason for it; none if the member is unknown.
     pub fn explain(&self, name: &str) -> Option<Explanation> {
         let member = self.members.get(name)?;
         Some(Explanation {
@@ -275,12 +280,13 @@
         })
     }
 
-    /// Since when the observer suspects itself, where it does.
+    /// Since when the observer assumes that it is at fault itself, because many members fell silent together; none if it
+    /// does not.
     pub fn observer_fault(&self) -> Option<Instant> {
         self.observer_fault
     }
 
-    /// How many are in this state.
+    /// The number of members in this state.
     pub fn count(&self, state: MemberState) -> usize {
         self.members.values().filter(|member| member.state == state).count()
     }
--- a/crates/core/membership/src/views.rs
+++ b/crates/core/membership/src/views.rs
@@ -1,5 +1,6 @@
-//! Numbered membership views. Each is whole and never changed; the next one is published when what is desired differs for
-//! long enough, and is never emptier than it may be. A number that was used before a restart is never used again.
+//! Numbered membership views. Each view contains all members and is immutable. The next view is published when the desired
+//! members have differed from the current view for long enough; it always keeps a minimum fraction of the current members.
+//! View numbers only grow, and no number is used again after a restart.
 
 use lynxtally::{Instant, Span};
 use serde::{Deserialize, Serialize};
@@ -7,37 +8,37 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A member in a view.
+/// A member of a view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewMember {
-    /// Its address.
+    /// The address of the member.
     pub address: SocketAddr,
-    /// Its weight, in thousandths of the capacity's measure.
+    /// The weight of the member, in thousandths of a unit of capacity.
     pub weight: u64,
-    /// Its zone.
+    /// The zone of the member.
     pub zone: u16,
 }
 
-/// A membership view.
+/// A numbered list of all members that requests may be sent to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipView {
-    /// Its number; later ones are higher.
+    /// The number of the view. Later views have higher numbers.
     pub number: u64,
-    /// The members by their names.
+    /// The members, by name.
     pub members: BTreeMap<String, ViewMember>,
 }
 
-/// What differs between two views.
+/// The difference between two views.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ViewDifference {
-    /// New, or changed.
+    /// Members that are new or changed.
     pub upserted: Vec<(String, ViewMember)>,
-    /// No longer there.
+    /// Names of members that are no longer in the view.
     pub removed: Vec<String>,
 }
 
 impl ViewDifference {
-    /// What has to be done to come from one view to another.
+    /// The changes that turn the view `from` into the view `to`.
     pub fn between(from: &MembershipView, to: &MembershipView) -> Self {
         let upserted = to.members.iter().filter(|(name, entry)| from.members.get(*name) != Some(entry));
         let removed = from.members.keys().filter(|name| !to.members.contains_key(*name));
@@ -48,40 +49,41 @@
     }
 }
 
-/// What publishing views is held to.
+/// The parameters of [`ViewPublisher`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PublishLimits {
-    /// A change has to last so long before it is published.
+    /// How long the desired members must be unchanged before they are published.
     pub settle_time: Span,
-    /// So many views at most in a rate window, after which changes gather.
+    /// The maximum number of views published within `rate_window`. Further changes wait for the next view.
     pub max_views_per_window: u32,
-    /// The rate window.
+    /// The time within which `max_views_per_window` limits the number of views.
     pub rate_window: Span,
-    /// A view keeps at least this fraction of the members of the one before.
+    /// A view has at least this fraction of the number of members of the previous view.
     pub min_kept_fraction: f64,
-    /// After a restart nothing is published for so long, unless enough of the last view is known again.
+    /// How long no view is published after a restart, unless enough members of the last view are known again before.
     pub restart_hold: Span,
-    /// The fraction of the last view that is enough.
+    /// The fraction of the last view's members that must be known again to end this time early.
     pub restart_known_fraction: f64,
 }
 
-/// Publishes the views of a fleet.
+/// Decides when the next membership view of a fleet is published.
 #[derive(Clone, Debug)]
 pub struct ViewPublisher {
     limits: PublishLimits,
     current: Arc<MembershipView>,
     desired: BTreeMap<String, ViewMember>,
     desired_since: Instant,
-    /// When the views of the last rate window were published.
+    /// The publication times of the views within the last rate window.
     published_at: Vec<Instant>,
-    /// After a restart: until when nothing is published.
+    /// Until when no view is published after a restart; none if views may be published.
     hold_until: Option<Instant>,
-    /// Members that are kept though they are not desired.
+    /// How many members are kept in the view although they are no longer desired.
     retained: usize,
 }
 
 impl ViewPublisher {
-    /// For a fleet that never had a view, or from the last one that was published before a restart.
+    /// Creates a publisher. `last` is the last view that was published before a restart, or none if the fleet never had a
+    /// view.
     pub fn new(limits: PublishLimits, last: Option<MembershipView>, now: Instant) -> Self {
         let hold_until = last.as_ref().map(|_| now + limits.restart_hold);
         let current = Arc::new(last.unwrap_or_default());
@@ -97,23 +99,24 @@
         }
     }
 
-    /// The present view.
+    /// The current view.
     pub fn current(&self) -> &Arc<MembershipView> {
         &self.current
     }
 
-    /// How many members the present view has that were not desired any more.
+    /// How many members are kept although they are no longer desired, so that the view keeps its minimum size. Computed at
+    /// the last proposal that was not held back.
     pub fn retained(&self) -> usize {
         self.retained
     }
 
-    /// Whether nothing is published yet after a restart.
+    /// Whether the publication of views is still held back after a restart.
     pub fn is_on_hold(&self) -> bool {
         self.hold_until.is_some()
     }
 
-    /// Says what is desired now; the next view comes back where there is one. `highest_number` is the highest number that
-    /// was ever used, by whomever.
+    /// Proposes the members of the next view. Returns the next view if it is published now. `highest_number` is the highest
+    /// view number that any publisher has used.
     pub fn propose(
         &mut self,
         now: Instant,
@@ -143,8 +146,8 @@
         Some(self.current.clone())
     }
 
-    /// Whether a restart was so recently that too few of the last view are known again. Without this the first views after
-    /// a restart would lack all members that were not heard yet.
+    /// Whether a restart was so recent that too few members of the last view are known again. Without this check the first
+    /// views after a restart would lack all members that have not been heard yet.
     fn is_held_after_restart(&mut self, now: Instant) -> bool {
         let Some(until) = self.hold_until else { return false };
         let last = &self.current.members;
@@ -156,8 +159,8 @@
         false
     }
 
-    /// What is desired, and of the last view as many more as it must not be emptier by. Names decide which, so that it is
-    /// always the same ones.
+    /// The desired members, and as many members of the last view as are needed for the minimum size. These are chosen in the
+    /// order of names, so that the choice is always the same.
     fn with_retained_members(&mut self) -> BTreeMap<String, ViewMember> {
         let mut members = self.desired.clone();
         let last = &self.current.members;
