--- a/crates/core/membership/src/membership.rs
+++ b/crates/core/membership/src/membership.rs
@@ -13,7 +13,7 @@
 /// The maximum number of times that the recovery time of a suspect member doubles.
 const MAX_RECOVERY_DOUBLINGS: u32 = 10;
 /// A removed member is remembered, for [`Membership::explain`], for this many times the removal time.
-const REMOVED_RETENTION_REMOVAL_TIMES: f64 = 2.0;
+const REMOVED_RETENTION_FACTOR: f64 = 2.0;
 /// Weight units per unit of capacity.
 const WEIGHT_SCALE: f64 = 1000.0;
 
@@ -166,14 +166,16 @@
         let is_recent = |member: &Member| {
             member.is_unheard_suspect() && now - member.since < limits.observer_fault_window
         };
-        let count = |is: &dyn Fn(&Member) -> bool| self.members.values().filter(|member| is(member)).count();
+        let count = |matches: &dyn Fn(&Member) -> bool| {
+            self.members.values().filter(|member| matches(member)).count()
+        };
         let present = count(&|member| member.is_alive() || member.state == MemberState::Suspect);
         let silent_together = overdue + count(&is_recent);
         let silent = overdue + count(&Member::is_unheard_suspect);
         // A single silent member is never taken for a fault of the observer, even in a fleet of two.
-        let is_crowd =
+        let suggests_observer_fault =
             |silent: usize| silent > 1 && silent as f64 > present as f64 * limits.observer_fault_fraction;
-        if is_crowd(silent_together) {
+        if suggests_observer_fault(silent_together) {
             if self.observer_fault.is_none() {
                 // The members that became suspect before the fault was noticed probably did not fail either.
                 for member in self.members.values_mut().filter(|member| is_recent(member)) {
@@ -181,7 +183,7 @@
                 }
             }
             self.observer_fault.get_or_insert(now);
-        } else if !is_crowd(silent) {
+        } else if !suggests_observer_fault(silent) {
             self.observer_fault = None;
         }
     }
@@ -228,7 +230,7 @@
                 _ => {}
             }
         }
-        let removed_retention = limits.removal_time * REMOVED_RETENTION_REMOVAL_TIMES;
+        let removed_retention = limits.removal_time * REMOVED_RETENTION_FACTOR;
         self.members.retain(|_, member| {
             member.state != MemberState::Removed || now - member.since < removed_retention
         });
@@ -259,8 +261,11 @@
         match member.state {
             MemberState::Ready => Some(1.0),
             MemberState::SlowStart => {
-                let age = (now - member.since) / self.limits.slow_start_duration;
-                Some(((age * SLOW_START_STEPS).floor() + 1.0).min(SLOW_START_STEPS) / SLOW_START_STEPS)
+                let elapsed_fraction = (now - member.since) / self.limits.slow_start_duration;
+                Some(
+                    ((elapsed_fraction * SLOW_START_STEPS).floor() + 1.0).min(SLOW_START_STEPS)
+                        / SLOW_START_STEPS,
+                )
             }
             // Members without a heartbeat are used only if no member has a positive weight.
             MemberState::Joining => Some(0.0),
--- a/crates/core/membership/src/views.rs
+++ b/crates/core/membership/src/views.rs
@@ -71,7 +71,9 @@
 pub struct ViewPublisher {
     limits: PublishLimits,
     current: Arc<MembershipView>,
+    /// The members that were proposed last.
     desired: BTreeMap<String, ViewMember>,
+    /// Since when the proposed members are unchanged.
     desired_since: Instant,
     /// The publication times of the views within the last rate window.
     published_at: Vec<Instant>,
--- a/crates/core/routes/src/spillover.rs
+++ b/crates/core/routes/src/spillover.rs
@@ -53,12 +53,13 @@
             return fractions;
         }
         // The excess is distributed by spare capacity; what exceeds all spare capacity is distributed by capacity.
-        let fits = if self.excess_sum > 0.0 { (self.spare_sum / self.excess_sum).min(1.0) } else { 1.0 };
+        let fraction_by_spare =
+            if self.excess_sum > 0.0 { (self.spare_sum / self.excess_sum).min(1.0) } else { 1.0 };
         for to in 0..zones {
             let by_spare = if self.spare_sum > 0.0 { self.spare[to] / self.spare_sum } else { 0.0 };
             let by_capacity =
                 if self.capacity_sum > 0.0 { capacity[to] / self.capacity_sum } else { 1.0 / zones as f64 };
-            fractions[to] += rest * (fits * by_spare + (1.0 - fits) * by_capacity);
+            fractions[to] += rest * (fraction_by_spare * by_spare + (1.0 - fraction_by_spare) * by_capacity);
         }
         fractions
     }
@@ -71,6 +72,6 @@
             fractions[from] = 1.0;
             return fractions;
         }
-        capacity.iter().map(|own| own / self.capacity_sum.max(MIN_CAPACITY)).collect()
+        capacity.iter().map(|zone_capacity| zone_capacity / self.capacity_sum.max(MIN_CAPACITY)).collect()
     }
 }
--- a/crates/frontends/net/src/connection.rs
+++ b/crates/frontends/net/src/connection.rs
@@ -27,7 +27,9 @@
 /// A connection, and the bytes that are still to be written on it.
 pub struct Connection {
     socket: Socket,
+    /// The write buffer.
     output: Vec<u8>,
+    /// How many bytes of the write buffer have been written.
     written: usize,
 }
 
--- a/crates/frontends/net/src/listener.rs
+++ b/crates/frontends/net/src/listener.rs
@@ -21,7 +21,9 @@
 /// The listeners of a frontend, which are closed together.
 pub struct ListenerSet {
     closing: AtomicBool,
+    /// The number of listeners that are closed.
     closed: AtomicUsize,
+    /// One for each listener, open or closed.
     wakers: Mutex<Vec<WaitIoWaker>>,
     timer: Timer,
 }
