--- a/crates/core/engine/src/actions.rs
+++ b/crates/core/engine/src/actions.rs
@@ -1,4 +1,4 @@
-//! Executes the scheduler's actions, and sees to it that each request gets one final response and is charged once.
+//! Executes the scheduler's actions, and ensures that each request gets one final response and is charged at most once.
 
 use crate::deduplication::{IdempotencyKey, SettledDuplicate};
 use crate::engine::Engine;
@@ -8,18 +8,20 @@
 use crate::timers::Timer;
 use lynxtally::{Action, CallOutcome, Event, Instant, RequestId, RunOutcome, Span};
 
-impl<P: Scheduler, W, F, D: Copy + Ord> Engine<P, W, F, D> {
+impl<S: Scheduler, ExecutorState, ReplyTo, FrontendTimer: Copy + Ord>
+    Engine<S, ExecutorState, ReplyTo, FrontendTimer>
+{
     pub(crate) fn execute_actions(
         &mut self,
         now: Instant,
-        executor: &mut impl Executor<W>,
-        responder: &mut impl Responder<F>,
+        executor: &mut impl Executor<ExecutorState>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
             self.execute(now, action, executor, responder);
         }
-        // Given back for its capacity.
+        // The drained vector is put back so that its allocation is reused.
         self.actions = actions;
     }
 
@@ -27,23 +29,23 @@
         &mut self,
         now: Instant,
         action: Action,
-        executor: &mut impl Executor<W>,
-        responder: &mut impl Responder<F>,
+        executor: &mut impl Executor<ExecutorState>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         match action {
             Action::Start(request) => {
                 if let Some(open) = self.open.get_mut(request) {
-                    executor.start(request, &mut open.work);
+                    executor.start(request, &mut open.executor_state);
                 }
             }
             Action::Stop(request) => {
                 if let Some(open) = self.open.get_mut(request) {
-                    executor.stop(request, &mut open.work);
+                    executor.stop(request, &mut open.executor_state);
                 }
             }
             Action::Degrade(request) => {
                 if let Some(open) = self.open.get_mut(request) {
-                    executor.degrade(request, &mut open.work);
+                    executor.degrade(request, &mut open.executor_state);
                 }
             }
             Action::Call { request, timeout } => self.start_call(now, request, timeout, executor),
@@ -51,7 +53,7 @@
                 self.respond(request, FinalResponse::Rejected { retry_after, no_retry }, responder);
             }
             Action::Fail(request) => self.respond(request, FinalResponse::Failed, responder),
-            // Whatever the scheduler thinks of its health, health checks fail during a graceful shutdown.
+            // Health checks fail during a graceful shutdown, even if the scheduler reports that the backend is healthy.
             Action::SetHealth(healthy) => responder.set_health(healthy && self.shutdown_deadline.is_none()),
             Action::AdvertiseCapacity(capacity) => responder.advertise_capacity(capacity),
             Action::CloseIdleConnections(idle_for) => responder.close_idle_connections(idle_for),
@@ -78,12 +80,12 @@
         now: Instant,
         request: RequestId,
         timeout: Span,
-        executor: &mut impl Executor<W>,
+        executor: &mut impl Executor<ExecutorState>,
     ) {
         let Some(open) = self.open.get_mut(request) else { return };
         self.last_call_number += 1;
         let number = self.last_call_number;
-        if executor.start_call(request, &mut open.work, number, timeout) {
+        if executor.start_call(request, &mut open.executor_state, number, timeout) {
             open.call_number = Some(number);
             self.timers.set(now + timeout, Timer::CallTimeout(request, number));
         } else {
@@ -95,8 +97,8 @@
         &mut self,
         now: Instant,
         request: RequestId,
-        executor: &mut impl Executor<W>,
-        responder: &mut impl Responder<F>,
+        executor: &mut impl Executor<ExecutorState>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         self.ids.release(request);
         let Some(mut open) = self.open.remove(request) else { return };
@@ -105,13 +107,13 @@
             self.settle_duplicates(settled, responder);
         }
         if let Some(number) = open.call_number {
-            executor.cancel_call(&mut open.work, number);
+            executor.cancel_call(&mut open.executor_state, number);
         }
-        executor.release(request, open.work);
+        executor.release(request, open.executor_state);
     }
 
-    /// Drops a request's idempotency key: whoever comes under it next is the first.
-    pub(crate) fn release_key(&mut self, request: RequestId, responder: &mut impl Responder<F>) {
+    /// Forgets a request's idempotency key, so that the next request with this key runs. Duplicates that waited fail.
+    pub(crate) fn release_key(&mut self, request: RequestId, responder: &mut impl Responder<ReplyTo>) {
         if let Some(key) = self.idempotency_key(request) {
             let settled = self.deduplication.release_key(&key, request);
             self.settle_duplicates(settled, responder);
@@ -122,11 +124,12 @@
         self.open.get(request)?.idempotency_key.clone()
     }
 
-    /// Responds to duplicates with the result of the first run; the scheduler learns that their runs ended.
+    /// Responds to duplicates with the result of the first run, or that they failed if there is none. The scheduler is told
+    /// that their runs ended.
     pub(crate) fn settle_duplicates(
         &mut self,
         settled: impl IntoIterator<Item = SettledDuplicate>,
-        responder: &mut impl Responder<F>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         for SettledDuplicate { request, result } in settled {
             let response = result.map_or(FinalResponse::Failed, FinalResponse::Completed);
@@ -135,12 +138,12 @@
         }
     }
 
-    /// Gives a request its final response, unless it had one or its caller is gone.
+    /// Sends a request its final response, unless it already got one or its caller is gone.
     pub(crate) fn respond(
         &mut self,
         request: RequestId,
         response: FinalResponse,
-        responder: &mut impl Responder<F>,
+        responder: &mut impl Responder<ReplyTo>,
     ) {
         let Some(open) = self.open.get_mut(request) else { return };
         let Some(reply_to) = open.reply_to.take() else { return };
@@ -153,11 +156,12 @@
         let completed = matches!(response, FinalResponse::Completed(_));
         let delivered = responder.respond(reply_to, response);
         self.counts.undelivered += u64::from(!delivered);
-        // A result costs, and only one that somebody took; rejected and failed requests cost nothing.
+        // The tenant is charged only for a result that was delivered, not for rejected or failed requests.
         self.settle_price(request, completed && delivered);
     }
 
-    /// Settles what is reserved for a request, once. Requests under one idempotency key are charged once.
+    /// Settles the price that is reserved for a request; later calls for the same request do nothing. All requests with one
+    /// idempotency key are charged once.
     pub(crate) fn settle_price(&mut self, request: RequestId, charged: bool) {
         let Some(open) = self.open.get_mut(request) else { return };
         let Some(hold) = open.price_hold.take() else { return };
--- a/crates/core/engine/src/timers.rs
+++ b/crates/core/engine/src/timers.rs
@@ -1,60 +1,61 @@
-//! All timers of an instance in one ordered set: the engine's own and those of the frontend.
+//! All timers of an instance, those of the engine and those of the frontend, in one ordered set.
 
 use lynxtally::{Gauges, Instant, RequestId, Span};
 use std::collections::BTreeSet;
 
-/// The gauges are asked for this part of the timer's period before it fires, so that they are fresh then.
+/// The gauges are requested this fraction of the scheduler's timer period before the timer expires, so that they are
+/// recent when the scheduler gets them.
 const GAUGE_REQUEST_LEAD: f64 = 0.25;
-/// Gauges older than this many periods are not reported to the scheduler.
+/// Gauges older than this many periods of the scheduler's timer are not reported to the scheduler.
 const MAX_GAUGE_AGE_PERIODS: f64 = 2.0;
 
-/// What a timer is for; `D` is the frontend's own. Timers due at the same instant expire in the order of the variants.
+/// What a timer is for. Timers that are due at the same instant expire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Timer<D> {
-    /// One of the frontend's.
-    Frontend(D),
-    /// The gauges are to be asked for.
+pub(crate) enum Timer<FrontendTimer> {
+    /// A timer that the frontend set.
+    Frontend(FrontendTimer),
+    /// The executor is to be asked for the gauges.
     RequestGauges,
     /// The scheduler's periodic timer.
     Scheduler,
-    /// The downstream call of this request, with this number, times out.
+    /// The timeout of the downstream call of this request, with this call number.
     CallTimeout(RequestId, u64),
 }
 
-/// Pending timers, and the period of the scheduler's.
-pub(crate) struct Timers<D> {
-    pending: BTreeSet<(Instant, Timer<D>)>,
+/// The pending timers, and the period of the scheduler's timer.
+pub(crate) struct Timers<FrontendTimer> {
+    pending: BTreeSet<(Instant, Timer<FrontendTimer>)>,
     period: Span,
 }
 
-impl<D: Copy + Ord> Timers<D> {
+impl<FrontendTimer: Copy + Ord> Timers<FrontendTimer> {
     pub fn new() -> Self {
         Self { pending: BTreeSet::new(), period: Span::ZERO }
     }
 
-    /// The period of the scheduler's timer; zero before it was first set.
+    /// The period of the scheduler's timer; zero until it is first set.
     pub fn period(&self) -> Span {
         self.period
     }
 
-    pub fn set(&mut self, at: Instant, timer: Timer<D>) {
+    pub fn set(&mut self, at: Instant, timer: Timer<FrontendTimer>) {
         self.pending.insert((at, timer));
     }
 
-    /// Sets the scheduler's timer, and the request for gauges ahead of it.
+    /// Sets the scheduler's timer, and the timer that requests the gauges before it expires.
     pub fn set_period(&mut self, now: Instant, period: Span) {
         self.period = period;
         self.set(now + period, Timer::Scheduler);
         self.set(now + period * (1.0 - GAUGE_REQUEST_LEAD), Timer::RequestGauges);
     }
 
-    /// When the next one expires.
+    /// When the next timer expires.
     pub fn next(&self) -> Option<Instant> {
         self.pending.first().map(|(at, _)| *at)
     }
 
-    /// Removes and returns the first that has expired.
-    pub fn pop_expired(&mut self, now: Instant) -> Option<Timer<D>> {
+    /// Removes and returns the earliest timer, if it has expired.
+    pub fn pop_expired(&mut self, now: Instant) -> Option<Timer<FrontendTimer>> {
         if self.next()? > now {
             return None;
         }
@@ -62,7 +63,7 @@
     }
 }
 
-/// The gauges as last reported.
+/// The gauges that were last reported.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct GaugeReading {
     pub reported_at: Instant,
@@ -70,8 +71,8 @@
 }
 
 impl GaugeReading {
-    /// The gauges, or none where they are too old. An executor that stopped reporting would otherwise have the scheduler
-    /// act on the last load it saw for good.
+    /// The gauges, or the default, without any value, if they are too old. Otherwise the scheduler would act on the last
+    /// reported load forever after an executor stops reporting.
     pub fn current(&self, now: Instant, period: Span) -> Gauges {
         if now - self.reported_at <= period * MAX_GAUGE_AGE_PERIODS {
             self.gauges
