--- a/crates/core/coordination/src/budgets/division.rs
+++ b/crates/core/coordination/src/budgets/division.rs
@@ -5,14 +5,14 @@
 //! staffing (Halfin and Whitt, 1981).
 
 /// Thousandths in a unit.
-pub const MILLIUNITS: u64 = 1000;
+pub const MILLIUNITS_PER_UNIT: u64 = 1000;
 /// Of the rest a holder gets its demand's square root this many times at most; what is left stays free for newcomers.
 const MAX_ROOTS_OF_REST: u128 = 3;
 
 /// What each holder should have, in thousandths of a unit, in the order of the demands; the sum is at most the
 /// capacity, which is in whole units. No demand is over 2^51.
 pub fn divide(capacity: u64, demands_milliunits: &[u64]) -> Vec<u64> {
-    let available = capacity.saturating_mul(MILLIUNITS);
+    let available = capacity.saturating_mul(MILLIUNITS_PER_UNIT);
     let total: u128 = demands_milliunits.iter().map(|demand| u128::from(*demand)).sum();
     if total > u128::from(available) {
         let level = max_min_level(available, demands_milliunits.to_vec());
@@ -23,7 +23,7 @@
 
 /// Adds to each demand its part of the rest, by square roots.
 fn add_rest(rest: u128, demands: &[u64]) -> Vec<u64> {
-    let root = |demand: u64| u128::from((demand * MILLIUNITS).isqrt());
+    let root = |demand: u64| u128::from((demand * MILLIUNITS_PER_UNIT).isqrt());
     let roots: u128 = demands.iter().map(|demand| root(*demand)).sum();
     let part = |demand: u64| (rest * root(demand) / roots.max(1)).min(root(demand) * MAX_ROOTS_OF_REST);
     // Each part is at most the capacity, so it fits into a `u64`.
--- a/crates/core/coordination/src/budgets/mod.rs
+++ b/crates/core/coordination/src/budgets/mod.rs
@@ -29,7 +29,7 @@
 use crate::clock::surely_over_at;
 use crate::error::AdminError;
 use crate::serde_instant::{self, to_micros};
-use division::MILLIUNITS;
+use division::MILLIUNITS_PER_UNIT;
 use holder::LeaseHolder;
 use lynxtally::{Instant, Span};
 use lynxtally_messages::{BudgetReport, BudgetTerms, Lease};
@@ -172,7 +172,7 @@
         // Any division meets a demand up to an equal part, so what was not needed yet at the last one may be had now.
         let sharing = self.holders.values().filter(|other| other.shares_capacity()).count();
         let equal_part = self.terms.capacity / sharing.max(1) as u64;
-        let at_once = holder.demand_milliunits.div_ceil(MILLIUNITS).min(equal_part);
+        let at_once = holder.demand_milliunits.div_ceil(MILLIUNITS_PER_UNIT).min(equal_part);
         match holder.target {
             Some(target) => {
                 let with_turn = target + u64::from(self.rotation.has_turn(incarnation));
@@ -186,7 +186,7 @@
     /// Divides the capacity anew by demand. The minimum of each node is part of its demand, so it is met as far as
     /// the capacity goes round.
     pub fn divide(&mut self, now: Instant) {
-        let min_milliunits = self.terms.min_per_node * MILLIUNITS;
+        let min_milliunits = self.terms.min_per_node * MILLIUNITS_PER_UNIT;
         let demands: Vec<u64> = self
             .holders
             .values()
@@ -195,12 +195,12 @@
             .collect();
         let divisible = self.terms.capacity.saturating_sub(self.newcomer_reserve());
         let parts = division::divide(divisible, &demands);
-        let whole_units: u64 = parts.iter().map(|part| part / MILLIUNITS).sum();
+        let whole_units: u64 = parts.iter().map(|part| part / MILLIUNITS_PER_UNIT).sum();
         let mut fractions = BTreeMap::new();
         let sharing = self.holders.iter_mut().filter(|(_, holder)| holder.shares_capacity());
         for ((incarnation, holder), part) in sharing.zip(parts) {
-            holder.target = Some(part / MILLIUNITS);
-            let fraction = part % MILLIUNITS;
+            holder.target = Some(part / MILLIUNITS_PER_UNIT);
+            let fraction = part % MILLIUNITS_PER_UNIT;
             if fraction > 0 {
                 fractions.insert(*incarnation, fraction);
             }
--- a/crates/core/coordination/src/error.rs
+++ b/crates/core/coordination/src/error.rs
@@ -14,7 +14,7 @@
         /// The log index that it observed.
         observed_index: u64,
         /// Requests up to this log index are forgotten.
-        forgotten_index: u64,
+        evicted_index: u64,
     },
     /// There are as many budgets as there may be.
     TooManyBudgets {
@@ -72,9 +72,9 @@
 impl fmt::Display for AdminError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::KeyTooOld { observed_index, forgotten_index } => write!(
+            Self::KeyTooOld { observed_index, evicted_index } => write!(
                 f,
-                "`id.seen` is {observed_index}; orders up to {forgotten_index} are forgotten, draw it up anew with the \
+                "`id.seen` is {observed_index}; orders up to {evicted_index} are forgotten, draw it up anew with the \
                  present number"
             ),
             Self::TooManyBudgets { budget } => write!(
--- a/crates/core/coordination/src/recent_requests.rs
+++ b/crates/core/coordination/src/recent_requests.rs
@@ -16,7 +16,7 @@
     remembered: VecDeque<Remembered>,
     /// The log index up to which requests were forgotten.
     #[serde(rename = "forgotten")]
-    forgotten_index: u64,
+    evicted_index: u64,
 }
 
 /// A request that was carried out or rejected. It is stored as a triple.
@@ -48,13 +48,11 @@
         if let Some(known) = self.remembered.iter().find(|known| known.key == *key) {
             return Some(known.response.clone());
         }
-        if key.observed_index >= self.forgotten_index {
+        if key.observed_index >= self.evicted_index {
             return None;
         }
-        let error = AdminError::KeyTooOld {
-            observed_index: key.observed_index,
-            forgotten_index: self.forgotten_index,
-        };
+        let error =
+            AdminError::KeyTooOld { observed_index: key.observed_index, evicted_index: self.evicted_index };
         Some(error.into_response())
     }
 
@@ -62,7 +60,7 @@
         self.remembered.push_back(Remembered { key: key.clone(), index, response });
         if self.remembered.len() > MAX_REMEMBERED {
             if let Some(oldest) = self.remembered.pop_front() {
-                self.forgotten_index = oldest.index;
+                self.evicted_index = oldest.index;
             }
         }
     }
