--- a/crates/core/coordination/src/admin_requests.rs
+++ b/crates/core/coordination/src/admin_requests.rs
@@ -1,4 +1,4 @@
-//! Applying an operator's request, once however often it comes.
+//! Applies the requests of operators, each at most once.
 
 use crate::budgets::{Budget, MAX_BUDGETS};
 use crate::error::AdminError;
@@ -16,7 +16,7 @@
             Ok(()) => AdminResponse::Applied { index: self.applied_index },
             Err(error) => error.into_response(),
         };
-        self.recent_requests.remember(&request.key, self.applied_index, response.clone());
+        self.recent_requests.record(&request.key, self.applied_index, response.clone());
         response
     }
 
@@ -25,11 +25,11 @@
             AdminAction::SetBudget { name, terms } => self.set_budget(now, name, *terms),
             AdminAction::SetWallet { name, terms } => self.set_wallet(name, terms),
             AdminAction::TopUp { wallet, units } => match self.wallets.get_mut(wallet) {
-                Some(known) => known.top_up(*units),
+                Some(existing) => existing.top_up(*units),
                 None => Err(AdminError::TopUpOfUnknownWallet { wallet: wallet.clone() }),
             },
             AdminAction::Withdraw { wallet, units } => match self.wallets.get_mut(wallet) {
-                Some(known) => known.withdraw(*units),
+                Some(existing) => existing.withdraw(*units),
                 None => Err(AdminError::WithdrawalFromUnknownWallet { wallet: wallet.clone() }),
             },
             AdminAction::ProposeSchema { schema } => {
@@ -67,8 +67,8 @@
         Ok(())
     }
 
-    /// The operator has made sure that the process does not run any more. Its reservations are settled as those of
-    /// any process that vanished.
+    /// Frees the leases of a process that no longer runs, as the operator has made sure. Its wallet reservations are
+    /// not freed: like those of any process that vanished, they become in doubt once they expire.
     fn end_incarnation(&mut self, incarnation: u64) -> Result<(), AdminError> {
         let mut is_known = self.members.remove(incarnation);
         for budget in self.budgets.values_mut() {
--- a/crates/core/coordination/src/budgets/holder.rs
+++ b/crates/core/coordination/src/budgets/holder.rs
@@ -1,78 +1,78 @@
-//! What one process may be using of one budget.
+//! The leases of one process for one budget, and the most units that it may be using under them.
 
 use crate::serde_instant;
 use lynxtally::Instant;
 use lynxtally_messages::BudgetReport;
 use serde::{Deserialize, Serialize};
 
-/// As many leases are kept apart. The two last ones are merged beyond that, as if the larger lasted as long as the
-/// later: more is counted then, never less.
+/// The most leases that are tracked per holder. Beyond that, the last two are merged into one with the larger amount
+/// and the later expiry. This can count too many units as outstanding, but never too few.
 const MAX_LEASES: usize = 8;
 
-/// A lease under which something may still run.
+/// A lease that has not expired: calls that were started under it may still run.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq)]
 struct OutstandingLease {
     version: u64,
     amount: u64,
-    /// When all that was started under it is surely over.
     #[serde(rename = "end", with = "serde_instant")]
-    over_at: Instant,
+    expires_at: Instant,
 }
 
-/// One process with its leases.
+/// A process with its leases for one budget.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub(crate) struct LeaseHolder {
-    /// Leases that may be in use, the oldest first. Each later one ends later and is smaller: another would not change
-    /// what is outstanding.
+    /// Leases that may be in use, oldest first. Each is smaller than the one before it and does not expire earlier. A
+    /// lease followed by one at least as large is dropped, because it does not affect the outstanding amount.
     #[serde(rename = "given")]
     leases: Vec<OutstandingLease>,
-    /// What it needs, in thousandths of a unit.
+    /// The last reported demand in thousandths of a unit.
     #[serde(rename = "need")]
     pub demand_milliunits: u64,
-    /// The leader hears nothing of it.
+    /// Whether the leader suspects that the process has failed.
     #[serde(rename = "suspect")]
     pub suspected: bool,
-    /// Another process has taken its name.
+    /// Whether another process has taken the name of this one.
     #[serde(rename = "muted")]
     pub fenced: bool,
-    /// The units that it should have by the last division; none before its first.
+    /// The whole units assigned by the last division; `None` before the holder's first division.
     pub target: Option<u64>,
 }
 
 impl LeaseHolder {
-    /// What may be in use at most. The process has one lease in force at a time, but what it started under a larger
-    /// one before goes on running.
+    /// The most units that the process may be using. It has only one lease in force at a time, but calls that it
+    /// started under an earlier and larger lease may still run.
     pub fn outstanding(&self) -> u64 {
         self.leases.first().map_or(0, |lease| lease.amount)
     }
 
-    /// When the next of its leases is surely over.
+    /// When the next of the leases expires.
     pub fn next_expiry(&self) -> Option<Instant> {
-        self.leases.first().map(|lease| lease.over_at)
+        self.leases.first().map(|lease| lease.expires_at)
     }
 
-    /// Whether the capacity is divided among it and others.
+    /// Whether the holder takes part in the division of the capacity.
     pub fn shares_capacity(&self) -> bool {
         !self.fenced && !self.suspected
     }
 
-    /// The process reports which lease is in force there and what is in use. Once that fits under this lease it goes
-    /// on fitting, as nothing is started beyond it: no lease before it is in use any more.
+    /// Drops the leases before the one that the process reports as in force, if the units in use fit within that
+    /// lease. They will go on fitting, because the process starts nothing beyond the lease in force, so the earlier
+    /// leases no longer matter.
     pub fn acknowledge(&mut self, report: &BudgetReport) {
-        // Where the lease itself is not kept any more, a later one covers it.
+        // If the lease in force is no longer tracked, the next later lease covers it.
         let in_force = self.leases.iter().find(|lease| lease.version >= report.lease_version);
         if in_force.is_some_and(|lease| report.in_use <= lease.amount) {
             self.leases.retain(|lease| lease.version >= report.lease_version);
         }
     }
 
-    pub fn record_lease(&mut self, version: u64, amount: u64, over_at: Instant) {
-        // Should the process have told a shorter time in flight than before, what runs already still lasts longer.
-        let over_at = self.leases.last().map_or(over_at, |last| last.over_at.max(over_at));
+    pub fn record_lease(&mut self, version: u64, amount: u64, expires_at: Instant) {
+        // If the process now reports a shorter time in flight than before, calls that already run may still take longer.
+        let expires_at = self.leases.last().map_or(expires_at, |last| last.expires_at.max(expires_at));
         while self.leases.last().is_some_and(|last| last.amount <= amount) {
             self.leases.pop();
         }
-        self.leases.push(OutstandingLease { version, amount, over_at });
+        self.leases.push(OutstandingLease { version, amount, expires_at });
         if self.leases.len() > MAX_LEASES {
             self.merge_last_two();
         }
@@ -81,21 +81,21 @@
     fn merge_last_two(&mut self) {
         let larger = self.leases.len() - 2;
         let later = self.leases.remove(larger + 1);
-        self.leases[larger].over_at = later.over_at;
+        self.leases[larger].expires_at = later.expires_at;
         self.leases[larger].version = later.version;
     }
 
-    /// Drops the leases that are surely over.
+    /// Drops the leases that have expired by `now`.
     pub fn expire(&mut self, now: Instant) {
-        self.leases.retain(|lease| lease.over_at > now);
+        self.leases.retain(|lease| lease.expires_at > now);
     }
 
-    /// Drops all leases: nothing that the process started runs any more.
+    /// Drops all leases. Correct only if nothing that the process started still runs.
     pub fn release(&mut self) {
         self.leases.clear();
     }
 
-    /// Whether no lease may be in use.
+    /// Whether the holder has no lease that has not expired.
     pub fn is_empty(&self) -> bool {
         self.leases.is_empty()
     }
--- a/crates/core/coordination/src/budgets/mod.rs
+++ b/crates/core/coordination/src/budgets/mod.rs
@@ -1,32 +1,35 @@
-//! Budgets: capacity that all nodes share, divided among them by leases.
+//! Budgets: capacity that all nodes share and that is divided among them by leases.
 //!
-//! A lease (Gray and Cheriton, 1989) lets a node use an amount for a limited time. Nobody can be made to hear a
-//! revocation, so a lease ends by itself: at the node, which counts its duration from before it first asked, and here,
-//! later, once all that was started under it is surely over.
+//! A lease (Gray and Cheriton, 1989) lets a node use an amount of the capacity for a limited time. No lease is ever
+//! revoked, because a revocation might not reach the node. Instead, a lease ends without a message: first at the node,
+//! which counts the duration from before it first sent its request, and later in this state, once everything that was
+//! started under the lease has ended.
 //!
-//! Safety rule: who may use what. For each holder the budget counts what it may be using at most, its *outstanding*
-//! amount: the largest of its leases that are not surely over ([`holder`]). A new lease is never larger than what is
-//! outstanding for its holder anyway and what is free. So the sum of what is outstanding never passes the capacity,
-//! whatever is lost, repeated, late or suspected.
+//! Terms, for the units of a lease:
+//! - *in force*: the node may start calls under the lease now;
+//! - *in use*: occupied by running calls, including those that were started under earlier leases;
+//! - *outstanding*: the most that a process may be using, as counted in this state;
+//! - *expired*: nothing that was started under the lease can still run, so its units are free.
 //!
-//! Who may hold a lease after a pause? A paused node may start nothing under a lease that expired meanwhile: its own
-//! clock goes on during the pause and it looks at that before it starts anything (`lynxtally-lease-client`). Units of
-//! a silent holder, suspected or not, are granted to others only after the duration, the longest time in flight, the
-//! clock drift and the pause margin have passed here ([`surely_over_at`](crate::clock::surely_over_at)). A process
-//! whose name another has taken is fenced: it gets no new lease, and what it holds counts until then as well.
+//! Safety rule: the sum of all outstanding amounts never exceeds the capacity, even if messages are lost, duplicated or
+//! delayed, or a node is wrongly suspected. The outstanding amount of a holder is the largest of its leases that have
+//! not expired ([`holder`]). The amount of a new lease is never larger than the outstanding amount of its holder plus
+//! the free units. A capacity that an operator has reduced is in force once enough leases have expired.
 //!
-//! Four states of an amount: *in force* at the node, which may start things under it now; *in use*, with what was started
-//! under earlier leases and still runs; *outstanding* here, the most that may be in use; *surely over*, when nothing can be
-//! in use any more and the units are free.
+//! Pauses: a node that was paused starts nothing under a lease that ended meanwhile, because its clock goes on during
+//! the pause and it reads the clock before it starts anything (`lynxtally-lease-client`). The units of a silent holder,
+//! suspected or not, are leased to others only after the lease duration, the longest time in flight, the clock drift
+//! and the pause margin have passed in this state ([`safe_expiry`](crate::clock::safe_expiry)). A process whose name
+//! another process has taken is fenced: it gets no new leases, and its leases stay outstanding until they expire.
 //!
-//! How much each holder *should* have ([`division`], [`rotation`]) decides only how well the capacity is used, never
-//! whether it is kept.
+//! The division of the capacity among the holders ([`division`], [`rotation`]) affects only how well the capacity is
+//! used. The safety rule does not depend on it.
 
 pub mod division;
 mod holder;
 mod rotation;
 
-use crate::clock::surely_over_at;
+use crate::clock::safe_expiry;
 use crate::error::AdminError;
 use crate::serde_instant::{self, to_micros};
 use division::MILLIUNITS_PER_UNIT;
@@ -37,45 +40,45 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// There may be as many budgets.
+/// The most budgets that may exist.
 pub const MAX_BUDGETS: usize = 1024;
 
-/// How a budget stands.
+/// The status of a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BudgetStatus {
-    /// Its terms.
+    /// The terms of the budget.
     pub terms: BudgetTerms,
-    /// What may be in use at most, over all nodes.
+    /// The most units that all nodes together may be using.
     pub outstanding: u64,
-    /// What is not outstanding.
+    /// The units of the capacity that are not outstanding.
     pub free: u64,
-    /// Whether the capacity of the terms is in force: a smaller one waits until leases have ended.
+    /// Whether the capacity in the terms is in force. A reduced capacity is not, until enough leases have expired.
     pub capacity_in_force: bool,
-    /// How many processes may be using a part of it.
+    /// The number of processes that may be using units of the budget.
     pub holders: usize,
 }
 
-/// One budget.
+/// A budget with its lease holders.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub(crate) struct Budget {
     terms: BudgetTerms,
-    /// By incarnation.
+    /// The holders by incarnation.
     #[serde(rename = "holdings")]
     holders: BTreeMap<u64, LeaseHolder>,
-    /// The sum of what is outstanding for each holder.
+    /// The sum of the outstanding amounts of all holders.
     #[serde(rename = "counted")]
     outstanding: u64,
-    /// When the next lease of each holder is surely over.
+    /// When the next lease of each holder expires.
     #[serde(rename = "ends")]
     expiries: BTreeSet<Expiry>,
-    /// Whose turn it is to have one more, of units that do not go round.
+    /// Assigns the units that are left over after the division, in turn.
     #[serde(rename = "turns")]
     rotation: Rotation,
     #[serde(rename = "since", with = "serde_instant")]
     created_at: Instant,
 }
 
-/// When a lease of a holder is surely over. Ordered by time; stored as a pair.
+/// When the next lease of a holder expires. Ordered by time; serialized as a pair.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 struct Expiry {
@@ -107,8 +110,8 @@
         }
     }
 
-    /// Changes the terms. A smaller capacity comes into force as leases end; another duration, drift or margin counts
-    /// from the next lease on.
+    /// Changes the terms. A reduced capacity comes into force as leases expire. A changed duration, clock drift or
+    /// pause margin applies to leases granted from now on.
     pub fn change_terms(&mut self, now: Instant, name: &str, terms: BudgetTerms) -> Result<(), AdminError> {
         if terms.kind != self.terms.kind {
             return Err(AdminError::BudgetKindChanged { budget: name.to_owned() });
@@ -128,12 +131,13 @@
         }
     }
 
-    /// What a process may be using at most.
+    /// The most units that a process may be using.
     pub fn outstanding(&self, incarnation: u64) -> u64 {
         self.holders.get(&incarnation).map_or(0, LeaseHolder::outstanding)
     }
 
-    /// A process reports what it uses and gets its next lease. `version` is larger than that of all leases before.
+    /// Records what a process reports and grants its next lease. `version` has to be larger than that of all earlier
+    /// leases.
     pub fn renew(&mut self, now: Instant, version: u64, incarnation: u64, report: &BudgetReport) -> Lease {
         self.holders.entry(incarnation).or_default();
         self.update_holder(incarnation, |holder| {
@@ -142,49 +146,50 @@
             holder.suspected = false;
         });
         let amount = self.next_amount(incarnation);
-        let end = surely_over_at(
+        let expires_at = safe_expiry(
             now,
             self.terms.lease_duration_us,
             report.max_in_flight_us,
             self.terms.max_clock_drift_ppm,
             self.terms.pause_margin_us,
         );
-        self.update_holder(incarnation, |holder| holder.record_lease(version, amount, end));
+        self.update_holder(incarnation, |holder| holder.record_lease(version, amount, expires_at));
         let duration_us = self.terms.lease_duration_us;
         Lease { budget: report.budget.clone(), version, amount, duration_us }
     }
 
-    /// The amount of a process's next lease: its target, but never more than what is outstanding for it anyway and
-    /// what is free. This is the safety rule of the module.
+    /// The amount of a process's next lease: its target, but at most its outstanding amount plus the free units. This
+    /// limit enforces the safety rule of the module.
     fn next_amount(&self, incarnation: u64) -> u64 {
-        // The reserve is there for those that have nothing yet, so that a crowd of them starts at once.
+        // The reserve is kept for first leases, so that many nodes that join together can all start immediately.
         let is_newcomer = self.holders.get(&incarnation).is_some_and(|holder| holder.target.is_none());
         let reserved = if is_newcomer { 0 } else { self.newcomer_reserve() };
         let available = self.free().saturating_sub(reserved);
-        self.target(incarnation).min(self.outstanding(incarnation) + available)
+        self.target_amount(incarnation).min(self.outstanding(incarnation) + available)
     }
 
-    /// What a process should have.
-    fn target(&self, incarnation: u64) -> u64 {
+    /// The units that a process should have, as far as they are available.
+    fn target_amount(&self, incarnation: u64) -> u64 {
         let Some(holder) = self.holders.get(&incarnation).filter(|holder| !holder.fenced) else {
             return 0;
         };
-        // Any division meets a demand up to an equal part, so what was not needed yet at the last one may be had now.
+        // Every division meets a demand at least up to an equal part of the capacity. A demand that has grown since the
+        // last division can therefore be met up to an equal part without waiting for the next one.
         let sharing = self.holders.values().filter(|other| other.shares_capacity()).count();
         let equal_part = self.terms.capacity / sharing.max(1) as u64;
-        let at_once = holder.demand_milliunits.div_ceil(MILLIUNITS_PER_UNIT).min(equal_part);
+        let immediate = holder.demand_milliunits.div_ceil(MILLIUNITS_PER_UNIT).min(equal_part);
         match holder.target {
             Some(target) => {
                 let with_turn = target + u64::from(self.rotation.has_turn(incarnation));
-                with_turn.max(at_once)
+                with_turn.max(immediate)
             }
-            // A newcomer has at least one unit to begin with.
-            None => at_once.max(self.terms.min_per_node).max(1),
+            // A newcomer gets at least one unit to start with.
+            None => immediate.max(self.terms.min_per_node).max(1),
         }
     }
 
-    /// Divides the capacity anew by demand. The minimum of each node is part of its demand, so it is met as far as
-    /// the capacity goes round.
+    /// Sets the targets of all holders by dividing the capacity according to demand. Each demand is raised to the
+    /// minimum per node, so the minimum is met as long as the capacity suffices.
     pub fn divide(&mut self, now: Instant) {
         let min_milliunits = self.terms.min_per_node * MILLIUNITS_PER_UNIT;
         let demands: Vec<u64> = self
@@ -209,12 +214,14 @@
         self.rotation.rotate(now, lease_duration, &fractions, divisible - whole_units);
     }
 
-    /// The leader hears nothing of a holder, or hears it again. Its leases go on counting; only its demand does not.
+    /// Sets whether the leader suspects that a holder has failed. The leases of a suspected holder stay outstanding;
+    /// only its demand is left out of the division.
     pub fn set_suspected(&mut self, incarnation: u64, suspected: bool) {
         self.update_holder(incarnation, |holder| holder.suspected = suspected);
     }
 
-    /// Another process has taken a holder's name: it gets nothing more, and what it holds counts until it is over.
+    /// Fences a holder whose name another process has taken. It gets no new units, and its leases stay outstanding
+    /// until they expire.
     pub fn fence(&mut self, incarnation: u64) {
         self.update_holder(incarnation, |holder| {
             holder.fenced = true;
@@ -222,22 +229,22 @@
         });
     }
 
-    /// Nothing that a holder started runs any more: what it held is free. Whether it was a holder.
+    /// Frees the units of a process of which nothing runs any more. Returns whether it was a holder.
     pub fn release(&mut self, incarnation: u64) -> bool {
         let was_holder = self.update_holder(incarnation, LeaseHolder::release).is_some();
         self.holders.remove(&incarnation);
         was_holder
     }
 
-    /// Frees what is surely over.
+    /// Frees the units of the leases that have expired by `now`.
     pub fn expire(&mut self, now: Instant) {
         while let Some(expiry) = self.expiries.first().copied() {
             if expiry.at_us > to_micros(now) {
                 return;
             }
             self.update_holder(expiry.incarnation, |holder| holder.expire(now));
-            debug_assert!(!self.expiries.contains(&expiry), "an expired lease is gone");
-            // A process that is alive has a new lease long before its last one is over.
+            debug_assert!(!self.expiries.contains(&expiry), "an expired lease was not removed");
+            // A process that is alive renews its lease long before the last one expires.
             if self.holders.get(&expiry.incarnation).is_some_and(LeaseHolder::is_empty) {
                 self.holders.remove(&expiry.incarnation);
             }
@@ -248,13 +255,13 @@
         self.terms.capacity.saturating_sub(self.outstanding)
     }
 
-    /// The part of the capacity that only first leases are taken from.
+    /// The units of the capacity that are reserved for first leases.
     fn newcomer_reserve(&self) -> u64 {
-        // The capacity is at most 2^40 and the part at most a thousand, so this does not overflow.
+        // This can't overflow: the capacity is at most 2^40 and the reserve at most 1000 permille.
         self.terms.capacity * self.terms.newcomer_reserve_permille / 1000
     }
 
-    /// Changes a holder, and with it the sum and the expiry that are kept of it.
+    /// Changes a holder, and updates the total outstanding amount and the holder's entry in `expiries` accordingly.
     fn update_holder<T>(
         &mut self,
         incarnation: u64,
--- a/crates/core/coordination/src/clock.rs
+++ b/crates/core/coordination/src/clock.rs
@@ -1,52 +1,53 @@
-//! The clock of the replicated state: what passed by the clocks of the leaders, never more than what really passed.
+//! The clock of the replicated state. It is driven by the timestamps of log entries and never runs ahead of real time.
 
 use crate::serde_instant;
 use lynxtally::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
-/// Parts per million in a whole.
-const MILLION: u64 = 1_000_000;
+/// The factor between a fraction and parts per million.
+const PPM_SCALE: u64 = 1_000_000;
 
-/// What a leader observed when it wrote a log entry.
+/// The timestamp of a log entry, which the leader takes before it writes the entry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Timestamp {
-    /// The term in which it knew itself the leader before it looked at its clock.
+    /// The term in which the leader knew that it was the leader, before it read its clock.
     pub term: u64,
-    /// Its clock after the request had arrived.
+    /// The leader's clock, read after the request had arrived.
     pub leader_clock: Instant,
 }
 
-/// A timestamp was taken in another term than its entry was written in: it does not tell when the entry was written.
+/// The timestamp was taken in another term than the one in which its entry was written, so it does not show when the
+/// entry was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TermMismatch;
 
-/// Time as the replicated state counts it.
+/// The time of the replicated state.
 ///
-/// Safety rule. Leases are counted from here to the moment when their units may be granted again, so this clock must
-/// never run ahead of real time: between two entries it advances by what *one* leader's clock advanced within that
-/// leader's term, and from one term to the next by nothing. A new leader therefore extends leases and never cuts them
-/// short, whatever its clock shows.
+/// Safety rule: this clock must never run ahead of real time, because it decides when the units of an expired lease may
+/// be granted again. Within a term it advances by as much as the clock of that term's leader. Between the last entry of
+/// a term and the first entry of the next it does not advance, because the clocks of two leaders can't be compared. A
+/// change of leader can therefore extend leases but never shorten them, whatever the clock of the new leader shows.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub(crate) struct StateClock {
     #[serde(with = "serde_instant")]
     now: Instant,
-    /// The term whose leader's clock is followed.
+    /// The term of the last timestamp.
     term: u64,
-    /// Where that leader's clock stood at the first entry of its term.
+    /// The clock of this term's leader at the first entry of the term.
     #[serde(rename = "from", with = "serde_instant")]
     leader_clock_at_term_start: Instant,
-    /// What time it was here then.
+    /// The time of the replicated state at the first entry of the term.
     #[serde(rename = "base", with = "serde_instant")]
     time_at_term_start: Instant,
 }
 
 impl StateClock {
-    /// Follows the timestamp of an entry that was written in `entry_term`.
+    /// Advances the clock to the timestamp of an entry that was written in `entry_term`.
     ///
-    /// A timestamp and an entry of one term come from one leader that led all the time between them. What stands in
-    /// the log of earlier terms was written before that leader's first clock reading, so no more is counted from
-    /// there on than really passed.
-    pub fn follow(&mut self, entry_term: u64, timestamp: Timestamp) -> Result<(), TermMismatch> {
+    /// If the timestamp and the entry have the same term, both come from the same leader, which stayed the leader from
+    /// one to the other. All entries of earlier terms were written before that leader first read its clock, so the time
+    /// counted from that reading has really passed since those entries.
+    pub fn advance(&mut self, entry_term: u64, timestamp: Timestamp) -> Result<(), TermMismatch> {
         if timestamp.term != entry_term || entry_term < self.term {
             return Err(TermMismatch);
         }
@@ -56,7 +57,7 @@
             self.time_at_term_start = self.now;
         }
         let passed_in_term = timestamp.leader_clock - self.leader_clock_at_term_start;
-        // Entries of one leader may stand in another order than their timestamps.
+        // The timestamps of one term need not be in the order of its entries.
         self.now = self.now.max(self.time_at_term_start + passed_in_term);
         Ok(())
     }
@@ -66,23 +67,25 @@
     }
 }
 
-/// When all that a node started under a lease or reservation is surely over, by the clock here.
+/// The time at which a lease or reservation granted `now` expires by the clock of the replicated state. By then,
+/// everything that the node started under it has ended.
 ///
-/// The node counts the duration from before it first sent its request; the leader looked at its clock after that. Both
-/// the duration and the longest time in flight are extended by what the two clocks may drift apart, rounded up, and a
-/// margin is added for a pause of the node between its clock reading and what it starts then.
-pub(crate) fn surely_over_at(
+/// The node counts the duration from before it first sent its request, and the leader read its clock after that, so the
+/// lease ends at the node first. The duration and the longest time in flight are extended by the largest possible drift
+/// between the two clocks, rounded up. The pause margin covers a pause of the node between reading its clock and
+/// starting a call.
+pub(crate) fn safe_expiry(
     now: Instant,
     duration_us: u64,
     max_in_flight_us: u64,
     max_clock_drift_ppm: u64,
     pause_margin_us: u64,
 ) -> Instant {
-    let in_use = Span::from_micros(duration_us.saturating_add(max_in_flight_us));
-    now + extend_by_drift(in_use, max_clock_drift_ppm) + Span::from_micros(pause_margin_us)
+    let longest_use = Span::from_micros(duration_us.saturating_add(max_in_flight_us));
+    now + extend_by_drift(longest_use, max_clock_drift_ppm) + Span::from_micros(pause_margin_us)
 }
 
 fn extend_by_drift(duration: Span, drift_ppm: u64) -> Span {
-    let parts = u128::from(duration.micros()) * u128::from(MILLION + drift_ppm);
-    Span::from_micros(u64::try_from(parts.div_ceil(u128::from(MILLION))).unwrap_or(u64::MAX))
+    let parts = u128::from(duration.micros()) * u128::from(PPM_SCALE + drift_ppm);
+    Span::from_micros(u64::try_from(parts.div_ceil(u128::from(PPM_SCALE))).unwrap_or(u64::MAX))
 }
--- a/crates/core/coordination/src/command.rs
+++ b/crates/core/coordination/src/command.rs
@@ -1,4 +1,4 @@
-//! What stands in the replicated log, and what comes of applying it.
+//! The entries of the replicated log, and the outputs of applying them.
 
 use crate::clock::Timestamp;
 use crate::serde_instant;
@@ -8,22 +8,22 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Where an entry stands in the log.
+/// The position of an entry in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogPosition {
-    /// Its index, counted up by one.
+    /// The index of the entry. Each entry's index is one more than that of the entry before.
     pub index: u64,
-    /// The term in which it was written.
+    /// The term in which the entry was written.
     pub term: u64,
 }
 
-/// A command, and what the leader that wrote it observed.
+/// A command with the timestamp that the leader took before it wrote the command to the log.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct TimestampedCommand {
-    /// The term in which the leader knew itself the leader before it looked at its clock.
+    /// The term in which the leader knew that it was the leader, before it read its clock.
     pub term: u64,
-    /// The leader's clock after the request had arrived: it only counts up, also while its machine sleeps, from any
-    /// zero. In the log it is in microseconds.
+    /// The leader's clock, read after the request had arrived. The clock is monotonic, goes on while the machine is
+    /// suspended, and may start from any zero. Stored in microseconds.
     #[serde(rename = "at", with = "serde_instant")]
     pub leader_clock: Instant,
     /// The command.
@@ -42,10 +42,11 @@
     /// Changes nothing.
     #[serde(rename = "blank")]
     NoOp,
-    /// Time has passed: budgets are divided anew, and units in doubt are settled.
+    /// Does the periodic work, such as dividing budgets anew and settling units in doubt.
     #[serde(rename = "tick")]
     Tick {
-        /// Up to which index each other coordinator acknowledged the log to the leader.
+        /// The log index up to which each other coordinator has acknowledged the log to the leader, by the
+        /// coordinator's number.
         #[serde(rename = "had")]
         acknowledged_indexes: BTreeMap<u64, u64>,
     },
@@ -55,36 +56,36 @@
     /// An operator's request.
     #[serde(rename = "order")]
     Admin(AdminRequest),
-    /// The leader hears nothing of an incarnation any more, or hears it again.
+    /// The leader's failure detector started or stopped suspecting that an incarnation has failed.
     #[serde(rename = "suspect")]
     Suspect {
-        /// Which.
+        /// The incarnation in question.
         incarnation: u64,
-        /// Whether it is suspected now.
+        /// Whether the leader now suspects the incarnation.
         #[serde(rename = "suspect")]
         suspected: bool,
     },
-    /// Each replica notes the digest of its state here.
+    /// Each replica stores the digest of its state at this log index.
     #[serde(rename = "mark")]
     TakeCheckpoint,
-    /// The digest that the leader's state had at a checkpoint.
+    /// Each replica compares its digest at a checkpoint with the leader's.
     #[serde(rename = "compare")]
     CompareCheckpoint {
-        /// The checkpoint's log index.
+        /// The log index of the checkpoint.
         #[serde(rename = "number")]
         index: u64,
-        /// The leader's digest.
+        /// The digest of the leader's state at the checkpoint.
         digest: Digest,
     },
 }
 
-/// The digest of the state at a log index. It is stored as a pair.
+/// The digest of the state at a log index. It is serialized as a pair.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(from = "(u64, Digest)", into = "(u64, Digest)")]
 pub struct Checkpoint {
-    /// The log index.
+    /// The log index at which the checkpoint was taken.
     pub index: u64,
-    /// The digest that the state had there.
+    /// The digest of the state at that index.
     pub digest: Digest,
 }
 
@@ -100,10 +101,10 @@
     }
 }
 
-/// What came of a command.
+/// The output of applying a command.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub enum Output {
-    /// Nobody is owed a response.
+    /// The command needs no response.
     #[serde(rename = "Nothing")]
     None,
     /// The response to a node.
@@ -112,20 +113,20 @@
     /// The response to an operator.
     #[serde(rename = "Outcome")]
     Admin(AdminResponse),
-    /// The timestamp was taken in another term than the entry was written in. Nothing was applied: the command has to
-    /// be timestamped and written again.
+    /// The timestamp was taken in another term than the one in which the entry was written. The command was not
+    /// applied; the leader has to timestamp it and write it to the log again.
     #[serde(rename = "Again")]
     TermMismatch,
-    /// The checkpoint of this replica.
+    /// The checkpoint that this replica took.
     #[serde(rename = "Marked")]
     Checkpoint(Checkpoint),
-    /// The state of this replica is not the leader's: it must not go on.
+    /// The state of this replica differed from the leader's at a checkpoint. The replica must stop.
     #[serde(rename = "Differs")]
     Diverged {
-        /// The checkpoint's log index.
+        /// The log index of the checkpoint.
         #[serde(rename = "number")]
         index: u64,
-        /// The digest of this replica.
+        /// The digest of this replica's state at the checkpoint.
         #[serde(rename = "own")]
         own_digest: Digest,
     },
--- a/crates/core/coordination/src/error.rs
+++ b/crates/core/coordination/src/error.rs
@@ -1,71 +1,73 @@
-//! Why a request of an operator can't be carried out.
+//! The errors for which an operator's request is rejected.
 
 use crate::schemas::{DocumentError, SchemaError};
 use crate::{budgets, wallets};
 use lynxtally_messages::{AdminResponse, Rejection};
 use std::fmt;
 
-/// Why a request of an operator can't be carried out. The text stands in stored responses, which replicas compare: it
-/// is the same in every version of the program, and names fields as they are on the wire.
+/// Why an operator's request is rejected.
+///
+/// The error texts must not change: they are part of stored responses, and replicas that run other versions of the
+/// program compare digests of the state that contains these responses. The texts name fields by their wire names.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminError {
-    /// The request is older than all that are remembered.
+    /// The request may be older than all recorded requests, so it may have been applied before.
     KeyTooOld {
-        /// The log index that it observed.
+        /// The observed log index in the request's key.
         observed_index: u64,
-        /// Requests up to this log index are forgotten.
+        /// The log index up to which the records of requests were evicted.
         evicted_index: u64,
     },
-    /// There are as many budgets as there may be.
+    /// The limit of budgets is reached.
     TooManyBudgets {
-        /// The budget that was to be created.
+        /// The name of the budget that was to be created.
         budget: String,
     },
-    /// What a budget counts can't be changed.
+    /// The kind of an existing budget can't be changed.
     BudgetKindChanged {
-        /// The budget.
+        /// The name of the budget.
         budget: String,
     },
-    /// There are as many wallets as there may be.
+    /// The limit of wallets is reached.
     TooManyWallets {
-        /// The wallet that was to be created.
+        /// The name of the wallet that was to be created.
         wallet: String,
     },
-    /// No wallet to top up has this name.
+    /// The wallet to top up does not exist.
     TopUpOfUnknownWallet {
-        /// The name.
+        /// The name in the request.
         wallet: String,
     },
-    /// The wallet would hold more than a wallet may.
+    /// The wallet would hold more than the largest allowed number of units.
     TooManyUnits {
-        /// What was bought before.
+        /// The number of units bought before.
         bought: u64,
     },
-    /// No wallet to withdraw from has this name.
+    /// The wallet to withdraw units from does not exist.
     WithdrawalFromUnknownWallet {
-        /// The name.
+        /// The name in the request.
         wallet: String,
     },
-    /// More was to be withdrawn than is in the balance.
+    /// The balance has fewer units than were to be withdrawn.
     InsufficientBalance {
-        /// What was to be withdrawn.
+        /// The number of units to withdraw.
         units: u64,
-        /// What is in the balance.
+        /// The number of units in the balance.
         balance: u64,
     },
-    /// An incarnation that was to be ended is no member and holds no lease.
+    /// The incarnation to end is not a member and holds no lease.
     UnknownIncarnation {
-        /// Which.
+        /// The incarnation in the request.
         incarnation: u64,
     },
     /// A schema can't be proposed.
     Schema(SchemaError),
-    /// A document is written in a version that is not in force.
+    /// A document is written in a schema version that is not in force.
     SchemaNotInForce {
-        /// The version.
+        /// The schema version in the request.
         version: u32,
     },
-    /// A document does not fit its schema.
+    /// A document does not conform to its schema.
     Document(DocumentError),
 }
 
--- a/crates/core/coordination/src/lib.rs
+++ b/crates/core/coordination/src/lib.rs
@@ -1,16 +1,20 @@
-//! The replicated state machine of coordination: who is a member, and what each may use of what all share.
+//! The replicated state machine of the coordinators. It tracks the members, the leases of shared budgets, the wallets
+//! of tenants, and route documents with their schemas.
 //!
-//! A replicated log drives it: [`CoordinationState::apply`] takes the entry at a log position and gives the output. It
-//! reads no clock, does no I/O and iterates over nothing that is hashed, so two replicas that applied the same log are
-//! equal byte for byte, and their digests tell so.
+//! Call [`CoordinationState::apply`] with each entry of the replicated log, in order; it returns the output of the
+//! entry. It reads no clock, does no I/O and iterates over no hashed collection. Two replicas that applied the same log
+//! therefore serialize to the same bytes, and comparing their digests reveals a replica that has diverged.
 //!
-//! Where to look:
-//! - *who may use what, and who may hold a lease after a pause*: [`budgets`];
-//! - *when a lease is surely over*: `clock`, the only place where time is counted;
-//! - *which process has a name, and who is fenced off*: `members`;
-//! - *where every unit that a tenant bought is*: [`wallets`];
-//! - *which route document a reader is given*: [`schemas`];
-//! - *how a command changes all that*: `state`, with `node_requests` and `admin_requests`.
+//! Two outputs need action from the caller. After [`Output::Diverged`] the replica must stop. After
+//! [`Output::TermMismatch`] the command has not been applied and has to be written to the log again.
+//!
+//! Modules:
+//! - [`budgets`]: how the capacity of a budget is leased to nodes, and why leases never exceed it;
+//! - `clock`: the time of the replicated state, and when a lease or reservation expires;
+//! - `members`: which process uses which name, and the fencing of replaced processes;
+//! - [`wallets`]: where each unit that a tenant bought is;
+//! - [`schemas`]: which route document each reader is given;
+//! - `state`: how commands change the state, with `node_requests` and `admin_requests`.
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/coordination/src/members/mod.rs
+++ b/crates/core/coordination/src/members/mod.rs
@@ -1,9 +1,9 @@
-//! Members: the process that speaks under each name, by its incarnation.
+//! Members: the processes that currently use each node name, by incarnation.
 //!
-//! Safety rule, fencing. An incarnation is the log index at which it was asked for, so no two processes ever share
-//! one, and later ones are larger. The first request under a new incarnation takes the name; whoever had the name
-//! before is fenced off: each of its requests is rejected as [`Rejection::Replaced`] and it gets nothing more. What it
-//! holds goes on counting until it is surely over, as it may still be running.
+//! Safety rule (fencing): an incarnation is the log index of a process's join request, so no two processes share one,
+//! and later ones are larger. The first request under a new incarnation takes the name. The process that had the name
+//! before is fenced: its requests are rejected as [`Rejection::Replaced`] and it is granted nothing more. Its leases
+//! stay outstanding until they expire, because the process may still be running.
 
 mod joining;
 
@@ -16,35 +16,36 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// A member that is suspected and was silent for longer is not listed any more.
-const FORGET_SILENT_AFTER: Span = Span::from_millis(3_600_000);
+/// A suspected member that has sent no request for longer than this is removed.
+const SILENT_MEMBER_TIMEOUT: Span = Span::from_millis(3_600_000);
 
-/// A process that spoke under its incarnation.
+/// A process that has sent a request under its incarnation.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct Member {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Its program's version.
+    /// The version of the process's program.
     #[serde(rename = "program")]
     pub program_version: String,
-    /// The versions of route schemas that it reads.
+    /// The versions of the route schema that the process can read.
     #[serde(rename = "schemas")]
     pub schema_versions: Vec<u32>,
-    /// When its last request was applied, by the state's clock.
+    /// When the member's last request was applied, by the clock of the replicated state.
     #[serde(rename = "heard", with = "serde_instant")]
     pub last_heard: Instant,
-    /// The route document that it applied.
+    /// The route document that the process has applied; `None` if it does not read route documents.
     #[serde(rename = "applied")]
     pub applied_document: Option<AppliedDocument>,
-    /// Whether the leader hears nothing of it. A suspect's leases go on counting: suspicion decides only whose demand
-    /// counts.
+    /// Whether the leader suspects that the process has failed. The leases of a suspected member stay outstanding; only
+    /// its demand is left out when budgets are divided.
     #[serde(rename = "suspect")]
     pub suspected: bool,
     #[serde(rename = "last")]
     last_applied: LastApplied,
 }
 
-/// The last request that was applied, with its response, for a copy of it that comes later. It is stored as a pair.
+/// The last applied request of a member with its response, which a later duplicate of the request gets again. It is
+/// serialized as a pair.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 #[serde(from = "(u64, Option<NodeResponse>)", into = "(u64, Option<NodeResponse>)")]
 struct LastApplied {
@@ -64,8 +65,9 @@
     }
 }
 
-/// The members. A process is one until it ends its session, another takes its name, or it was suspected and silent
-/// for an hour. What it held counts on in the budgets until it is surely over.
+/// All members. A process stays a member until it ends its session, an operator ends its incarnation, another process
+/// takes its name, or it has been suspected and silent for an hour. Unless the end of its session or incarnation freed
+/// its leases, they stay outstanding in the budgets until they expire.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub(crate) struct Members {
     #[serde(rename = "all")]
@@ -73,33 +75,33 @@
     by_name: BTreeMap<String, u64>,
     #[serde(rename = "asking")]
     joining: JoiningProcesses,
-    /// Every incarnation up to this was given out.
+    /// The largest incarnation assigned so far.
     #[serde(rename = "given")]
     last_incarnation: u64,
 }
 
-/// What a request turned out to be.
+/// How a received request is to be handled.
 pub(crate) enum Delivery {
-    /// A copy of the one that was applied last, with the response that it had.
+    /// The request is a duplicate of the one applied last; contains that request's response.
     Duplicate(NodeResponse),
-    /// One that can't be applied.
+    /// The request can't be applied.
     Rejected(Rejection),
-    /// A new one.
+    /// The request is new and has to be applied.
     New {
-        /// The incarnation that the sender takes the name from, with its first request.
+        /// The incarnation whose name the sender takes with its first request, if there is one.
         replaced: Option<u64>,
     },
 }
 
 impl Members {
-    /// A process asks for an incarnation; none where too many are joining.
+    /// Assigns an incarnation to a process that asks to join; `None` if too many processes are joining.
     pub fn join(&mut self, now: Instant, index: u64, request: &NodeRequest) -> Option<u64> {
-        let incarnation = self.joining.ask(now, index, &request.name, request.sequence)?;
+        let incarnation = self.joining.assign_incarnation(now, index, &request.name, request.sequence)?;
         self.last_incarnation = self.last_incarnation.max(incarnation);
         Some(incarnation)
     }
 
-    /// A process speaks under its incarnation.
+    /// Decides how to handle a request that was sent under an incarnation.
     pub fn receive(&mut self, now: Instant, request: &NodeRequest) -> Delivery {
         match self.by_incarnation.get_mut(&request.incarnation) {
             Some(member) => member.receive(now, request),
@@ -107,12 +109,12 @@
         }
     }
 
-    /// The first request under an incarnation, or one under an incarnation that is no member.
+    /// Handles a request from an incarnation that is not a member: its first request makes it one.
     fn receive_first(&mut self, now: Instant, request: &NodeRequest) -> Delivery {
         if self.by_name.get(&request.name).is_some_and(|current| *current > request.incarnation) {
             return Delivery::Rejected(Rejection::Replaced);
         }
-        if !self.joining.take(request.incarnation, &request.name) {
+        if !self.joining.claim(request.incarnation, &request.name) {
             return Delivery::Rejected(Rejection::UnknownIncarnation);
         }
         self.by_incarnation.insert(request.incarnation, Member::new(now, request));
@@ -123,20 +125,20 @@
         Delivery::New { replaced }
     }
 
-    /// Keeps the response to a new request.
-    pub fn remember_response(&mut self, request: &NodeRequest, response: NodeResponse) {
+    /// Records the response to a new request, for duplicates of the request.
+    pub fn record_response(&mut self, request: &NodeRequest, response: NodeResponse) {
         if let Some(member) = self.by_incarnation.get_mut(&request.incarnation) {
             member.last_applied = LastApplied { sequence: request.sequence, response: Some(response) };
         }
     }
 
-    /// The leader hears nothing of a member, or hears it again; whether that changes anything.
+    /// Sets whether the leader suspects that a member has failed. Returns whether that changed.
     pub fn set_suspected(&mut self, incarnation: u64, suspected: bool) -> bool {
         let Some(member) = self.by_incarnation.get_mut(&incarnation) else { return false };
         std::mem::replace(&mut member.suspected, suspected) != suspected
     }
 
-    /// A member's session ends; whether it was a member.
+    /// Removes a member. Returns whether the incarnation was a member.
     pub fn remove(&mut self, incarnation: u64) -> bool {
         let Some(member) = self.by_incarnation.remove(&incarnation) else { return false };
         if self.by_name.get(&member.name) == Some(&incarnation) {
@@ -145,10 +147,11 @@
         true
     }
 
-    /// Forgets those that asked to join and never spoke, and those that were silent for very long.
-    pub fn forget_silent(&mut self, now: Instant) {
+    /// Removes the joining processes that never sent a first request, and the members that have been suspected and
+    /// silent for longer than [`SILENT_MEMBER_TIMEOUT`].
+    pub fn remove_silent(&mut self, now: Instant) {
         self.joining.expire(now);
-        let is_silent = |member: &Member| member.suspected && now - member.last_heard > FORGET_SILENT_AFTER;
+        let is_silent = |member: &Member| member.suspected && now - member.last_heard > SILENT_MEMBER_TIMEOUT;
         let silent: Vec<u64> = self
             .by_incarnation
             .iter()
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Those that read route documents.
+    /// The members that read route documents.
     pub fn schema_readers(&self) -> Vec<SchemaReader<'_>> {
         self.by_incarnation
             .values()
@@ -169,7 +172,7 @@
             .collect()
     }
 
-    /// All members in the order of their incarnations.
+    /// All members by incarnation, in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = (u64, &Member)> {
         self.by_incarnation.iter().map(|(incarnation, member)| (*incarnation, member))
     }
--- a/crates/core/coordination/src/node_requests.rs
+++ b/crates/core/coordination/src/node_requests.rs
@@ -1,4 +1,4 @@
-//! Applying a node's request: joining, renewing leases and reservations, ending a session.
+//! Applies the requests of nodes: joining, renewing leases and reservations, ending a session.
 
 use crate::members::Delivery;
 use crate::CoordinationState;
@@ -7,7 +7,8 @@
     AppliedDocument, Document, Lease, LeaseUpdate, NodeRequest, NodeResponse, Rejection, Reservation,
 };
 
-/// What a reader of route documents is told with its leases.
+/// The part of a response that is about the route document. Both fields are `None` if the node does not read route
+/// documents, if no document is in force, or if the node has already applied the one in force.
 #[derive(Default)]
 struct DocumentUpdate {
     document: Option<Document>,
@@ -15,7 +16,7 @@
 }
 
 impl CoordinationState {
-    /// Applies a node's request. A copy of the last one gets the same response and changes nothing.
+    /// Applies a node's request. A duplicate of the node's last request gets the same response and changes nothing.
     pub(crate) fn apply_node_request(&mut self, now: Instant, request: &NodeRequest) -> NodeResponse {
         if request.incarnation == 0 {
             return self.join(now, request);
@@ -28,7 +29,7 @@
                     self.fence(former);
                 }
                 let response = NodeResponse::Accepted(self.apply_new_request(now, request));
-                self.members.remember_response(request, response.clone());
+                self.members.record_response(request, response.clone());
                 response
             }
         }
@@ -48,7 +49,8 @@
         }
     }
 
-    /// Another process has taken this one's name. It may still be using what it has, but gets nothing more.
+    /// Fences a process whose name a newer process has taken. It is granted nothing more, but what it holds stays
+    /// outstanding, because it may still be running.
     fn fence(&mut self, incarnation: u64) {
         self.budgets.values_mut().for_each(|budget| budget.fence(incarnation));
         self.wallets.values_mut().for_each(|wallet| wallet.fence(incarnation));
@@ -74,7 +76,7 @@
         }
     }
 
-    /// A process says that nothing that it started runs any more: all that it held is free.
+    /// Frees the units of a process that has reported that nothing it started still runs.
     fn end_session(&mut self, request: &NodeRequest) {
         for (name, wallet) in &mut self.wallets {
             let report = request.wallets.iter().find(|report| report.wallet == *name);
@@ -106,7 +108,7 @@
         reservations
     }
 
-    /// The route document that a reader is to apply, where that is another than it has, or why it can read none.
+    /// The route document if the reader has yet to apply it, or the reason why the reader can't be given it.
     fn document_update(&self, request: &NodeRequest) -> DocumentUpdate {
         let (Some(applied), Some(index)) = (&request.applied_document, self.schemas.document_index()) else {
             return DocumentUpdate::default();
--- a/crates/core/coordination/src/recent_requests.rs
+++ b/crates/core/coordination/src/recent_requests.rs
@@ -1,52 +1,53 @@
-//! Recent requests of operators by their idempotency keys: each is carried out once, however often and late it comes.
+//! A record of operators' recent requests by idempotency key. It ensures that each request is applied at most once,
+//! however often and however late it arrives.
 
 use crate::error::AdminError;
 use lynxtally_messages::{AdminResponse, IdempotencyKey};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// As many requests are remembered. One that is older than all of them is rejected, not carried out: nobody can tell
-/// any more whether it was.
-const MAX_REMEMBERED: usize = 4096;
+/// The number of requests that are recorded. A request that may be older than all of them is rejected, because the
+/// coordinators can no longer know whether it was applied.
+const MAX_RECORDED: usize = 4096;
 
-/// The responses to the last requests of operators.
+/// The last requests of operators, with their responses.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub(crate) struct RecentRequests {
     #[serde(rename = "kept")]
-    remembered: VecDeque<Remembered>,
-    /// The log index up to which requests were forgotten.
+    recorded: VecDeque<RecordedRequest>,
+    /// The log index up to which requests were evicted from the record.
     #[serde(rename = "forgotten")]
     evicted_index: u64,
 }
 
-/// A request that was carried out or rejected. It is stored as a triple.
+/// A request that was applied or rejected. It is serialized as a triple.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(from = "(IdempotencyKey, u64, AdminResponse)", into = "(IdempotencyKey, u64, AdminResponse)")]
-struct Remembered {
+struct RecordedRequest {
     key: IdempotencyKey,
-    /// The log index at which it was.
+    /// The log index of the request.
     index: u64,
     response: AdminResponse,
 }
 
-impl From<(IdempotencyKey, u64, AdminResponse)> for Remembered {
+impl From<(IdempotencyKey, u64, AdminResponse)> for RecordedRequest {
     fn from((key, index, response): (IdempotencyKey, u64, AdminResponse)) -> Self {
         Self { key, index, response }
     }
 }
 
-impl From<Remembered> for (IdempotencyKey, u64, AdminResponse) {
-    fn from(remembered: Remembered) -> Self {
-        (remembered.key, remembered.index, remembered.response)
+impl From<RecordedRequest> for (IdempotencyKey, u64, AdminResponse) {
+    fn from(recorded: RecordedRequest) -> Self {
+        (recorded.key, recorded.index, recorded.response)
     }
 }
 
 impl RecentRequests {
-    /// The response to a request that came before, or that nobody can know any more whether it did; none where it
-    /// surely is new.
+    /// The response to a request that must not be applied: the recorded response if the request was received before,
+    /// a rejection if it may have been. `None` if the request is certainly new.
     pub fn response_to(&self, key: &IdempotencyKey) -> Option<AdminResponse> {
-        if let Some(known) = self.remembered.iter().find(|known| known.key == *key) {
-            return Some(known.response.clone());
+        if let Some(earlier) = self.recorded.iter().find(|earlier| earlier.key == *key) {
+            return Some(earlier.response.clone());
         }
         if key.observed_index >= self.evicted_index {
             return None;
@@ -56,10 +57,10 @@
         Some(error.into_response())
     }
 
-    pub fn remember(&mut self, key: &IdempotencyKey, index: u64, response: AdminResponse) {
-        self.remembered.push_back(Remembered { key: key.clone(), index, response });
-        if self.remembered.len() > MAX_REMEMBERED {
-            if let Some(oldest) = self.remembered.pop_front() {
+    pub fn record(&mut self, key: &IdempotencyKey, index: u64, response: AdminResponse) {
+        self.recorded.push_back(RecordedRequest { key: key.clone(), index, response });
+        if self.recorded.len() > MAX_RECORDED {
+            if let Some(oldest) = self.recorded.pop_front() {
                 self.evicted_index = oldest.index;
             }
         }
--- a/crates/core/coordination/src/schemas/compatibility.rs
+++ b/crates/core/coordination/src/schemas/compatibility.rs
@@ -1,98 +1,103 @@
-//! Whether an older reader can be given every document of a newer schema. The rules, for a field that both may know;
-//! docs/design/shares.md has the same table.
+//! Checks whether every document of a newer schema can be given to a reader of an older one.
 //!
-//! | change, from the older reader's schema to the newer | verdict |
+//! The rules for each field, which are also listed in docs/design/shares.md:
+//!
+//! | change from the older schema to the newer | result for a reader of the older schema |
 //! | --- | --- |
-//! | none; range or enumeration narrowed; optional now required | compatible |
-//! | added | rendered down: it is lost, its default stands for it |
-//! | added, must be understood | incompatible |
-//! | removed, was optional | compatible |
-//! | removed, was required | rendered down with the older default; without one incompatible |
-//! | renamed (`was`) | rendered down under the older name |
-//! | a text, now an enumeration whose names fit | compatible |
-//! | range, length or enumeration widened; other kind | incompatible |
-//! | default changed | rendered down: written out; to none, where there was one, incompatible |
-//! | single now list | incompatible |
-//! | list now single | rendered down as a list of one |
-//! | required now optional | rendered down where the newer has a default; else incompatible |
+//! | none; range or enumeration narrowed; optional made required | compatible |
+//! | added | rendered without the field, as if the field had its default |
+//! | added with `must_understand` | incompatible |
+//! | optional field removed | compatible |
+//! | required field removed | rendered with the older default; incompatible if there is none |
+//! | renamed (`was`) | rendered under the older name |
+//! | text made an enumeration whose names are not too long | compatible |
+//! | range, length or enumeration widened; other change of kind | incompatible |
+//! | default changed | rendered: the newer default is written out; incompatible if the default was removed |
+//! | single value made a list | incompatible |
+//! | list made a single value | rendered as a list of one |
+//! | required made optional | rendered if the newer field has a default; otherwise incompatible |
 
 use lynxtally_messages::{Field, FieldKind, Fields};
 
-/// What becomes of a newer schema's documents for an older reader. The lines are shown to operators and stand in the
-/// state that replicas compare.
+/// The differences between two schemas that affect readers of the older one.
+///
+/// The lines must not change: they are shown to operators, and are part of the state whose digests replicas of
+/// different program versions compare.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Compatibility {
-    /// What is lost or rendered otherwise: one line each, with the field.
+    /// The changes that are made when a document is rendered, one line each, with the field.
     pub rendered: Vec<String>,
-    /// Why some document can't be given: one line each, with the field and the rule.
+    /// The reasons why some documents can't be rendered, one line each, with the field and the rule.
     pub conflicts: Vec<String>,
 }
 
 impl Compatibility {
-    /// Whether every document can be given, rendered down where needed.
+    /// Whether every document of the newer schema can be rendered in the older one.
     pub fn is_compatible(&self) -> bool {
         self.conflicts.is_empty()
     }
 
-    fn rendered(&mut self, path: &str, what: &str) {
-        self.rendered.push(format!("`{path}`: {what}"));
+    fn add_rendered(&mut self, path: &str, change: &str) {
+        self.rendered.push(format!("`{path}`: {change}"));
     }
 
-    fn conflict(&mut self, path: &str, why: &str) {
-        self.conflicts.push(format!("`{path}`: {why}"));
+    fn add_conflict(&mut self, path: &str, reason: &str) {
+        self.conflicts.push(format!("`{path}`: {reason}"));
     }
 }
 
-/// The field of the newer schema that stands for one of the older, with its name.
+/// The field of the newer schema that corresponds to a field of the older one, with its newer name.
 pub(super) fn successor<'a>(newer: &'a Fields, name: &str) -> Option<(&'a String, &'a Field)> {
     let renamed = || newer.iter().find(|(_, field)| field.renamed_from.as_deref() == Some(name));
     newer.get_key_value(name).or_else(renamed)
 }
 
-/// Whether a field of the newer schema stands for one that the older knows.
+/// Whether a field of the newer schema corresponds to a field of the older one.
 pub(super) fn is_known(older: &Fields, name: &str, field: &Field) -> bool {
     older.contains_key(name) || field.renamed_from.as_ref().is_some_and(|former| older.contains_key(former))
 }
 
-/// Compares a newer schema with an older one.
+/// Checks whether every document of the newer schema can be rendered in the older one.
 pub fn check_compatibility(newer: &Fields, older: &Fields) -> Compatibility {
-    let mut verdict = Compatibility::default();
-    compare_records("", newer, older, &mut verdict);
-    verdict
+    let mut compatibility = Compatibility::default();
+    compare_records("", newer, older, &mut compatibility);
+    compatibility
 }
 
-fn compare_records(prefix: &str, newer: &Fields, older: &Fields, verdict: &mut Compatibility) {
+fn compare_records(prefix: &str, newer: &Fields, older: &Fields, compatibility: &mut Compatibility) {
     for (name, field) in newer.iter().filter(|(name, field)| !is_known(older, name, field)) {
         let path = format!("{prefix}{name}");
         if field.must_understand {
-            verdict.conflict(&path, "added, and has to be understood");
+            compatibility.add_conflict(&path, "added, and has to be understood");
         } else {
-            verdict.rendered(&path, &format!("added: lost; {} stands for it", describe_default(field)));
+            compatibility
+                .add_rendered(&path, &format!("added: lost; {} stands for it", describe_default(field)));
         }
     }
     for (name, old_field) in older {
         let path = format!("{prefix}{name}");
         match successor(newer, name) {
-            None => check_removed(&path, old_field, verdict),
+            None => check_removed(&path, old_field, compatibility),
             Some((new_name, new_field)) => {
                 if new_name != name {
-                    let what = format!("renamed: written under its older name, not `{new_name}`");
-                    verdict.rendered(&path, &what);
+                    let change = format!("renamed: written under its older name, not `{new_name}`");
+                    compatibility.add_rendered(&path, &change);
                 }
-                compare_fields(&path, new_field, old_field, verdict);
+                compare_fields(&path, new_field, old_field, compatibility);
             }
         }
     }
 }
 
-fn check_removed(path: &str, old_field: &Field, verdict: &mut Compatibility) {
+fn check_removed(path: &str, old_field: &Field, compatibility: &mut Compatibility) {
     if !old_field.required {
         return;
     }
     if old_field.default.is_some() {
-        verdict.rendered(path, &format!("removed: {} is written for it", describe_default(old_field)));
+        compatibility
+            .add_rendered(path, &format!("removed: {} is written for it", describe_default(old_field)));
     } else {
-        verdict.conflict(path, "removed, and the older reader needs it");
+        compatibility.add_conflict(path, "removed, and the older reader needs it");
     }
 }
 
@@ -103,35 +108,38 @@
     }
 }
 
-fn compare_fields(path: &str, new_field: &Field, old_field: &Field, verdict: &mut Compatibility) {
+fn compare_fields(path: &str, new_field: &Field, old_field: &Field, compatibility: &mut Compatibility) {
     match (new_field.is_list, old_field.is_list) {
-        (true, false) => verdict.conflict(path, "single, now a list"),
-        (false, true) => verdict.rendered(path, "a list, now single: written as a list of one"),
+        (true, false) => compatibility.add_conflict(path, "single, now a list"),
+        (false, true) => compatibility.add_rendered(path, "a list, now single: written as a list of one"),
         _ => {}
     }
-    compare_presence(path, new_field, old_field, verdict);
-    compare_kinds(path, &new_field.kind, &old_field.kind, verdict);
+    compare_presence(path, new_field, old_field, compatibility);
+    compare_kinds(path, &new_field.kind, &old_field.kind, compatibility);
 }
 
-/// Whether a document of the newer schema may lack the field, and what the older reader takes for it then.
-fn compare_presence(path: &str, new_field: &Field, old_field: &Field, verdict: &mut Compatibility) {
+/// Compares how the two schemas treat a document that leaves the field out: whether they allow it, and which default
+/// applies.
+fn compare_presence(path: &str, new_field: &Field, old_field: &Field, compatibility: &mut Compatibility) {
     let has_default = new_field.default.is_some();
     if new_field.required {
         return;
     }
     if old_field.required && !has_default {
-        verdict.conflict(path, "required, now optional without a default");
+        compatibility.add_conflict(path, "required, now optional without a default");
     } else if old_field.required {
-        let what = format!("required, now optional: {} is written out", describe_default(new_field));
-        verdict.rendered(path, &what);
+        let change = format!("required, now optional: {} is written out", describe_default(new_field));
+        compatibility.add_rendered(path, &change);
     } else if !have_same_default(new_field, old_field) && !has_default {
-        verdict.conflict(path, "the older reader has a default, and the newer has none");
+        compatibility.add_conflict(path, "the older reader has a default, and the newer has none");
     } else if !have_same_default(new_field, old_field) {
-        verdict.rendered(path, &format!("default changed: {} is written out", describe_default(new_field)));
+        compatibility
+            .add_rendered(path, &format!("default changed: {} is written out", describe_default(new_field)));
     }
 }
 
-/// Whether leaving the field out means the same to both.
+/// Whether both schemas have the same default for the field. A single value and a list of only that value count as the
+/// same.
 fn have_same_default(new_field: &Field, old_field: &Field) -> bool {
     match (&new_field.default, &old_field.default) {
         (Some(new), Some(old)) if new_field.is_list != old_field.is_list => {
@@ -141,34 +149,35 @@
     }
 }
 
-/// Whether the older reader reads every value of the newer kind.
-fn compare_kinds(path: &str, new_kind: &FieldKind, old_kind: &FieldKind, verdict: &mut Compatibility) {
+/// Checks that a reader of the older kind accepts every value of the newer kind.
+fn compare_kinds(path: &str, new_kind: &FieldKind, old_kind: &FieldKind, compatibility: &mut Compatibility) {
     match (new_kind, old_kind) {
         (FieldKind::Integer { min, max }, FieldKind::Integer { min: old_min, max: old_max }) => {
             if min < old_min || max > old_max {
-                let why = format!("range {min} to {max}, was {old_min} to {old_max}: widened");
-                verdict.conflict(path, &why);
+                let reason = format!("range {min} to {max}, was {old_min} to {old_max}: widened");
+                compatibility.add_conflict(path, &reason);
             }
         }
         (FieldKind::Text { max_bytes }, FieldKind::Text { max_bytes: old_max_bytes }) => {
             if max_bytes > old_max_bytes {
-                verdict.conflict(path, &format!("length {max_bytes}, was {old_max_bytes}: widened"));
+                compatibility
+                    .add_conflict(path, &format!("length {max_bytes}, was {old_max_bytes}: widened"));
             }
         }
         (FieldKind::Boolean {}, FieldKind::Boolean {}) => {}
         (FieldKind::Enumeration { names }, FieldKind::Enumeration { names: old_names }) => {
             if let Some(name) = names.iter().find(|name| !old_names.contains(name)) {
-                verdict.conflict(path, &format!("`{name}` was added to its names: widened"));
+                compatibility.add_conflict(path, &format!("`{name}` was added to its names: widened"));
             }
         }
         (FieldKind::Enumeration { names }, FieldKind::Text { max_bytes }) => {
             if let Some(name) = names.iter().find(|name| name.len() > *max_bytes as usize) {
-                verdict.conflict(path, &format!("`{name}` is longer than {max_bytes}"));
+                compatibility.add_conflict(path, &format!("`{name}` is longer than {max_bytes}"));
             }
         }
         (FieldKind::Record { fields: newer }, FieldKind::Record { fields: older }) => {
-            compare_records(&format!("{path}."), newer, older, verdict);
+            compare_records(&format!("{path}."), newer, older, compatibility);
         }
-        _ => verdict.conflict(path, "its kind changed"),
+        _ => compatibility.add_conflict(path, "its kind changed"),
     }
 }
--- a/crates/core/coordination/src/schemas/error.rs
+++ b/crates/core/coordination/src/schemas/error.rs
@@ -1,45 +1,47 @@
-//! Why a schema or a document can't be used. The texts stand in stored responses and in the state that replicas
-//! compare: they are the same in every version of the program.
+//! Errors in schemas and route documents.
+//!
+//! The error texts must not change: they are part of stored responses and of the state whose digests replicas of
+//! different program versions compare.
 
 use super::MAX_VERSIONS;
 use lynxtally_messages::FieldKind;
 use serde_json::Value;
 use std::fmt;
 
-/// Why a document does not fit a schema, or can't be rendered for an older reader.
+/// The field for which a document does not conform to a schema or can't be rendered in an older one, and the reason.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DocumentError {
     /// The path of the field.
     pub path: String,
-    /// What is wrong there.
+    /// The fault of the field.
     pub fault: DocumentFault,
 }
 
-/// What is wrong with a field of a document.
+/// A fault of a field of a document.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DocumentFault {
-    /// A record is expected.
+    /// The value is not a record, but the schema has a record here.
     NotARecord,
-    /// A list is expected.
+    /// The value is not a list, but the schema has a list here.
     NotAList,
     /// The schema has no such field.
     UnknownField,
-    /// The field is required.
+    /// The document leaves out a required field.
     Missing,
-    /// The field's kind does not allow its value.
+    /// The kind of the field does not allow the value.
     NotAllowed {
-        /// The value.
+        /// The value in the document.
         value: Value,
-        /// The kind.
+        /// The kind in the schema.
         kind: FieldKind,
     },
-    /// An older reader does not know the field and may not leave it out.
+    /// The field must be understood, but the older schema does not have it.
     MustBeUnderstood,
-    /// An older reader requires the field.
+    /// The older schema requires the field, but there is no value for it.
     RequiredByOlderReader,
-    /// An older reader would put its default in where the newer schema has no value.
+    /// The older schema has a default for the field, which would replace the absent value of the newer document.
     DefaultOfOlderReader,
-    /// An older reader knows one value where the document has a list of several, or of none.
+    /// The older schema has a single value where the document has a list that is empty or has several values.
     ListForSingleValue,
 }
 
@@ -82,20 +84,20 @@
 /// Why a schema can't be proposed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SchemaError {
-    /// Its version is not larger than the newest.
+    /// The version number is not larger than the newest one in force.
     NotNewer {
-        /// Its version.
+        /// The proposed version.
         version: u32,
         /// The newest version in force.
         newest: u32,
     },
-    /// As many versions as there may be can still be read.
+    /// The limit of versions in force is reached.
     TooManyVersions,
-    /// A default is not what its own field allows.
+    /// A field does not allow its own default.
     InvalidDefault {
         /// The path of the field.
         path: String,
-        /// What is wrong with its default.
+        /// The fault of the default.
         error: DocumentError,
     },
 }
@@ -114,21 +116,21 @@
 
 impl std::error::Error for SchemaError {}
 
-/// Why a reader can't be given a document in any version that it reads.
+/// Why a document can't be rendered in any version that a reader reads.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum RenderError {
-    /// The version that the document is written in was forgotten.
-    VersionForgotten(u32),
-    /// The reader reads no version up to the document's.
+    /// The version that the document is written in is no longer in force.
+    VersionRetired(u32),
+    /// The reader reads none of the versions in force up to the document's.
     NoVersion {
-        /// The document's version.
+        /// The version that the document is written in.
         up_to: u32,
     },
-    /// The document can't be rendered in the oldest version that was tried.
+    /// Rendering failed in every version that was tried. Only the error for the oldest one is reported.
     Document {
-        /// That version.
+        /// The oldest version that was tried.
         version: u32,
-        /// Why not.
+        /// The error in that version.
         error: DocumentError,
     },
 }
@@ -136,7 +138,7 @@
 impl fmt::Display for RenderError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::VersionForgotten(version) => write!(f, "version {version} is not known any more"),
+            Self::VersionRetired(version) => write!(f, "version {version} is not known any more"),
             Self::NoVersion { up_to } => write!(f, "it reads none of the versions up to {up_to}"),
             Self::Document { version, error } => write!(f, "version {version}: {error}"),
         }
--- a/crates/core/coordination/src/schemas/mod.rs
+++ b/crates/core/coordination/src/schemas/mod.rs
@@ -1,8 +1,11 @@
-//! Route documents and the schemas that they are written in, checked against every member that may still read them.
+//! Route documents, and the versioned schemas that they are written in.
 //!
-//! Safety rule: a reader is only ever given a document in a version that it reads, in which what it knows is equal to
-//! what was published. A schema or a document for which that does not hold for all readers *waits*; what was in force
-//! stays in force meanwhile, and each reason is told in one line.
+//! A reader is a member that reads route documents, in one or more schema versions. A document written in a newer
+//! version is rendered in an older one for the readers that need it.
+//!
+//! Safety rule: a reader is only given a document in a schema version that it reads, and each field that the reader
+//! knows has the value that was published. A schema or document that would break this rule for any reader *waits*. While
+//! it waits, the previous one stays in force, and each reason for waiting is reported in one line.
 
 mod compatibility;
 mod error;
@@ -21,49 +24,51 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// As many versions are kept for those that may read them.
+/// The most schema versions that may be in force.
 const MAX_VERSIONS: usize = 64;
-/// The newest versions that are kept though nobody reads them.
-const KEPT_VERSIONS: usize = 2;
+/// The number of newest schema versions that stay in force even if no member reads them.
+const MIN_RETAINED_VERSIONS: usize = 2;
 
 /// A member that reads route documents.
 pub(crate) struct SchemaReader<'a> {
     pub name: &'a str,
-    /// The schema versions that it reads.
+    /// The schema versions that the member can read.
     pub versions: &'a [u32],
 }
 
 /// A document as an operator published it.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 struct PublishedDocument {
-    /// The log index at which it was published.
+    /// The log index at which the document was published.
     #[serde(rename = "number")]
     index: u64,
+    /// The schema version that the document is written in.
     version: u32,
     body: Value,
 }
 
-/// Schemas, the document in force, and what waits.
+/// The schemas and the document in force, and the schema and the document that wait.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub(crate) struct Schemas {
     /// Schemas in force, by version.
     #[serde(rename = "known")]
     in_force: BTreeMap<u32, Schema>,
-    /// A schema that some reader can't be served with yet.
+    /// A schema that waits, because its documents can't be given to some reader yet.
     proposed: Option<Schema>,
+    /// The document in force.
     #[serde(rename = "in_force")]
     document: Option<PublishedDocument>,
-    /// A document that some reader can't be given yet.
+    /// A document that waits, because it can't be given to some reader yet.
     #[serde(rename = "held")]
     held_document: Option<PublishedDocument>,
-    /// Why something waits, and for whom: one line each.
+    /// The reasons for waiting, one line each, with the readers concerned.
     #[serde(rename = "waits")]
     waiting: Vec<String>,
 }
 
 impl Schemas {
-    /// Proposes a new schema version. It is in force at once where all readers can be given its documents; else it
-    /// waits.
+    /// Proposes a new schema version. It comes into force immediately if its documents can be given to all readers;
+    /// otherwise it waits.
     pub fn propose(&mut self, schema: &Schema, readers: &[SchemaReader]) -> Result<(), SchemaError> {
         let newest = self.newest().map_or(0, |newest| newest.version);
         if schema.version <= newest {
@@ -78,8 +83,8 @@
         Ok(())
     }
 
-    /// Publishes a new document in a version that is in force. It is in force at once where all readers can be given
-    /// it; else it is held.
+    /// Publishes a new document in a schema version that is in force. The document comes into force immediately if it
+    /// can be given to all readers; otherwise it waits.
     pub fn publish(
         &mut self,
         index: u64,
@@ -94,7 +99,7 @@
         Ok(())
     }
 
-    /// The readers may have changed: what waited may come into force.
+    /// Checks again whether the waiting schema and document can come into force, as the readers may have changed.
     pub fn review(&mut self, readers: &[SchemaReader]) {
         self.waiting.clear();
         self.review_proposed_schema(readers);
@@ -119,8 +124,8 @@
         let Some(document) = self.held_document.take() else { return };
         let mut reasons = Vec::new();
         for reader in readers.iter().filter(|reader| !reader.versions.is_empty()) {
-            if let Err(why) = self.render_for(&document, reader.versions) {
-                reasons.push(format!("document {} is held for {}: {why}", document.index, reader.name));
+            if let Err(error) = self.render_for(&document, reader.versions) {
+                reasons.push(format!("document {} is held for {}: {error}", document.index, reader.name));
             }
         }
         if reasons.is_empty() {
@@ -131,22 +136,23 @@
         }
     }
 
-    /// Why a schema's documents can't be given to all that may still read: one line each.
+    /// The reasons why documents of a schema can't be given to all readers of older versions, one line each.
     fn conflicts(&self, schema: &Schema, readers: &[SchemaReader]) -> Vec<String> {
-        let mut all = Vec::new();
+        let mut conflicts = Vec::new();
         for (version, names) in self.versions_still_read(schema.version, readers) {
             let Some(older) = self.in_force.get(&version) else { continue };
             let verdict = check_compatibility(&schema.fields, &older.fields);
             let names = names.join(", ");
             for conflict in verdict.conflicts {
-                all.push(format!("{conflict}; version {version}, read by {names}"));
+                conflicts.push(format!("{conflict}; version {version}, read by {names}"));
             }
         }
-        all
+        conflicts
     }
 
-    /// Which versions may still be read, and by whom: those of all readers, and the newest, in case the program is
-    /// rolled back, until all readers read the proposed version.
+    /// The versions in force that may still be read instead of the proposed one, with the names of their readers. Until
+    /// all readers read the proposed version, this includes the newest version in force, to which a rollback of the
+    /// program would return.
     fn versions_still_read(&self, proposed: u32, readers: &[SchemaReader]) -> BTreeMap<u32, Vec<String>> {
         let mut still_read: BTreeMap<u32, Vec<String>> = BTreeMap::new();
         let is_rolled_out =
@@ -155,32 +161,33 @@
             still_read.entry(schema.version).or_default().push("a program rolled back".to_owned());
         }
         for reader in readers.iter().filter(|reader| !reader.versions.contains(&proposed)) {
-            // It is given the newest version that both know.
-            let known = reader.versions.iter().filter(|version| self.in_force.contains_key(version));
-            if let Some(version) = known.max() {
+            // The reader is given documents in the newest version in force that it reads.
+            let readable = reader.versions.iter().filter(|version| self.in_force.contains_key(version));
+            if let Some(version) = readable.max() {
                 still_read.entry(*version).or_default().push(reader.name.to_owned());
             }
         }
         still_read
     }
 
-    /// Forgets the versions that nobody may read any more, but for the newest.
+    /// Removes the schema versions that no reader reads and no document is written in, except the newest ones.
     fn retire_versions(&mut self, readers: &[SchemaReader]) {
-        let mut keep: BTreeSet<u32> = self.in_force.keys().rev().take(KEPT_VERSIONS).copied().collect();
+        let mut keep: BTreeSet<u32> =
+            self.in_force.keys().rev().take(MIN_RETAINED_VERSIONS).copied().collect();
         keep.extend(readers.iter().flat_map(|reader| reader.versions.iter().copied()));
         let documents = [&self.document, &self.held_document];
         keep.extend(documents.into_iter().flatten().map(|document| document.version));
         self.in_force.retain(|version, _| keep.contains(version));
     }
 
-    /// A document in the newest of these versions in which it can be rendered.
+    /// Renders a document in the newest of the given versions in which that is possible.
     fn render_for(&self, document: &PublishedDocument, versions: &[u32]) -> Result<Document, RenderError> {
         let newer =
-            self.in_force.get(&document.version).ok_or(RenderError::VersionForgotten(document.version))?;
+            self.in_force.get(&document.version).ok_or(RenderError::VersionRetired(document.version))?;
         let mut candidates: Vec<u32> =
             versions.iter().copied().filter(|version| *version <= document.version).collect();
         candidates.sort_unstable();
-        let mut reason = RenderError::NoVersion { up_to: document.version };
+        let mut last_error = RenderError::NoVersion { up_to: document.version };
         for version in candidates.into_iter().rev() {
             let Some(older) = self.in_force.get(&version) else { continue };
             let body = if version == document.version {
@@ -190,23 +197,24 @@
             };
             match body {
                 Ok(body) => return Ok(Document { index: document.index, version, body }),
-                Err(error) => reason = RenderError::Document { version, error },
+                Err(error) => last_error = RenderError::Document { version, error },
             }
         }
-        Err(reason)
+        Err(last_error)
     }
 
-    /// The document in force for a reader of these versions; none where there is none, or none that it can read.
+    /// The document in force, rendered for a reader of the given versions; `None` if no document is in force or it
+    /// can't be rendered in any of these versions.
     pub fn document_for(&self, versions: &[u32]) -> Option<Document> {
         self.render_for(self.document.as_ref()?, versions).ok()
     }
 
-    /// The log index of the document in force.
+    /// The log index at which the document in force was published.
     pub fn document_index(&self) -> Option<u64> {
         self.document.as_ref().map(|document| document.index)
     }
 
-    /// Why something waits, and for whom: one line each.
+    /// The reasons why a schema or document waits, one line each, with the readers concerned.
     pub fn waiting(&self) -> &[String] {
         &self.waiting
     }
@@ -221,7 +229,7 @@
     }
 }
 
-/// Defaults have to be what their own fields allow.
+/// Checks that the default of each field, including those in nested records, is a value that the field allows.
 fn check_defaults(prefix: &str, fields: &Fields) -> Result<(), SchemaError> {
     for (name, field) in fields {
         if let Some(default) = &field.default {
--- a/crates/core/coordination/src/schemas/reading.rs
+++ b/crates/core/coordination/src/schemas/reading.rs
@@ -1,18 +1,18 @@
-//! Reading a document by a schema.
+//! Reads and validates a document according to a schema.
 
 use super::error::{DocumentError, DocumentFault};
 use lynxtally_messages::{Field, FieldKind, Fields};
 use serde_json::{Map, Value};
 
-/// Reads a document: the value of each field, with defaults put in.
+/// Reads a document: returns its fields, with the defaults of the optional fields that it leaves out.
 ///
 /// # Errors
-/// The first field that does not fit.
+/// Returns the first field that does not conform to the schema.
 pub fn read(fields: &Fields, document: &Value) -> Result<Value, DocumentError> {
     read_record("", fields, document)
 }
 
-/// `prefix` is the path of the record with the dot that its fields follow.
+/// Reads a record. `prefix` is the path of the record followed by a dot, or empty for the whole document.
 fn read_record(prefix: &str, fields: &Fields, value: &Value) -> Result<Value, DocumentError> {
     let map = value.as_object().ok_or_else(|| DocumentFault::NotARecord.at(prefix))?;
     if let Some(name) = map.keys().find(|name| !fields.contains_key(*name)) {
@@ -32,12 +32,12 @@
     Ok(Value::Object(read))
 }
 
-/// The value that stands for a field that a document leaves out. A required field can't be left out.
+/// The value of a field that a document leaves out. A required field has none, because it can't be left out.
 pub(super) fn default_of(field: &Field) -> Option<&Value> {
     field.default.as_ref().filter(|_| !field.required)
 }
 
-/// Reads the value of a field, which may be a list.
+/// Reads the value of a field, whether a single value or a list.
 pub(super) fn read_field(path: &str, field: &Field, value: &Value) -> Result<Value, DocumentError> {
     if !field.is_list {
         return read_single(path, &field.kind, value);
--- a/crates/core/coordination/src/schemas/rendering.rs
+++ b/crates/core/coordination/src/schemas/rendering.rs
@@ -1,4 +1,4 @@
-//! Rendering a document of a newer schema for a reader of an older one.
+//! Renders a document of a newer schema in an older one.
 
 use super::compatibility::{is_known, successor};
 use super::error::{DocumentError, DocumentFault};
@@ -6,10 +6,10 @@
 use lynxtally_messages::{Field, FieldKind, Fields};
 use serde_json::{Map, Value};
 
-/// Renders a document of the newer schema for a reader of the older one, so that what both know comes out equal.
+/// Renders a document of the newer schema in the older one. Each field that both schemas have keeps its value.
 ///
 /// # Errors
-/// The first field for which that can't be.
+/// Returns the first field that can't be rendered.
 pub fn render(newer: &Fields, older: &Fields, document: &Value) -> Result<Value, DocumentError> {
     read(newer, document)?;
     render_record("", newer, older, document)
@@ -40,7 +40,8 @@
     Ok(Value::Object(rendered))
 }
 
-/// Fields that the older reader does not know are lost to it, which some must not be.
+/// Checks the fields that the older schema does not have, and which the rendered document will leave out. Fails if one
+/// of them must be understood and the document sets it to something other than its default.
 fn check_unknown_fields(
     prefix: &str,
     newer: &Fields,
@@ -56,7 +57,7 @@
     Ok(())
 }
 
-/// A field that the newer schema does not have any more.
+/// Renders a field that the newer schema has removed; `None` if the rendered document leaves it out.
 fn render_removed(path: &str, old_field: &Field) -> Result<Option<Value>, DocumentError> {
     match &old_field.default {
         Some(default) if old_field.required => Ok(Some(default.clone())),
@@ -65,7 +66,7 @@
     }
 }
 
-/// A field that both schemas have; none where the document has no value for it.
+/// Renders a field that both schemas have; `None` if the document has no value for it.
 fn render_known(
     path: &str,
     new_field: &Field,
@@ -97,7 +98,7 @@
     Ok(value)
 }
 
-/// Turns one value into a list of one where the older reader reads a list, and back.
+/// Converts a single value to a list of one, or a list of one to a single value, as the older schema requires.
 fn render_list(
     path: &str,
     new_field: &Field,
@@ -114,7 +115,7 @@
     }
 }
 
-/// Renders a record, or each of a list of records.
+/// Renders a record, or each record of a list.
 fn render_records(
     prefix: &str,
     newer: &Fields,
--- a/crates/core/coordination/src/snapshot.rs
+++ b/crates/core/coordination/src/snapshot.rs
@@ -1,22 +1,22 @@
-//! Snapshots of the whole state, with their digest.
+//! Snapshots and digests of the replicated state.
 
 use crate::CoordinationState;
 use serde::{Deserialize, Serialize};
 use sha2::Digest as _;
 use std::fmt;
 
-/// The format version of snapshots.
+/// The version of the snapshot format.
 const SNAPSHOT_VERSION: u32 = 1;
-/// A digest is shown by its first bytes.
-const SHOWN_BYTES: usize = 8;
+/// The number of leading bytes of a digest that are printed.
+const PRINTED_DIGEST_BYTES: usize = 8;
 
-/// The SHA-256 of a serialized state: equal for equal states.
+/// The SHA-256 hash of the serialized state. Equal states have equal digests.
 #[derive(Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Digest([u8; 32]);
 
 impl fmt::Display for Digest {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        self.0[..SHOWN_BYTES].iter().try_for_each(|byte| write!(f, "{byte:02x}"))
+        self.0[..PRINTED_DIGEST_BYTES].iter().try_for_each(|byte| write!(f, "{byte:02x}"))
     }
 }
 
@@ -41,18 +41,18 @@
     version: u32,
 }
 
-/// Why a snapshot can't be used. Its text is one line.
+/// Why a snapshot can't be restored. The error text is a single line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// It can't be decoded.
+    /// The snapshot can't be decoded. Contains the error text of the JSON decoder.
     Malformed(String),
-    /// Its format version is not known here.
+    /// The snapshot has this format version, which is not supported.
     UnknownVersion(u32),
-    /// Its digest is not that of its state.
+    /// The state in the snapshot does not have the digest that the snapshot states, so one of them was changed.
     DigestMismatch {
-        /// The digest that it states.
+        /// The digest that the snapshot states.
         stated: Digest,
-        /// The digest of its state.
+        /// The digest computed from the state in the snapshot.
         computed: Digest,
     },
 }
@@ -60,12 +60,12 @@
 impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Malformed(fault) => write!(f, "the snapshot can't be read: {fault}"),
+            Self::Malformed(fault) => write!(f, "the snapshot can't be decoded: {fault}"),
             Self::UnknownVersion(version) => {
-                write!(f, "the snapshot has version {version}; {SNAPSHOT_VERSION} is expected")
+                write!(f, "the snapshot has format version {version}; {SNAPSHOT_VERSION} is expected")
             }
             Self::DigestMismatch { stated, computed } => {
-                write!(f, "the snapshot's state has the digest {computed}, and it says {stated}")
+                write!(f, "the snapshot states digest {stated}, but its state has digest {computed}")
             }
         }
     }
@@ -82,22 +82,22 @@
 impl CoordinationState {
     /// The digest of the state.
     pub fn digest(&self) -> Digest {
-        // Encoding fails only for maps whose keys are neither strings nor integers, and the state has none.
+        // Encoding can fail only for a map whose keys are neither strings nor integers, and the state has none.
         let bytes = serde_json::to_vec(self).unwrap_or_default();
         Digest(sha2::Sha256::digest(bytes).into())
     }
 
-    /// The state as bytes, with its digest.
+    /// Serializes the state, with its digest, to a snapshot.
     pub fn snapshot(&self) -> Vec<u8> {
         let snapshot = Snapshot { version: SNAPSHOT_VERSION, digest: self.digest(), state: self };
-        // As above.
+        // Encoding can't fail, for the same reason as in `digest`.
         serde_json::to_vec(&snapshot).unwrap_or_default()
     }
 
-    /// The state of a snapshot.
+    /// Restores the state from a snapshot.
     ///
     /// # Errors
-    /// It can't be decoded, has another version, or its state is not what its digest says.
+    /// Returns an error if the snapshot can't be decoded, has another format version, or does not match its digest.
     pub fn restore(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let VersionOnly { version } = serde_json::from_slice(bytes)?;
         if version != SNAPSHOT_VERSION {
--- a/crates/core/coordination/src/state.rs
+++ b/crates/core/coordination/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state, and how a log entry changes it.
+//! The replicated state, and the application of log entries to it.
 
 use crate::budgets::Budget;
 use crate::clock::StateClock;
@@ -12,8 +12,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The state that all replicas agree on. Its fields have other names where it is serialized: snapshots are read by
-/// other versions of the program, and digests are compared with theirs.
+/// The state that all replicas agree on.
+///
+/// The serialized form must not change, which is why many fields have a `serde(rename)`: replicas that run other
+/// versions of the program read its snapshots and compare its digests with theirs.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct CoordinationState {
     /// The index of the last log entry that was applied.
@@ -27,19 +29,19 @@
     pub(crate) schemas: Schemas,
     #[serde(rename = "orders")]
     pub(crate) recent_requests: RecentRequests,
-    /// The last checkpoint of this replica.
+    /// The last checkpoint that this replica took.
     #[serde(rename = "marked")]
     checkpoint: Option<Checkpoint>,
-    /// Up to which index each coordinator is known to have acknowledged the log, by its number.
+    /// The log index up to which each coordinator has acknowledged the log, by the coordinator's number.
     #[serde(rename = "had")]
     acknowledged_indexes: BTreeMap<u64, u64>,
 }
 
 impl CoordinationState {
-    /// Applies the entry at a position of the log. Positions come in order, each once.
+    /// Applies the log entry at `position`. Each entry has to be applied exactly once, in log order.
     pub fn apply(&mut self, position: LogPosition, entry: &TimestampedCommand) -> Output {
         self.applied_index = position.index;
-        if self.clock.follow(position.term, entry.timestamp()).is_err() {
+        if self.clock.advance(position.term, entry.timestamp()).is_err() {
             return Output::TermMismatch;
         }
         let now = self.clock.now();
@@ -55,8 +57,8 @@
         }
     }
 
-    /// Time has passed: budgets are divided anew, doubt is settled, the silent are forgotten, and what waited for
-    /// readers of route documents may come into force.
+    /// Does the periodic work: divides budgets anew, settles units in doubt, removes members that have been silent for
+    /// too long, and checks whether a waiting schema or document can now come into force.
     fn tick(&mut self, now: Instant, acknowledged_indexes: &BTreeMap<u64, u64>) -> Output {
         for (coordinator, index) in acknowledged_indexes {
             let known = self.acknowledged_indexes.entry(*coordinator).or_default();
@@ -64,7 +66,7 @@
         }
         self.budgets.values_mut().for_each(|budget| budget.divide(now));
         self.wallets.values_mut().for_each(|wallet| wallet.tick(now));
-        self.members.forget_silent(now);
+        self.members.remove_silent(now);
         if !self.schemas.waiting().is_empty() {
             self.schemas.review(&self.members.schema_readers());
         }
@@ -78,7 +80,7 @@
         Output::None
     }
 
-    /// The digest is that of the state without a checkpoint.
+    /// Takes a checkpoint. Its digest is computed without any checkpoint in the state, as no digest can cover itself.
     fn take_checkpoint(&mut self, index: u64) -> Output {
         self.checkpoint = None;
         let checkpoint = Checkpoint { index, digest: self.digest() };
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Up to which index a coordinator is known to have acknowledged the log; 0 where nothing is known of it.
+    /// The log index up to which a coordinator is known to have acknowledged the log; 0 if nothing is known about it.
     pub fn acknowledged_index(&self, coordinator: u64) -> u64 {
         self.acknowledged_indexes.get(&coordinator).copied().unwrap_or_default()
     }
--- a/crates/core/coordination/src/wallets/mod.rs
+++ b/crates/core/coordination/src/wallets/mod.rs
@@ -1,14 +1,17 @@
-//! Wallets: units that a tenant bought in advance, charged on every node.
+//! Wallets: units that a tenant bought in advance and that every node charges for requests.
 //!
-//! Safety rule: each unit is in exactly one place, the balance, a node's reservation, charged, or in doubt
-//! ([`WalletBalances`]). A reservation is an escrow (O'Neil, 1986): a node admits requests against it without asking,
-//! for a limited time, and reports what it charged as one count that only grows, so that a report that arrives three
-//! times is charged once. Once nothing can run any more that was admitted against it, what is left is *in doubt*,
-//! until the node accounts for it or the terms decide. Only then may another node get it.
+//! Safety rule: each unit is in exactly one of four categories: in the balance, reserved by a node, charged, or in
+//! doubt ([`WalletBalances`]).
+//!
+//! A reservation is an escrow (O'Neil, 1986): for a limited time, a node admits requests against it without asking the
+//! coordinators. The node reports what it charged as a count that only grows, so a report that arrives three times is
+//! charged once. A reservation expires when no request that was admitted against it can still run. The units that
+//! remain in it are then *in doubt*: the node may have charged them without having reported it. They stay in doubt until
+//! the node reports, or until a timeout after which the wallet's policy decides. Only then can another node get them.
 
 mod account;
 
-use crate::clock::surely_over_at;
+use crate::clock::safe_expiry;
 use crate::error::AdminError;
 use account::Account;
 use lynxtally::{Instant, Span};
@@ -16,43 +19,44 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// There may be as many wallets.
+/// The most wallets that may exist.
 pub const MAX_WALLETS: usize = 65_536;
-/// Beyond as many accounts the settled ones are forgotten, the oldest first.
+/// If a wallet has more accounts than this, settled accounts are evicted, oldest first.
 const MAX_ACCOUNTS: usize = 4096;
-/// All nodes together get one part in this many of the balance at one time, so that the last units are not stranded
-/// with nodes that do not use them.
-const BALANCE_PARTS: u64 = 4;
+/// A renewal grants at most the balance divided by this number and by the number of nodes, so that the last units are
+/// not stranded on nodes that don't use them.
+const BALANCE_SHARE_DIVISOR: u64 = 4;
 
-/// Where every unit of a wallet is. What was bought is the sum of the four that follow it.
+/// The number of units of a wallet in each category. `bought` is the sum of `balance`, `reserved`, `charged` and
+/// `in_doubt`.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct WalletBalances {
-    /// Bought, less what was withdrawn.
+    /// Units that were bought, less those that were withdrawn.
     pub bought: u64,
-    /// With no node.
+    /// Units that no node holds and that can be reserved or withdrawn.
     pub balance: u64,
-    /// With nodes.
+    /// Units in reservations of nodes.
     pub reserved: u64,
-    /// Charged for requests.
+    /// Units charged for requests, including [`Self::charged_by_policy`].
     pub charged: u64,
-    /// With nodes that vanished and did not account for it yet.
+    /// Units in expired reservations of nodes that have not reported what they charged.
     pub in_doubt: u64,
-    /// The part of what is charged that was in doubt and was charged by the terms, without an account of it.
+    /// Units that were in doubt and were charged by the wallet's policy, without a report of a node.
     #[serde(rename = "charged_for_doubt")]
     pub charged_by_policy: u64,
-    /// Reported by nodes after their doubt was settled, and not charged again.
+    /// Units that a node reported as charged only after its account was settled. They are not charged again.
     #[serde(rename = "told_late")]
     pub reported_late: u64,
 }
 
 impl WalletBalances {
-    /// Whether every unit is in exactly one place.
+    /// Whether every unit is in exactly one category: the four categories add up to what was bought.
     pub fn add_up(&self) -> bool {
         self.bought == self.balance + self.reserved + self.charged + self.in_doubt
     }
 
-    /// The place of what an account has left.
-    fn place_of(&mut self, account: &Account) -> &mut u64 {
+    /// The category that the remaining units of an account are in.
+    fn category_of(&mut self, account: &Account) -> &mut u64 {
         if account.in_doubt_since.is_some() {
             &mut self.in_doubt
         } else {
@@ -61,13 +65,13 @@
     }
 }
 
-/// One tenant's wallet.
+/// A tenant's wallet with the accounts of the nodes that hold reservations.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub(crate) struct Wallet {
     pub terms: WalletTerms,
     #[serde(rename = "books")]
     balances: WalletBalances,
-    /// By the log index that each was opened at.
+    /// The accounts by number. The number of an account is the log index at which it was opened.
     accounts: BTreeMap<u64, Account>,
 }
 
@@ -89,16 +93,17 @@
         Ok(())
     }
 
-    /// Takes units back, as far as they are in the balance.
+    /// Removes units from the balance. Fails if the balance has fewer.
     pub fn withdraw(&mut self, units: u64) -> Result<(), AdminError> {
         let balance = self.balances.balance;
-        let left = balance.checked_sub(units);
-        self.balances.balance = left.ok_or(AdminError::InsufficientBalance { units, balance })?;
+        let remaining = balance.checked_sub(units);
+        self.balances.balance = remaining.ok_or(AdminError::InsufficientBalance { units, balance })?;
         self.balances.bought -= units;
         Ok(())
     }
 
-    /// A node accounts for what it charged and returned, and gets its next reservation. `index` is that of the log.
+    /// Records what a node reports as charged and returned, and grants its next reservation. `index` is the log index
+    /// of the request; it becomes the number of the account if a new one is opened.
     pub fn renew(
         &mut self,
         now: Instant,
@@ -106,46 +111,46 @@
         incarnation: u64,
         report: &WalletReport,
     ) -> Reservation {
-        let number = self.open_account(index, incarnation, report);
-        let units = self.next_units(number, report);
-        let end = surely_over_at(
+        let account_number = self.current_account(index, incarnation, report);
+        let units = self.units_to_grant(account_number, report);
+        let expires_at = safe_expiry(
             now,
             self.terms.reservation_duration_us,
             report.max_in_flight_us,
             self.terms.max_clock_drift_ppm,
             self.terms.pause_margin_us,
         );
-        let Some(account) = self.accounts.get_mut(&number) else { return Reservation::default() };
+        let Some(account) = self.accounts.get_mut(&account_number) else { return Reservation::default() };
         if account.in_doubt_since.take().is_some() {
-            // The node is back before its doubt was settled: what it holds is reserved again.
-            self.balances.in_doubt -= account.left();
-            self.balances.reserved += account.left();
+            // The node has returned before its account was settled, so its remaining units are reserved again.
+            self.balances.in_doubt -= account.remaining();
+            self.balances.reserved += account.remaining();
         }
-        account.grant(units, end);
+        account.grant(units, expires_at);
         self.balances.balance -= units;
         self.balances.reserved += units;
         Reservation {
             wallet: report.wallet.clone(),
-            account: number,
+            account: account_number,
             granted: account.granted,
-            retain: account.may_retain(report.demand),
+            retain: account.retainable(report.demand),
             duration_us: self.terms.reservation_duration_us,
             exhausted: self.balances.balance == 0,
             prices: self.terms.prices.clone(),
         }
     }
 
-    /// The account that a report is about, with the report booked; a new one where the node has none, or where the
-    /// doubt about the one it names was settled without it.
-    fn open_account(&mut self, index: u64, incarnation: u64, report: &WalletReport) -> u64 {
+    /// Records a report and returns the number of the node's account. Opens a new account if the node has none, or if
+    /// the one in the report is already settled.
+    fn current_account(&mut self, index: u64, incarnation: u64, report: &WalletReport) -> u64 {
         let own = self.accounts.get(&report.account).filter(|own| own.incarnation == incarnation);
         match own {
             Some(own) if !own.settled => {
-                self.book(report.account, report);
+                self.record_report(report.account, report);
                 return report.account;
             }
             Some(settled) => {
-                // What the node reports now was decided without it, and is not decided again.
+                // The policy has already decided about the units that the node reports now, so they are only counted.
                 self.balances.reported_late += report.spent.saturating_sub(settled.spent);
                 self.accounts.remove(&report.account);
             }
@@ -155,92 +160,95 @@
         index
     }
 
-    /// Books what a node charged and returned. Both counts only grow, so what was booked before is not booked again.
-    fn book(&mut self, number: u64, report: &WalletReport) {
-        let Some(account) = self.accounts.get_mut(&number) else { return };
-        let left = account.left();
-        let charged = report.spent.saturating_sub(account.spent).min(left);
-        let returned = report.returned.saturating_sub(account.returned).min(left - charged);
+    /// Records what a node charged and returned since its last report. The counts in reports only grow, so a repeated
+    /// report changes nothing.
+    fn record_report(&mut self, account_number: u64, report: &WalletReport) {
+        let Some(account) = self.accounts.get_mut(&account_number) else { return };
+        let remaining = account.remaining();
+        let charged = report.spent.saturating_sub(account.spent).min(remaining);
+        let returned = report.returned.saturating_sub(account.returned).min(remaining - charged);
         account.spent += charged;
         account.returned += returned;
-        *self.balances.place_of(account) -= charged + returned;
+        *self.balances.category_of(account) -= charged + returned;
         self.balances.charged += charged;
         self.balances.balance += returned;
     }
 
-    /// How many units more a node gets: what it demands, but no more than its part of the balance; where that is less
-    /// than one request's price, that price while there is as much.
-    fn next_units(&self, number: u64, report: &WalletReport) -> u64 {
-        let Some(account) = self.accounts.get(&number).filter(|account| !account.fenced) else { return 0 };
+    /// The number of units to grant to a node in addition to its remaining units: as many as it demands, but no more
+    /// than its part of the balance. That part is at least the highest price of a request, as far as the balance allows.
+    fn units_to_grant(&self, account_number: u64, report: &WalletReport) -> u64 {
+        let Some(account) = self.accounts.get(&account_number).filter(|account| !account.fenced) else {
+            return 0;
+        };
         let is_sharing = |account: &&Account| account.in_doubt_since.is_none() && !account.settled;
         let sharing = self.accounts.values().filter(is_sharing).count().max(1) as u64;
-        let part = self.balances.balance / BALANCE_PARTS / sharing;
+        let part = self.balances.balance / BALANCE_SHARE_DIVISOR / sharing;
         let highest_price = self.terms.prices.values().copied().max().unwrap_or(1);
-        let most = part.max(highest_price).min(self.balances.balance);
-        report.demand.saturating_sub(account.left()).min(most)
+        let max_units = part.max(highest_price).min(self.balances.balance);
+        report.demand.saturating_sub(account.remaining()).min(max_units)
     }
 
-    /// Time has passed: reservations that are surely over are in doubt, and doubt that lasted too long is settled.
+    /// Moves the units of expired reservations into doubt, and settles accounts that have been in doubt for too long.
     pub fn tick(&mut self, now: Instant) {
         let timeout = Span::from_micros(self.terms.in_doubt_timeout_us);
-        let numbers: Vec<u64> = self.accounts.keys().copied().collect();
-        for number in &numbers {
-            let Some(account) = self.accounts.get_mut(number) else { continue };
+        let account_numbers: Vec<u64> = self.accounts.keys().copied().collect();
+        for account_number in &account_numbers {
+            let Some(account) = self.accounts.get_mut(account_number) else { continue };
             match account.in_doubt_since {
-                // Nothing of it is left; it is remembered so that a late report is known as that.
+                // A settled account has no remaining units. It is kept to recognize a late report on it.
                 _ if account.settled => {}
-                None if account.over_at <= now => {
+                None if account.expires_at <= now => {
                     account.in_doubt_since = Some(now);
-                    self.balances.reserved -= account.left();
-                    self.balances.in_doubt += account.left();
+                    self.balances.reserved -= account.remaining();
+                    self.balances.in_doubt += account.remaining();
                 }
-                Some(since) if now - since >= timeout => self.settle_doubt(*number),
+                Some(since) if now - since >= timeout => self.settle(*account_number),
                 _ => {}
             }
         }
-        self.forget_settled(&numbers);
+        self.evict_settled(&account_numbers);
     }
 
-    fn forget_settled(&mut self, numbers: &[u64]) {
-        for number in numbers {
-            let settled = self.accounts.get(number).is_some_and(|account| account.settled);
+    fn evict_settled(&mut self, account_numbers: &[u64]) {
+        for account_number in account_numbers {
+            let settled = self.accounts.get(account_number).is_some_and(|account| account.settled);
             if settled && self.accounts.len() > MAX_ACCOUNTS {
-                self.accounts.remove(number);
+                self.accounts.remove(account_number);
             }
         }
     }
 
-    /// Nobody accounted for an account in time: the terms decide.
-    fn settle_doubt(&mut self, number: u64) {
-        let Some(account) = self.accounts.get_mut(&number) else { return };
-        let left = account.settle();
-        self.balances.in_doubt -= left;
+    /// Settles an account that has been in doubt for too long, according to the wallet's policy.
+    fn settle(&mut self, account_number: u64) {
+        let Some(account) = self.accounts.get_mut(&account_number) else { return };
+        let remaining = account.settle();
+        self.balances.in_doubt -= remaining;
         match self.terms.in_doubt_policy {
-            InDoubtPolicy::Return => self.balances.balance += left,
+            InDoubtPolicy::Return => self.balances.balance += remaining,
             InDoubtPolicy::Charge => {
-                self.balances.charged += left;
-                self.balances.charged_by_policy += left;
+                self.balances.charged += remaining;
+                self.balances.charged_by_policy += remaining;
             }
         }
     }
 
-    /// A process ends its session with its last report: what it did not charge is free. Without a report nothing is
-    /// known of its reservation, which stays as it is.
+    /// Closes the account of a process that ends its session: records the final report and returns the remaining units
+    /// to the balance. Without a report, it is unknown what the process charged, so the account stays open.
     pub fn release(&mut self, incarnation: u64, report: Option<&WalletReport>) {
         let Some(report) = report else { return };
         let own = self.accounts.get(&report.account).filter(|own| !own.settled);
         if own.is_none_or(|own| own.incarnation != incarnation) {
             return;
         }
-        self.book(report.account, report);
+        self.record_report(report.account, report);
         if let Some(account) = self.accounts.remove(&report.account) {
-            let left = account.left();
-            *self.balances.place_of(&account) -= left;
-            self.balances.balance += left;
+            let remaining = account.remaining();
+            *self.balances.category_of(&account) -= remaining;
+            self.balances.balance += remaining;
         }
     }
 
-    /// Another process has taken this one's name: it gets nothing more.
+    /// Fences the accounts of a process whose name another process has taken: it gets no new units.
     pub fn fence(&mut self, incarnation: u64) {
         let own = self.accounts.values_mut().filter(|account| account.incarnation == incarnation);
         own.for_each(|account| account.fenced = true);
--- a/crates/core/messages/src/admin.rs
+++ b/crates/core/messages/src/admin.rs
@@ -1,4 +1,4 @@
-//! What an operator requests, and what came of it.
+//! An operator's request to a coordinator, and the response.
 
 use crate::envelope::Message;
 use crate::rejection::Rejection;
@@ -8,102 +8,103 @@
 use crate::wallet::MAX_UNITS;
 use serde::{Deserialize, Serialize};
 
-/// Identifies a request of an operator, however often it is sent.
+/// Identifies an operator's request. A request that is sent again keeps its key, so that it is applied only once.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord)]
 #[serde(deny_unknown_fields, expecting = "struct Id")]
 pub struct IdempotencyKey {
-    /// The log index that the operator saw when the request was drawn up. A request that is older than all that are
-    /// remembered is rejected, so that none can be applied twice.
+    /// The latest log index that was known when the request was created. The coordinators record a limited number of
+    /// requests. One that may be older than all recorded ones is rejected, because it may have been applied before.
     #[serde(rename = "seen")]
     pub observed_index: u64,
-    /// Its own word.
+    /// Distinguishes requests that were created at the same log index.
     #[serde(rename = "word")]
     pub token: String,
 }
 
-/// A request of an operator.
+/// An operator's request.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "struct Order")]
 pub struct AdminRequest {
-    /// Identifies it.
+    /// Identifies the request when it is sent again.
     #[serde(rename = "id")]
     pub key: IdempotencyKey,
-    /// What is to be done.
+    /// The change that is requested.
     #[serde(rename = "what")]
     pub action: AdminAction,
 }
 
-/// What an operator wants done.
+/// A change that an operator requests.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub enum AdminAction {
     /// Creates a budget, or changes its terms.
     #[serde(rename = "budget")]
     SetBudget {
-        /// Its name.
+        /// The budget's name.
         name: String,
-        /// Its terms.
+        /// The budget's new terms.
         terms: BudgetTerms,
     },
     /// Creates a wallet, or changes its terms.
     #[serde(rename = "wallet")]
     SetWallet {
-        /// Its name.
+        /// The wallet's name.
         name: String,
-        /// Its terms.
+        /// The wallet's new terms.
         terms: WalletTerms,
     },
-    /// Adds units that were bought.
+    /// Adds units that a tenant bought to the balance of a wallet.
     #[serde(rename = "top_up")]
     TopUp {
-        /// The wallet.
+        /// The wallet's name.
         wallet: String,
-        /// How many.
+        /// The number of units to add.
         units: u64,
     },
-    /// Takes units back, as far as they are in the balance.
+    /// Removes units from the balance of a wallet. Rejected if the balance has fewer units.
     #[serde(rename = "correct")]
     Withdraw {
-        /// The wallet.
+        /// The wallet's name.
         wallet: String,
-        /// How many.
+        /// The number of units to remove.
         units: u64,
     },
     /// Proposes a new schema version for route documents.
     #[serde(rename = "schema")]
     ProposeSchema {
-        /// The schema.
+        /// The proposed schema.
         schema: Schema,
     },
     /// Publishes a new route document.
     #[serde(rename = "document")]
     PublishDocument {
-        /// The schema version that it is written in.
+        /// The schema version that the document is written in.
         version: u32,
         /// The document.
         body: serde_json::Value,
     },
-    /// Frees what an incarnation holds at once. The operator has made sure that its process does not run any more:
-    /// nothing here can check that, and what a live process starts would pass the budget.
+    /// Frees the units that an incarnation holds, without waiting for its leases to expire. The operator has to make
+    /// sure that the process no longer runs. The coordinators can't check that, and calls that a live process starts
+    /// afterwards would exceed the budget.
     #[serde(rename = "over")]
     EndIncarnation {
-        /// Which.
+        /// The incarnation to end.
         incarnation: u64,
     },
 }
 
-/// What came of an operator's request.
+/// The response to an operator's request.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub enum AdminResponse {
-    /// It was carried out.
+    /// The request was applied.
     #[serde(rename = "done")]
     Applied {
-        /// The log index at which it was applied.
+        /// The log index at which the request was applied.
         #[serde(rename = "number")]
         index: u64,
     },
-    /// It was not.
+    /// The request was not applied.
     #[serde(rename = "refused")]
     Rejected(Rejection),
 }
--- a/crates/core/messages/src/envelope.rs
+++ b/crates/core/messages/src/envelope.rs
@@ -1,21 +1,21 @@
-//! The envelope round every message: `{"v": 1, "say": ...}`.
+//! The envelope of every message, `{"v": 1, "say": ...}`, and how it is encoded and decoded.
 
 use crate::validation::FieldError;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The protocol version of all messages here.
+/// The protocol version of all messages in this crate.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// The longest message that is decoded, in bytes.
+/// The longest message that [`decode`] accepts, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 256 << 10;
 
-/// A message that may stand in an envelope.
+/// A type that can be sent in an envelope.
 pub trait Message: Serialize + DeserializeOwned {
-    /// Checks the ranges that its types do not express.
+    /// Checks the limits that the Rust types of the fields do not express, such as ranges and lengths.
     ///
     /// # Errors
-    /// The first field that is out of range.
+    /// Returns the first field that violates a limit.
     fn validate(&self) -> Result<(), FieldError>;
 }
 
@@ -30,7 +30,8 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, expecting = "struct In")]
 struct IncomingEnvelope<T> {
-    /// Read before, by [`Version`].
+    /// Unused: [`decode`] has already checked the version with [`Version`]. The field is declared because unknown
+    /// fields are denied.
     #[allow(dead_code)]
     #[serde(rename = "v")]
     version: u32,
@@ -38,34 +39,34 @@
     message: T,
 }
 
-/// Reads the version alone, so that an unknown version is told from an unknown field.
+/// Decodes only the version, so that a message of another version is reported as such and not by its unknown fields.
 #[derive(Deserialize)]
 struct Version {
     #[serde(rename = "v")]
     version: u32,
 }
 
-/// Why a message can't be decoded. Its text is one line.
+/// Why a message can't be decoded. The error text is a single line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is too long.
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
     TooLong {
-        /// Its length in bytes.
+        /// The length of the message in bytes.
         bytes: usize,
     },
-    /// Its protocol version is not known here.
+    /// The message has a protocol version other than [`PROTOCOL_VERSION`].
     UnknownVersion {
-        /// The version that it states.
+        /// The version stated in the message.
         version: u32,
     },
-    /// It is no JSON, or not of the expected form.
+    /// The message is not JSON, or its fields don't match the message type.
     Malformed {
         /// The path of the field where decoding stopped.
         path: String,
-        /// What the JSON decoder said.
+        /// The error text of the JSON decoder.
         fault: String,
     },
-    /// A field is out of range.
+    /// A field violates a limit.
     Invalid(FieldError),
 }
 
@@ -87,7 +88,7 @@
 impl std::error::Error for DecodeError {}
 
 impl DecodeError {
-    /// A fault of the envelope itself: it is told at the version, the first field.
+    /// An error in the envelope itself. It is reported at `v`, the first field of the envelope.
     fn envelope(fault: &serde_json::Error) -> Self {
         Self::Malformed { path: "v".to_owned(), fault: fault.to_string() }
     }
@@ -96,7 +97,7 @@
 /// Decodes and validates a message.
 ///
 /// # Errors
-/// What is wrong with it and where.
+/// Returns the first fault that was found, with the path of its field.
 pub fn decode<T: Message>(bytes: &[u8]) -> Result<T, DecodeError> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(DecodeError::TooLong { bytes: bytes.len() });
@@ -114,8 +115,8 @@
     Ok(envelope.message)
 }
 
-/// Encodes a message with its envelope.
+/// Encodes a message in an envelope.
 pub fn encode<T: Message>(message: &T) -> Vec<u8> {
-    // Encoding fails only for maps whose keys are no strings, and no message has one.
+    // Encoding can fail only for a map whose keys are not strings, and no message has one.
     serde_json::to_vec(&OutgoingEnvelope { version: PROTOCOL_VERSION, message }).unwrap_or_default()
 }
--- a/crates/core/messages/src/lib.rs
+++ b/crates/core/messages/src/lib.rs
@@ -1,9 +1,11 @@
-//! The messages that nodes and operators exchange with the coordinators. A message is decoded once, validated there and
-//! encoded once; both sides use this package and nothing else. Requests of tenants never come this way.
+//! The messages that nodes and operators exchange with the coordinators.
 //!
-//! Each message is a JSON object with its protocol version under `v` ([`envelope`](decode)). An unknown version or an
-//! unknown field is rejected with one line that names the field. All amounts are whole numbers, all durations are in
-//! microseconds. Names on the wire are older than the names of the types here: `#[serde(rename)]` maps them.
+//! Use this crate on both sides of such an exchange: [`encode`] before sending, [`decode`] after receiving. [`decode`]
+//! also validates the message, so its receiver does not check ranges again. Tenants' requests never pass through here.
+//!
+//! Each message is a JSON object with the protocol version under `v` and the message under `say`. An unknown version or
+//! field is rejected with an error of one line that names the field. All amounts are integers; all durations are in
+//! microseconds. Many wire names are older than the Rust names; `#[serde(rename)]` maps one to the other.
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/messages/src/node.rs
+++ b/crates/core/messages/src/node.rs
@@ -1,4 +1,4 @@
-//! What a node sends to a coordinator, and what comes back.
+//! A node's request to a coordinator, and the response.
 
 use crate::envelope::Message;
 use crate::rejection::Rejection;
@@ -9,57 +9,60 @@
 use crate::wallet::{Reservation, WalletReport};
 use serde::{Deserialize, Serialize};
 
-/// One node has to do with this many budgets, wallets or schema versions at most.
+/// The most budgets, wallets or schema versions that one request may list.
 const MAX_LIST: usize = 1024;
 
-/// A node's request: it joins, renews its leases, reports what it uses, or ends its session. One that had no response
-/// is sent again unchanged, to any coordinator, and is applied once.
+/// A request with which a node joins, renews its leases and reports its use, or ends its session.
+///
+/// A node that gets no response sends the request again unchanged, to any coordinator. The request is applied once
+/// however often it arrives.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, expecting = "struct Say")]
 pub struct NodeRequest {
-    /// The node's name.
+    /// The node's name. Successive processes of a node share it.
     pub name: String,
-    /// Which process under this name: the log index at which it asked to join; 0 while it asks.
+    /// Identifies the process among those with this name: the log index of its join request. 0 in a join request.
     pub incarnation: u64,
-    /// Counts the requests of this incarnation up from 1. While it asks to join: a random number that stays the same
-    /// when the request is sent again.
+    /// Counts the requests of this incarnation from 1. In a join request it is a random number instead, which stays
+    /// the same when the join request is sent again.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// The program's version.
+    /// The version of the node's program.
     #[serde(rename = "program")]
     pub program_version: String,
-    /// The versions of route schemas that it reads.
+    /// The versions of the route schema that the node can read.
     #[serde(rename = "schemas")]
     pub schema_versions: Vec<u32>,
-    /// What it uses and needs of each budget.
+    /// The node's use of and demand for each budget.
     #[serde(rename = "wants")]
     pub budgets: Vec<BudgetReport>,
-    /// Its account of each wallet.
+    /// What the node spent from and demands of each wallet.
     #[serde(rename = "purses")]
     pub wallets: Vec<WalletReport>,
-    /// The route document that it applied; none where it reads none.
+    /// The route document that the node has applied; `None` if the node does not read route documents.
     #[serde(rename = "applied")]
     pub applied_document: Option<AppliedDocument>,
-    /// It starts nothing more and nothing that it started still runs: all that it held is free.
+    /// The node starts nothing more and nothing that it started still runs, so all units that it held are free.
     #[serde(rename = "over")]
     pub ends_session: bool,
 }
 
-/// What a node uses and needs of one budget.
+/// A node's use of and demand for one budget.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, expecting = "struct Want")]
 pub struct BudgetReport {
     /// The budget's name.
     pub budget: String,
-    /// The version of the lease in force at the node; 0 for none.
+    /// The version of the lease in force at the node; 0 if none is.
     #[serde(rename = "adopted")]
     pub lease_version: u64,
-    /// Units in use, with all that was started under earlier leases and may still run.
+    /// Units in use, including those of calls that were started under earlier leases and may still run.
     pub in_use: u64,
-    /// The mean demand over about one lease, in thousandths of a unit: what was used and what was lacked.
+    /// The mean demand over about one lease duration, in thousandths of a unit: the units in use plus the units that
+    /// the node could have used but did not have.
     #[serde(rename = "need")]
     pub demand_milliunits: u64,
-    /// The longest time for which something that was started may run, in microseconds.
+    /// The longest time that anything started under the lease may run, in microseconds.
     #[serde(rename = "tail_us")]
     pub max_in_flight_us: u64,
 }
@@ -70,11 +73,12 @@
 pub struct Lease {
     /// The budget's name.
     pub budget: String,
-    /// Grows with each lease of this budget to this node.
+    /// Larger than the version of each earlier lease of this budget to this node.
     pub version: u64,
-    /// How many units may be in use.
+    /// The number of units that may be in use.
     pub amount: u64,
-    /// For how long something may be started, in microseconds from before the node first sent its request.
+    /// For how long the node may start calls under the lease, in microseconds. The node counts from a time before it
+    /// first sent the request, so that the lease ends at the node before it ends at the coordinators.
     #[serde(rename = "span_us")]
     pub duration_us: u64,
 }
@@ -86,29 +90,30 @@
     /// The request was applied.
     #[serde(rename = "granted")]
     Accepted(LeaseUpdate),
-    /// It was not.
+    /// The request was not applied.
     #[serde(rename = "refused")]
     Rejected(Rejection),
 }
 
-/// What a node may use from now on.
+/// The leases, the reservations and the route document that a node is to use from now on.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "struct Granted")]
 pub struct LeaseUpdate {
     /// The node's incarnation.
     pub incarnation: u64,
-    /// The sequence number of the request that this responds to.
+    /// The sequence number of the request that this is the response to.
     #[serde(rename = "number")]
     pub sequence: u64,
-    /// One lease for each budget that was reported and exists.
+    /// One lease for each budget in the request that exists.
     #[serde(rename = "grants")]
     pub leases: Vec<Lease>,
-    /// One reservation for each wallet that was reported and exists.
+    /// One reservation for each wallet in the request that exists.
     #[serde(rename = "reserves")]
     pub reservations: Vec<Reservation>,
-    /// The route document to apply, where it is another than the node has, in a version that it reads.
+    /// The route document in force, in a schema version that the node reads; `None` if the node has already applied
+    /// it or can't read it.
     pub document: Option<Document>,
-    /// Why the node can read no version of the document in force.
+    /// Why the document in force can't be provided in any schema version that the node reads; `None` if it can.
     #[serde(rename = "unreadable")]
     pub unreadable_reason: Option<String>,
 }
--- a/crates/core/messages/src/rejection.rs
+++ b/crates/core/messages/src/rejection.rs
@@ -1,4 +1,4 @@
-//! Why a coordinator did not apply a request.
+//! The reasons for which a coordinator rejects a request.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,35 +6,35 @@
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub enum Rejection {
-    /// A later process has taken this node's name: the sender is fenced off for good.
+    /// A newer process uses the sender's node name. The sender is fenced: all its later requests are rejected too.
     #[serde(rename = "replaced")]
     Replaced,
-    /// The incarnation is not known any more; the node has to join again.
+    /// The sender's incarnation is not a member, or no longer one; the node has to join again.
     #[serde(rename = "unknown")]
     UnknownIncarnation,
-    /// A request with a higher sequence number was applied before.
+    /// A request of the sender with a higher sequence number was applied before.
     #[serde(rename = "old")]
     OutOfOrder,
-    /// As many processes as allowed are joining already; later there may be room.
+    /// The limit of processes that may join at the same time is reached. The sender can retry later.
     #[serde(rename = "full")]
     TooManyJoining,
-    /// This coordinator does not lead; another may.
+    /// The coordinator that received the request is not the leader. The sender can retry at another one.
     #[serde(rename = "not_leader")]
     NotLeader {
-        /// The leader's number among the coordinators, counted from 1, where it is known.
+        /// The leader's number among the coordinators, counted from 1; `None` if no leader is known.
         leader: Option<u64>,
     },
     /// The request can't be decoded.
     #[serde(rename = "unreadable")]
     Undecodable {
-        /// The field and what is wrong with it.
+        /// Names the field and what is wrong with it.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// The request can't be carried out.
+    /// The request was decoded but can't be carried out.
     #[serde(rename = "wrong")]
     Invalid {
-        /// The field and what is wrong with it.
+        /// Names the field and what is wrong with it.
         #[serde(rename = "why")]
         reason: String,
     },
--- a/crates/core/messages/src/schema.rs
+++ b/crates/core/messages/src/schema.rs
@@ -1,4 +1,5 @@
-//! Schemas of route documents, as data, and the documents written in them.
+//! Schemas of route documents, and the documents themselves. A schema is sent as data, so that coordinators can convert
+//! a document between schema versions.
 
 use crate::validation::{check_count, check_name, FieldError, Violation};
 use serde::{Deserialize, Serialize};
@@ -6,89 +7,91 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The fields of a document, or of a record in it, by their names.
+/// The fields of a document, or of a record inside a document, by name.
 pub type Fields = BTreeMap<String, Field>;
 
-/// A record has this many fields at most, an enumeration this many names.
+/// The most fields that a record may have, and the most names that an enumeration may have.
 const MAX_FIELDS: usize = 256;
-/// Records are nested this deep at most.
+/// The largest nesting depth of records.
 const MAX_DEPTH: usize = 8;
 
-/// A schema version.
+/// One version of the route schema.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "struct Schema")]
 pub struct Schema {
-    /// Its version.
+    /// The version number. Newer versions have larger numbers.
     pub version: u32,
-    /// Its fields.
+    /// The fields of a document of this version.
     pub fields: Fields,
 }
 
-/// A field.
+/// The definition of a field of a document or record.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "struct Field")]
 pub struct Field {
-    /// What kind of value it has.
+    /// The kind of the value, or of each value of a list.
     pub kind: FieldKind,
-    /// Whether it is a list of such values.
+    /// Whether the field is a list of values of its kind.
     #[serde(default, rename = "list")]
     pub is_list: bool,
-    /// Whether a document must have it.
+    /// Whether a document has to contain the field.
     #[serde(default)]
     pub required: bool,
-    /// The value that stands for it where a document does not have it.
+    /// The value that a reader uses if an optional field is left out of the document.
     #[serde(default)]
     pub default: Option<Value>,
-    /// The schema version that brought it.
+    /// The schema version that added the field.
     #[serde(rename = "since")]
     pub since_version: u32,
-    /// Whether a reader that does not know the field must not be given a document in which it has a value.
+    /// Whether a document that sets the field to anything but its default must be withheld from readers that don't
+    /// know the field.
     #[serde(default)]
     pub must_understand: bool,
-    /// Its name in the version before, where that was another.
+    /// The name of the field in the previous schema version, if this version renamed it.
     #[serde(default, rename = "was")]
     pub renamed_from: Option<String>,
 }
 
-/// What kind of value a field has.
+/// The kind of value that a field has.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub enum FieldKind {
-    /// An integer.
+    /// An integer in a range.
     #[serde(rename = "whole")]
     Integer {
-        /// The smallest.
+        /// The smallest allowed value.
         #[serde(rename = "least")]
         min: i64,
-        /// The largest.
+        /// The largest allowed value.
         #[serde(rename = "most")]
         max: i64,
     },
-    /// A text.
+    /// A string.
     #[serde(rename = "text")]
     Text {
-        /// Its greatest length in bytes.
+        /// The largest allowed length in bytes.
         #[serde(rename = "longest")]
         max_bytes: u32,
     },
     /// True or false.
     #[serde(rename = "flag")]
     Boolean {},
-    /// One of some names.
+    /// A string that is one of a list of names.
     #[serde(rename = "one_of")]
     Enumeration {
-        /// The names.
+        /// The allowed names.
         names: Vec<String>,
     },
-    /// Fields of its own.
+    /// A nested record.
     #[serde(rename = "record")]
     Record {
-        /// These.
+        /// The fields of the record.
         fields: Fields,
     },
 }
 
-/// Stands in stored rejections and in what replicas compare: the text is the same in every version of the program.
+/// Must not change: the text is part of stored rejections and of the state whose digests replicas compare, and replicas
+/// of different program versions run side by side.
 impl fmt::Display for FieldKind {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
@@ -101,27 +104,27 @@
     }
 }
 
-/// A document, as a node gets it.
+/// A route document as it is sent to a node.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, expecting = "struct Document")]
 pub struct Document {
-    /// The log index at which it was published; the same for all nodes.
+    /// The log index at which the document was published. It identifies the document in every schema version.
     #[serde(rename = "number")]
     pub index: u64,
-    /// The schema version that it is rendered in.
+    /// The schema version in which the body is written.
     pub version: u32,
-    /// The document.
+    /// The content of the document.
     pub body: Value,
 }
 
-/// The document that a node applied.
+/// The route document that a node has applied.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, expecting = "struct Applied")]
 pub struct AppliedDocument {
-    /// The document's log index; 0 for none.
+    /// The log index at which the document was published; 0 if the node has not applied one yet.
     #[serde(rename = "number")]
     pub index: u64,
-    /// The schema version in which it was read.
+    /// The schema version in which the node received the document.
     pub version: u32,
 }
 
--- a/crates/core/messages/src/terms.rs
+++ b/crates/core/messages/src/terms.rs
@@ -1,85 +1,84 @@
-//! The terms of budgets and wallets, as an operator sets them.
+//! The terms of budgets and wallets, which an operator sets.
 
 use crate::validation::{check_count, check_name, check_range, FieldError, MAX_AMOUNT, MAX_DURATION_US};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A lease shorter than this could end before the response has come, in microseconds.
+/// The shortest lease or reservation, in microseconds. A shorter one could end before the node has the response.
 const MIN_LEASE_DURATION_US: u64 = 10_000;
-/// A clock drift of a whole second a second.
+/// The largest clock drift that may be set, in parts per million: one second per second.
 const MAX_DRIFT_PPM: u64 = 1_000_000;
-/// One wallet prices this many request classes at most.
+/// The most request classes that one wallet may have prices for.
 const MAX_PRICES: usize = 1024;
 
-/// What a budget counts.
+/// The quantity that a budget limits.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum BudgetKind {
-    /// Things in use at one moment, such as calls at a shared dependency.
+    /// The number in use at the same time, such as concurrent calls to a shared dependency.
     #[serde(rename = "in_hand")]
     Concurrency,
-    /// Things started a second.
+    /// The number started per second.
     #[serde(rename = "rate")]
     Rate,
 }
 
-/// A budget's terms.
+/// How much capacity a budget has, and how it is leased to nodes.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, expecting = "struct Terms")]
 pub struct BudgetTerms {
-    /// What it counts.
+    /// The quantity that the budget limits.
     pub kind: BudgetKind,
-    /// All units, over all nodes.
+    /// The number of units that all nodes together may use.
     #[serde(rename = "whole")]
     pub capacity: u64,
-    /// Units that each node gets at least, as far as the capacity goes round.
+    /// The number of units that each node is given at least, as long as the capacity suffices.
     #[serde(rename = "floor")]
     pub min_per_node: u64,
-    /// The part of the capacity that only a node's first lease is taken from, in thousandths.
+    /// The part of the capacity that is reserved for the first lease of a node, in thousandths.
     #[serde(rename = "kept_back")]
     pub newcomer_reserve_permille: u64,
-    /// For how long a lease lets things be started, in microseconds.
+    /// For how long a node may start calls under a lease, in microseconds.
     #[serde(rename = "span_us")]
     pub lease_duration_us: u64,
-    /// By how much two clocks drift apart at most, in parts per million.
+    /// The largest rate at which two clocks drift apart, in parts per million.
     #[serde(rename = "drift")]
     pub max_clock_drift_ppm: u64,
-    /// The longest pause of a node between its look at the clock and what it starts then, in microseconds. A pause in
-    /// just that gap can't be seen by any check, so the lease is held back for as long before its units are granted
-    /// again.
+    /// The longest pause of a node between reading its clock and starting a call, in microseconds. The node can't
+    /// detect a pause at that point, so the coordinators wait this much longer before they lease the units again.
     #[serde(rename = "margin_us")]
     pub pause_margin_us: u64,
 }
 
-/// What becomes of units in doubt: granted to a node that accounts for them no more.
+/// What happens to units that stay in doubt: units granted to a node that never reported whether it spent them.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum InDoubtPolicy {
-    /// They go back to the balance.
+    /// The units go back to the balance.
     #[serde(rename = "return")]
     Return,
-    /// They are charged.
+    /// The units are charged.
     #[serde(rename = "charge")]
     Charge,
 }
 
-/// A wallet's terms.
+/// The prices that are charged to a wallet, and how its units are reserved on nodes.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, expecting = "struct WalletTerms")]
 pub struct WalletTerms {
-    /// The price of a request by its class; a class that is not named costs nothing.
+    /// The price of a request in units, by request class. Requests of a class that is missing here are free.
     pub prices: BTreeMap<String, u64>,
     /// For how long a node may admit requests against a reservation, in microseconds.
     #[serde(rename = "span_us")]
     pub reservation_duration_us: u64,
-    /// By how much two clocks drift apart at most, in parts per million.
+    /// The largest rate at which two clocks drift apart, in parts per million.
     #[serde(rename = "drift")]
     pub max_clock_drift_ppm: u64,
-    /// The longest pause of a node between its look at the clock and what it does then, in microseconds.
+    /// The longest pause of a node between reading its clock and admitting a request, in microseconds.
     #[serde(rename = "margin_us")]
     pub pause_margin_us: u64,
-    /// For how long units stay in doubt before [`Self::in_doubt_policy`] decides, in microseconds.
+    /// For how long units stay in doubt before [`Self::in_doubt_policy`] is applied, in microseconds.
     #[serde(rename = "doubt_us")]
     pub in_doubt_timeout_us: u64,
-    /// What becomes of units in doubt then.
+    /// What happens to units that are still in doubt after [`Self::in_doubt_timeout_us`].
     #[serde(rename = "doubt")]
     pub in_doubt_policy: InDoubtPolicy,
 }
--- a/crates/core/messages/src/validation.rs
+++ b/crates/core/messages/src/validation.rs
@@ -1,63 +1,63 @@
-//! Range checks on decoded messages. Each says which field is out of range and how.
+//! Checks of the limits on the fields of a decoded message. Each error names the field and the limit it violates.
 
 use std::fmt;
 
-/// The longest name, in bytes.
+/// The longest name of a node, budget, wallet, request class or schema field, in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 64;
-/// The largest amount. No sum of as many amounts as a message may hold comes near the end of `u64`.
+/// The largest amount in units. It is so far below `u64::MAX` that the sum of all amounts in a message can't overflow.
 pub(crate) const MAX_AMOUNT: u64 = 1 << 40;
 /// The longest duration: one day, in microseconds.
 pub(crate) const MAX_DURATION_US: u64 = 86_400_000_000;
 
-/// A field of a message whose value is not allowed.
+/// An error about one field of a message: its path, and the limit that its value violates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
-    /// The path of the field in the message, such as `wants[0].in_use`.
+    /// The path of the field in the message by its wire names, such as `wants[0].in_use`.
     pub path: String,
-    /// What is wrong with its value.
+    /// The limit that the value violates.
     pub violation: Violation,
 }
 
-/// What is wrong with a value.
+/// The limit that the value of a field violates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// It is no name: one word of printable ASCII characters, of limited length.
+    /// The text is not a valid name: a single word of printable ASCII characters, of limited length.
     NotAName(String),
-    /// It is out of its range.
+    /// The value is out of range.
     OutOfRange {
-        /// The value.
+        /// The value in the message.
         value: u64,
-        /// The smallest value that is allowed.
+        /// The smallest allowed value.
         min: u64,
-        /// The largest value that is allowed.
+        /// The largest allowed value.
         max: u64,
     },
     /// A list or map has too many entries.
     TooManyEntries {
-        /// Its entries.
+        /// The number of entries.
         count: u64,
-        /// As many are allowed.
+        /// The largest allowed number of entries.
         max: u64,
     },
-    /// A list names one thing twice.
+    /// A list has two entries with this name.
     Duplicate(String),
-    /// The ends of a range of integers stand in the wrong order.
+    /// The minimum of an integer range is larger than its maximum.
     ReversedRange {
-        /// The end that stands first.
+        /// The stated minimum.
         min: i64,
-        /// The end that stands last.
+        /// The stated maximum.
         max: i64,
     },
-    /// An enumeration has no name, or too many.
+    /// An enumeration has no names, or too many.
     EnumerationSize {
-        /// Its names.
+        /// The number of names.
         count: usize,
-        /// As many are allowed.
+        /// The largest allowed number of names.
         max: usize,
     },
     /// Records are nested too deeply.
     TooDeep {
-        /// As deep is allowed.
+        /// The largest allowed nesting depth.
         max: usize,
     },
 }
@@ -122,7 +122,7 @@
     Err(FieldError::new(path, Violation::TooManyEntries { count: count as u64, max: max as u64 }))
 }
 
-/// Checks that no name stands twice; of several that do, the first in alphabetical order is told.
+/// Checks that no two names are equal. The error names the alphabetically first duplicate.
 pub(crate) fn check_distinct<'a>(path: &str, names: impl Iterator<Item = &'a str>) -> Result<(), FieldError> {
     let mut sorted: Vec<&str> = names.collect();
     sorted.sort_unstable();
--- a/crates/core/messages/src/wallet.rs
+++ b/crates/core/messages/src/wallet.rs
@@ -1,54 +1,57 @@
-//! What nodes and coordinators tell each other of wallets: units that a tenant bought in advance. Counts of what was
-//! charged and returned only grow within one account, so a message that arrives twice books nothing twice.
+//! Reports and reservations of wallets. A wallet holds units that a tenant bought in advance.
+//!
+//! Within one account, the counts of granted, charged and returned units only grow. A message that arrives twice
+//! therefore charges or returns nothing twice.
 
 use crate::validation::{check_name, check_range, FieldError, MAX_DURATION_US};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// No wallet ever holds more units.
+/// The most units that a wallet can hold.
 pub const MAX_UNITS: u64 = 1 << 50;
 
-/// A node's account of one wallet.
+/// A node's report on its account of one wallet.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, expecting = "struct Purse")]
 pub struct WalletReport {
     /// The wallet's name.
     pub wallet: String,
-    /// The number of the node's account; 0 where it has none.
+    /// The number of the node's account; 0 if it has none yet.
     pub account: u64,
     /// Units charged in this account so far.
     pub spent: u64,
-    /// Units given back in this account so far.
+    /// Units that the node returned from this account so far.
     pub returned: u64,
-    /// Units that the node wants at hand, with those that running requests hold.
+    /// Units that the node wants to hold, including those that running requests hold.
     #[serde(rename = "want")]
     pub demand: u64,
-    /// The longest time for which an admitted request may run, in microseconds.
+    /// The longest time that an admitted request may run, in microseconds.
     #[serde(rename = "tail_us")]
     pub max_in_flight_us: u64,
 }
 
-/// Units of a wallet that a node may admit requests against, for a limited time.
+/// Units of a wallet against which a node may admit requests for a limited time.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, expecting = "struct Reserve")]
 pub struct Reservation {
     /// The wallet's name.
     pub wallet: String,
-    /// The account's number; it changes where the account before was closed.
+    /// The number of the node's account. It differs from the reported number if that account was closed.
     pub account: u64,
     /// Units granted in this account so far.
     #[serde(rename = "given")]
     pub granted: u64,
-    /// Of the units that are left the node may retain this many; it returns the others.
+    /// The number of unspent units that the node may retain; it returns the others.
     #[serde(rename = "keep")]
     pub retain: u64,
-    /// For how long requests may be admitted, in microseconds from before the node first sent its request.
+    /// For how long the node may admit requests, in microseconds. The node counts from a time before it first sent the
+    /// request, so that the reservation ends at the node before it ends at the coordinators.
     #[serde(rename = "span_us")]
     pub duration_us: u64,
-    /// Whether the wallet has no units left that any node could get.
+    /// Whether the balance of the wallet is 0, so that no node can be granted more units.
     #[serde(rename = "empty")]
     pub exhausted: bool,
-    /// The price of a request by its class; a class that is not named costs nothing.
+    /// The price of a request in units, by request class. Requests of a class that is missing here are free.
     pub prices: BTreeMap<String, u64>,
 }
 
