--- a/crates/core/coordination/src/budgets/mod.rs
+++ b/crates/core/coordination/src/budgets/mod.rs
@@ -13,16 +13,16 @@
 //!
 //! Safety rule: the sum of all outstanding amounts never exceeds the capacity, even if messages are lost, duplicated or
 //! delayed, or a node is wrongly suspected. The outstanding amount of a holder is the largest of its leases that have
-//! not expired ([`holder`]). The amount of a new lease is never larger than the outstanding amount of its holder plus
+//! not expired (`holder`). The amount of a new lease is never larger than the outstanding amount of its holder plus
 //! the free units. A capacity that an operator has reduced is in force once enough leases have expired.
 //!
 //! Pauses: a node that was paused starts nothing under a lease that ended meanwhile, because its clock goes on during
 //! the pause and it reads the clock before it starts anything (`lynxtally-lease-client`). The units of a silent holder,
 //! suspected or not, are leased to others only after the lease duration, the longest time in flight, the clock drift
-//! and the pause margin have passed in this state ([`safe_expiry`](crate::clock::safe_expiry)). A process whose name
+//! and the pause margin have passed in this state (`safe_expiry`). A process whose name
 //! another process has taken is fenced: it gets no new leases, and its leases stay outstanding until they expire.
 //!
-//! The division of the capacity among the holders ([`division`], [`rotation`]) affects only how well the capacity is
+//! The division of the capacity among the holders ([`division`], `rotation`) affects only how well the capacity is
 //! used. The safety rule does not depend on it.
 
 pub mod division;
--- a/crates/core/coordination/src/budgets/rotation.rs
+++ b/crates/core/coordination/src/budgets/rotation.rs
@@ -35,8 +35,8 @@
         self.turn_since_us.contains_key(&incarnation)
     }
 
-    /// Assigns `units` extra units to the holders with a fraction of a unit, given in thousandths by incarnation. A
-    /// holder that had its extra unit for a whole turn loses it if other holders are waiting.
+    /// Assigns `units` extra units to the holders in `fractions`, which has the fraction of each incarnation in
+    /// thousandths of a unit. A holder whose turn has reached its full length loses the extra unit if others are waiting.
     pub fn rotate(&mut self, now: Instant, lease_duration: Span, fractions: &BTreeMap<u64, u64>, units: u64) {
         self.turn_since_us.retain(|incarnation, _| fractions.contains_key(incarnation));
         self.deficits.retain(|incarnation, _| fractions.contains_key(incarnation));
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Ends the oldest turns: those that have lasted a whole turn, but no more than there are holders waiting, and at
-    /// least as many as there are turns in excess of `units`.
+    /// Ends the oldest turns: those that have reached their full length, but no more than there are holders waiting. If
+    /// there are more turns than `units`, ends at least as many as there are too many.
     fn end_turns(&mut self, now: Instant, lease_duration: Span, units: usize, waiting: usize) {
         let turn_us = (lease_duration * TURN_LEASE_DURATIONS).micros();
         let now_us = to_micros(now);
--- a/crates/core/coordination/src/clock.rs
+++ b/crates/core/coordination/src/clock.rs
@@ -4,7 +4,7 @@
 use lynxtally::{Instant, Span};
 use serde::{Deserialize, Serialize};
 
-/// The factor between a fraction and parts per million.
+/// The denominator of a rate in parts per million.
 const PPM_SCALE: u64 = 1_000_000;
 
 /// The timestamp of a log entry, which the leader takes before it writes the entry.
--- a/crates/core/coordination/src/members/mod.rs
+++ b/crates/core/coordination/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Members: the processes that currently use each node name, by incarnation.
+//! Members: the process that currently uses each node name, identified by its incarnation.
 //!
 //! Safety rule (fencing): an incarnation is the log index of a process's join request, so no two processes share one,
 //! and later ones are larger. The first request under a new incarnation takes the name. The process that had the name
--- a/crates/core/coordination/src/schemas/reading.rs
+++ b/crates/core/coordination/src/schemas/reading.rs
@@ -32,7 +32,7 @@
     Ok(Value::Object(read))
 }
 
-/// The value of a field that a document leaves out. A required field has none, because it can't be left out.
+/// The value of a field that a document leaves out. `None` for a required field, because it can't be left out.
 pub(super) fn default_of(field: &Field) -> Option<&Value> {
     field.default.as_ref().filter(|_| !field.required)
 }
--- a/crates/core/coordination/src/state.rs
+++ b/crates/core/coordination/src/state.rs
@@ -61,8 +61,8 @@
     /// too long, and checks whether a waiting schema or document can now come into force.
     fn tick(&mut self, now: Instant, acknowledged_indexes: &BTreeMap<u64, u64>) -> Output {
         for (coordinator, index) in acknowledged_indexes {
-            let known = self.acknowledged_indexes.entry(*coordinator).or_default();
-            *known = (*known).max(*index);
+            let acknowledged = self.acknowledged_indexes.entry(*coordinator).or_default();
+            *acknowledged = (*acknowledged).max(*index);
         }
         self.budgets.values_mut().for_each(|budget| budget.divide(now));
         self.wallets.values_mut().for_each(|wallet| wallet.tick(now));
--- a/crates/core/coordination/src/wallets/mod.rs
+++ b/crates/core/coordination/src/wallets/mod.rs
@@ -23,8 +23,8 @@
 pub const MAX_WALLETS: usize = 65_536;
 /// If a wallet has more accounts than this, settled accounts are evicted, oldest first.
 const MAX_ACCOUNTS: usize = 4096;
-/// A renewal grants at most the balance divided by this number and by the number of nodes, so that the last units are
-/// not stranded on nodes that don't use them.
+/// A renewal grants at most the balance divided by this number and by the number of nodes that share the wallet, unless
+/// a single request costs more. This keeps the last units from being stranded on nodes that don't use them.
 const BALANCE_SHARE_DIVISOR: u64 = 4;
 
 /// The number of units of a wallet in each category. `bought` is the sum of `balance`, `reserved`, `charged` and
@@ -143,9 +143,9 @@
     /// Records a report and returns the number of the node's account. Opens a new account if the node has none, or if
     /// the one in the report is already settled.
     fn current_account(&mut self, index: u64, incarnation: u64, report: &WalletReport) -> u64 {
-        let own = self.accounts.get(&report.account).filter(|own| own.incarnation == incarnation);
-        match own {
-            Some(own) if !own.settled => {
+        let reported = self.accounts.get(&report.account);
+        match reported.filter(|account| account.incarnation == incarnation) {
+            Some(open) if !open.settled => {
                 self.record_report(report.account, report);
                 return report.account;
             }
@@ -236,8 +236,8 @@
     /// to the balance. Without a report, it is unknown what the process charged, so the account stays open.
     pub fn release(&mut self, incarnation: u64, report: Option<&WalletReport>) {
         let Some(report) = report else { return };
-        let own = self.accounts.get(&report.account).filter(|own| !own.settled);
-        if own.is_none_or(|own| own.incarnation != incarnation) {
+        let open = self.accounts.get(&report.account).filter(|account| !account.settled);
+        if open.is_none_or(|account| account.incarnation != incarnation) {
             return;
         }
         self.record_report(report.account, report);
@@ -250,7 +250,7 @@
 
     /// Fences the accounts of a process whose name another process has taken: it gets no new units.
     pub fn fence(&mut self, incarnation: u64) {
-        let own = self.accounts.values_mut().filter(|account| account.incarnation == incarnation);
-        own.for_each(|account| account.fenced = true);
+        let fenced = self.accounts.values_mut().filter(|account| account.incarnation == incarnation);
+        fenced.for_each(|account| account.fenced = true);
     }
 }
--- a/crates/core/messages/src/schema.rs
+++ b/crates/core/messages/src/schema.rs
@@ -37,7 +37,8 @@
     /// Whether a document has to contain the field.
     #[serde(default)]
     pub required: bool,
-    /// The value that a reader uses if an optional field is left out of the document.
+    /// The value that a reader uses if a document leaves out an optional field. For a required field, the value that is
+    /// written for readers of this version after a newer version has removed the field.
     #[serde(default)]
     pub default: Option<Value>,
     /// The schema version that added the field.
--- a/crates/core/messages/src/terms.rs
+++ b/crates/core/messages/src/terms.rs
@@ -14,10 +14,10 @@
 /// The quantity that a budget limits.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum BudgetKind {
-    /// The number in use at the same time, such as concurrent calls to a shared dependency.
+    /// The number of units in use at the same time, such as concurrent calls to a shared dependency.
     #[serde(rename = "in_hand")]
     Concurrency,
-    /// The number started per second.
+    /// The number of units started per second, such as calls to a shared dependency.
     #[serde(rename = "rate")]
     Rate,
 }
