--- a/crates/lynxtally-node/src/config.rs
+++ b/crates/lynxtally-node/src/config.rs
@@ -32,12 +32,12 @@
     /// The settings of the decisions, and the names in them.
     pub backend: BackendSettings,
     /// Its part in what the fleet has together; none where no coordinators are named.
-    pub shares: Option<coordination::Settings>,
+    pub coordination: Option<coordination::Settings>,
 }
 
 /// The limits of the node's own sockets and memory: one place for all such limits, as fractions of the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct ResourceLimits {
     /// How many connections from clients may be open.
     pub max_connections: usize,
     /// How long a message may take until it is complete, and a response until it is taken.
@@ -60,21 +60,21 @@
 /// A connection lingers for the message timeout divided by this.
 const LINGER_DIVISOR: u32 = 2;
 /// Clients close what is idle after the time that the settings name; after this many times that, they have forgotten it.
-const FORGOTTEN_AFTER: u32 = 2;
+const CLIENT_IDLE_TIMEOUT_FACTOR: u32 = 2;
 /// Retained results take this fraction of the memory.
 const RETAINED_RESULTS_FRACTION: f64 = 0.25;
 
 impl Config {
     /// The limits that follow from it.
-    pub fn bounds(&self) -> Bounds {
+    pub fn resource_limits(&self) -> ResourceLimits {
         let settings = &self.backend.settings;
         let duration = |span: lynxtally::Span| Duration::from_micros(span.micros());
         let deadlines = settings.classes.iter().map(|class| duration(class.deadline));
         let longest_deadline = deadlines.max().unwrap_or(MAX_MESSAGE_TIMEOUT);
         let max_connections = (self.max_sockets as f64 * CLIENT_SOCKETS_FRACTION) as usize;
         let message_timeout = longest_deadline.min(MAX_MESSAGE_TIMEOUT);
-        let idle_timeout = duration(settings.client_idle_timeout) * FORGOTTEN_AFTER;
-        Bounds {
+        let idle_timeout = duration(settings.client_idle_timeout) * CLIENT_IDLE_TIMEOUT_FACTOR;
+        ResourceLimits {
             max_connections,
             message_timeout,
             linger_timeout: message_timeout / LINGER_DIVISOR,
@@ -94,7 +94,7 @@
             ("limits.sockets", self.max_sockets != newer.max_sockets),
             ("limits.memory_mb", self.memory_bytes != newer.memory_bytes),
             ("settings", self.backend != newer.backend),
-            ("shares", self.shares != newer.shares),
+            ("shares", self.coordination != newer.coordination),
         ]
         .into_iter()
         .filter_map(|(key, differs)| differs.then_some(key))
@@ -104,7 +104,8 @@
 
 /// The configuration file with its own keys. Unknown keys are ignored.
 #[derive(Deserialize)]
-struct File {
+#[serde(rename = "File")]
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     #[serde(rename = "kernel")]
@@ -120,7 +121,8 @@
     #[serde(default)]
     limits: Limits,
     settings: serde_json::Value,
-    shares: Option<coordination::File>,
+    #[serde(rename = "shares")]
+    coordination: Option<coordination::CoordinationSection>,
 }
 
 fn default_shutdown_ms() -> u64 {
@@ -171,7 +173,7 @@
         /// The path of the file.
         path: String,
         /// The key, and what is wrong with it.
-        fault: SettingError,
+        error: SettingError,
     },
 }
 
@@ -179,7 +181,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Read { path, error } => write!(f, "{path}: {error}"),
-            Self::Invalid { path, fault } => write!(f, "{path}: {fault}"),
+            Self::Invalid { path, error } => write!(f, "{path}: {error}"),
         }
     }
 }
@@ -196,7 +198,7 @@
         Ok(text) => text,
         Err(error) => return Err(LoadError::Read { path, error }),
     };
-    parse(&text, |name| std::env::var(name).ok()).map_err(|fault| LoadError::Invalid { path, fault })
+    parse(&text, |name| std::env::var(name).ok()).map_err(|error| LoadError::Invalid { path, error })
 }
 
 /// Reads the configuration from a text. `environment` overrides name and listening address.
@@ -206,7 +208,7 @@
 pub fn parse(text: &str, environment: impl Fn(&str) -> Option<String>) -> Result<Config, SettingError> {
     let json: serde_json::Value =
         serde_json::from_str(text).map_err(|error| SettingError::new("", format!("no JSON: {error}")))?;
-    let file: File = decode(json)?;
+    let file: ConfigFile = decode(json)?;
     let missing = |key: &str| SettingError::new(key, "is missing; a text is expected");
     let name = environment(NAME_VARIABLE).or(file.name).ok_or_else(|| missing("name"))?;
     if name.is_empty() || name.contains(char::is_whitespace) {
@@ -224,7 +226,7 @@
     let mut backend = parse_settings(file.settings)?;
     let downstream = file.downstream.map(|text| parse_address("ledger", &text)).transpose()?;
     if downstream.is_none() {
-        check_nothing_is_called(&backend)?;
+        check_no_class_calls_downstream(&backend)?;
     }
     // The executor has no command to degrade a request, so degrading one earns nothing here.
     backend.settings.classes.iter_mut().for_each(|class| class.degraded_utility_fraction = 0.0);
@@ -238,7 +240,10 @@
         shutdown_timeout: Duration::from_millis(file.shutdown_ms),
         max_sockets: file.limits.sockets,
         memory_bytes: file.limits.memory_mb << 20,
-        shares: file.shares.map(|file| coordination::read(file, &backend)).transpose()?,
+        coordination: file
+            .coordination
+            .map(|section| coordination::validate(section, &backend))
+            .transpose()?,
         backend,
     })
 }
@@ -258,14 +263,14 @@
 }
 
 fn parse_settings(json: serde_json::Value) -> Result<BackendSettings, SettingError> {
-    lynxtally_settings::read(json).map_err(|fault| match fault.path.as_str() {
-        "" | "." => SettingError::new("settings", fault.problem),
-        path => SettingError::new(format!("settings.{path}"), fault.problem),
+    lynxtally_settings::read(json).map_err(|error| match error.path.as_str() {
+        "" | "." => SettingError::new("settings", error.problem),
+        path => SettingError::new(format!("settings.{path}"), error.problem),
     })
 }
 
 /// A node without a downstream dependency may have no request class that calls it.
-fn check_nothing_is_called(backend: &BackendSettings) -> Result<(), SettingError> {
+fn check_no_class_calls_downstream(backend: &BackendSettings) -> Result<(), SettingError> {
     let Some(calling) = backend.settings.classes.iter().position(|class| class.calls_downstream) else {
         return Ok(());
     };
--- a/crates/lynxtally-node/src/coordination/mod.rs
+++ b/crates/lynxtally-node/src/coordination/mod.rs
@@ -8,7 +8,7 @@
 mod settings;
 
 pub use sender::RequestSender;
-pub use settings::{read, File, QuotaBudget, Settings, TenantWallet};
+pub use settings::{validate, CoordinationSection, QuotaBudget, Settings, TenantWallet};
 
 use lynxtally::{CallLease, Instant, LeasedQuotas, Policy, Span};
 use lynxtally_engine::{Engine, WalletReservation};
@@ -19,7 +19,7 @@
 
 /// The clock that lease durations are counted by: nobody sets it, and it counts on while the machine sleeps, so that a
 /// lease can't outlast a suspended machine.
-fn boot_clock() -> Instant {
+fn boot_clock_now() -> Instant {
     let at = clock_gettime(ClockId::Boottime);
     let micros = i128::from(at.tv_sec) * 1_000_000 + i128::from(at.tv_nsec) / 1000;
     Instant::from_micros(u64::try_from(micros).unwrap_or_default())
@@ -32,9 +32,9 @@
     sender: RequestSender,
     settings: Settings,
     /// Whether the engine has been told any quotas.
-    quotas_told: bool,
+    quotas_applied: bool,
     /// Whether the engine has been told any reservations.
-    reservations_told: bool,
+    reservations_applied: bool,
     /// The clock reading of this pass of the event loop.
     now: Instant,
 }
@@ -42,19 +42,19 @@
 impl Coordination {
     /// A node that is no member yet.
     pub fn new(name: &str, settings: Settings, seed: u64, sender: RequestSender) -> Self {
-        let now = boot_clock();
+        let now = boot_clock_now();
         let client = LeaseClient::new(client_settings(name, &settings), seed, now);
-        Self { client, sender, settings, quotas_told: false, reservations_told: false, now }
+        Self { client, sender, settings, quotas_applied: false, reservations_applied: false, now }
     }
 
     /// Before anything is decided in a pass of the event loop: reads the clock, and tells the engine what is in force now.
     /// This keeps a node that was paused from starting anything under a lease that expired meanwhile.
     pub fn apply_leases<W, F, D: Copy + Ord>(&mut self, now: Instant, engine: &mut Engine<Policy, W, F, D>) {
-        self.now = boot_clock();
+        self.now = boot_clock_now();
         self.client.advance(self.now);
-        let mut leases_changed = !self.quotas_told && engine.is_started();
+        let mut leases_changed = !self.quotas_applied && engine.is_started();
         let mut changed_wallets = Vec::new();
-        if !std::mem::replace(&mut self.reservations_told, true) {
+        if !std::mem::replace(&mut self.reservations_applied, true) {
             changed_wallets.extend(0..self.settings.wallets.len());
         }
         for event in self.client.drain_events() {
@@ -66,7 +66,7 @@
             log_event(&event);
         }
         if leases_changed && engine.is_started() {
-            self.quotas_told = true;
+            self.quotas_applied = true;
             engine.set_quotas(now, self.leased_quotas());
         }
         for wallet in changed_wallets {
@@ -146,7 +146,7 @@
     ) {
         // Requests may have been admitted earlier in this pass: units that they hold must not be returned as idle.
         self.report_usage(engine);
-        self.client.on_response(boot_clock(), token, response);
+        self.client.on_response(boot_clock_now(), token, response);
     }
 
     /// The node shuts down gracefully: its session ends once nothing is in use.
--- a/crates/lynxtally-node/src/coordination/settings.rs
+++ b/crates/lynxtally-node/src/coordination/settings.rs
@@ -50,10 +50,10 @@
     pub tenant: usize,
 }
 
-/// The part of the file. Its keys are older than the names here.
+/// The part of the section. Its keys are older than the names here.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct File {
+#[serde(deny_unknown_fields, rename = "File")]
+pub struct CoordinationSection {
     #[serde(rename = "keepers")]
     coordinators: Vec<String>,
     #[serde(default = "default_response_timeout_ms", rename = "patience_ms")]
@@ -73,29 +73,29 @@
 ///
 /// # Errors
 /// The key and what is wrong with it.
-pub fn read(file: File, backend: &BackendSettings) -> Result<Settings, SettingError> {
-    let coordinators = read_addresses(&file.coordinators)?;
-    if !RESPONSE_TIMEOUT_MS.contains(&file.response_timeout_ms) {
-        let what = format!("is {}; 10 to 60000 is expected", file.response_timeout_ms);
+pub fn validate(section: CoordinationSection, backend: &BackendSettings) -> Result<Settings, SettingError> {
+    let coordinators = read_addresses(&section.coordinators)?;
+    if !RESPONSE_TIMEOUT_MS.contains(&section.response_timeout_ms) {
+        let what = format!("is {}; 10 to 60000 is expected", section.response_timeout_ms);
         return Err(SettingError::new("shares.patience_ms", what));
     }
-    let cancellation_lag = cancellation_lag(&file, backend)?;
+    let cancellation_lag = cancellation_lag(&section, backend)?;
     let deadlines = backend.settings.classes.iter().map(|class| class.deadline);
     let longest_deadline = deadlines.max().unwrap_or_default();
     let mut quotas = Vec::new();
-    for (tenant, budget) in &file.quotas {
+    for (tenant, budget) in &section.quotas {
         quotas.push(QuotaBudget { budget: budget.clone(), tenant: find_tenant("quotas", tenant, backend)? });
     }
     let mut wallets = Vec::new();
-    for (tenant, wallet) in &file.wallets {
+    for (tenant, wallet) in &section.wallets {
         wallets
             .push(TenantWallet { wallet: wallet.clone(), tenant: find_tenant("wallets", tenant, backend)? });
     }
-    check_distinct(file.calls.iter().chain(quotas.iter().map(|quota| &quota.budget)))?;
+    check_distinct(section.calls.iter().chain(quotas.iter().map(|quota| &quota.budget)))?;
     Ok(Settings {
         coordinators,
-        response_timeout: Span::from_millis(file.response_timeout_ms),
-        calls: file.calls,
+        response_timeout: Span::from_millis(section.response_timeout_ms),
+        calls: section.calls,
         max_call_duration: longest_deadline + cancellation_lag,
         quotas,
         wallets,
@@ -120,10 +120,10 @@
 }
 
 /// How long a call still runs downstream after its cancellation.
-fn cancellation_lag(file: &File, backend: &BackendSettings) -> Result<Span, SettingError> {
+fn cancellation_lag(section: &CoordinationSection, backend: &BackendSettings) -> Result<Span, SettingError> {
     match backend.settings.downstream {
         Downstream::Shared { cancellation_lag, .. } => Ok(cancellation_lag),
-        _ if file.calls.is_some() => {
+        _ if section.calls.is_some() => {
             Err(SettingError::new("shares.calls", "is there, but `settings` names no shared dependency"))
         }
         _ => Ok(Span::ZERO),
@@ -131,8 +131,8 @@
 }
 
 fn find_tenant(key: &str, tenant: &str, backend: &BackendSettings) -> Result<usize, SettingError> {
-    let place = backend.tenant_names.iter().position(|known| known == tenant);
-    place
+    let index = backend.tenant_names.iter().position(|known| known == tenant);
+    index
         .ok_or_else(|| SettingError::new(format!("shares.{key}.{tenant}"), "names no customer of `settings`"))
 }
 
--- a/crates/lynxtally-node/src/counters.rs
+++ b/crates/lynxtally-node/src/counters.rs
@@ -6,16 +6,16 @@
 
 /// One number.
 #[derive(Debug, Default)]
-pub struct Count(AtomicU64);
+pub struct Counter(AtomicU64);
 
-impl Count {
+impl Counter {
     /// Adds one.
-    pub fn add(&self) {
+    pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Takes one off, for what is counted while it lasts.
-    pub fn subtract(&self) {
+    pub fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 
@@ -32,12 +32,12 @@
 
 /// Connections by the reason of their closing.
 #[derive(Debug, Default)]
-pub struct CountByReason([Count; CloseReason::ALL.len()]);
+pub struct CountByReason([Counter; CloseReason::ALL.len()]);
 
 impl CountByReason {
     /// Counts one more that ended for this reason.
-    pub fn add(&self, reason: CloseReason) {
-        self.0[reason as usize].add();
+    pub fn increment(&self, reason: CloseReason) {
+        self.0[reason as usize].increment();
     }
 
     /// How many ended for this reason.
@@ -63,17 +63,17 @@
 
 /// Counts by a name of the settings, such as requests by class.
 #[derive(Debug, Default)]
-pub struct CountByName(Vec<(String, Count)>);
+pub struct CountByName(Vec<(String, Counter)>);
 
 impl CountByName {
     fn new(names: &[String]) -> Self {
-        Self(names.iter().map(|name| (name.clone(), Count::default())).collect())
+        Self(names.iter().map(|name| (name.clone(), Counter::default())).collect())
     }
 
     /// Counts one more of the name with this index.
-    pub fn add(&self, index: usize) {
+    pub fn increment(&self, index: usize) {
         if let Some((_, count)) = self.0.get(index) {
-            count.add();
+            count.increment();
         }
     }
 
@@ -112,70 +112,70 @@
 
 counters! {
     /// Connections accepted from clients.
-    connections: Count => "connections",
+    connections: Counter => "connections",
     /// Why they ended.
     connections_closed: CountByReason => "connection_ends",
     /// Connections that could not be accepted, for want of descriptors most likely.
-    accepts_failed: Count => "accepts_failed",
+    accepts_failed: Counter => "accepts_failed",
     /// Health checks answered.
-    health_checks: Count => "health_checks",
+    health_checks: Counter => "health_checks",
     /// Messages whose head can't be parsed.
-    bad_head: Count => "bad_head",
+    bad_head: Counter => "bad_head",
     /// Messages with a header that can't be parsed, or with a name that is not known.
-    bad_header: Count => "bad_field",
+    bad_header: Counter => "bad_field",
     /// Messages for a path or method that does not exist.
-    bad_path: Count => "bad_path",
+    bad_path: Counter => "bad_path",
     /// Messages that are too large, or have an encoding that is not supported.
-    bad_size: Count => "bad_size",
+    bad_size: Counter => "bad_size",
     /// Requests read, by class.
     requests: CountByName => "tasks",
     /// Requests not accepted by the engine: before the executor is up, under an id that is in use, or under another
     /// request's idempotency key.
-    requests_refused: Count => "tasks_refused",
+    requests_refused: Counter => "tasks_refused",
     /// Requests answered with a run's result.
-    completed: Count => "finished",
+    completed: Counter => "finished",
     /// Requests answered that they were never executed.
-    rejected: Count => "rejected",
+    rejected: Counter => "rejected",
     /// Requests answered that they failed.
-    failed: Count => "abandoned",
+    failed: Counter => "abandoned",
     /// Requests whose caller was gone before the response.
-    caller_gone: Count => "caller_gone",
+    client_disconnected: Counter => "caller_gone",
     /// Requests read that are still owed a response.
-    in_flight: Count => "open",
+    in_flight: Counter => "open",
     /// Responses that no connection took any more.
-    responses_undelivered: Count => "answers_lost",
+    responses_undelivered: Counter => "answers_lost",
     /// Runs ordered.
-    runs: Count => "runs",
+    runs: Counter => "runs",
     /// Runs that succeeded.
-    runs_succeeded: Count => "runs_ok",
+    runs_succeeded: Counter => "runs_ok",
     /// Runs that failed.
-    runs_failed: Count => "runs_error",
+    runs_failed: Counter => "runs_error",
     /// Runs that were stopped.
-    runs_stopped: Count => "runs_stopped",
+    runs_stopped: Counter => "runs_stopped",
     /// Runs that never started.
-    runs_not_started: Count => "runs_moot",
+    runs_not_started: Counter => "runs_moot",
     /// Downstream calls started.
-    calls: Count => "calls",
+    calls: Counter => "calls",
     /// Calls that succeeded.
-    calls_succeeded: Count => "calls_ok",
+    calls_succeeded: Counter => "calls_ok",
     /// Calls that failed and were not executed.
-    calls_not_executed: Count => "calls_never_ran",
+    calls_not_executed: Counter => "calls_never_ran",
     /// Calls that failed and may have been executed.
-    calls_maybe_executed: Count => "calls_may_have_run",
+    calls_maybe_executed: Counter => "calls_may_have_run",
     /// Why downstream connections ended.
     downstream_closed: CountByReason => "ledger_ends",
     /// Links made to the executor.
-    executor_links: Count => "kernel_links",
+    executor_links: Counter => "kernel_links",
     /// Why they, or the attempts at one, ended.
     executor_links_closed: CountByReason => "kernel_ends",
     /// Commands that the executor refused.
-    commands_refused: Count => "kernel_refused",
+    commands_refused: Counter => "kernel_refused",
     /// Events for requests that are not known.
-    unknown_request_events: Count => "kernel_unknown",
+    unknown_request_events: Counter => "kernel_unknown",
     /// Health reports sent to the control plane.
-    health_reports: Count => "reports",
+    health_reports: Counter => "reports",
     /// Health reports that could not be sent.
-    health_reports_failed: Count => "reports_failed",
+    health_reports_failed: Counter => "reports_failed",
 }
 
 impl Counters {
--- a/crates/lynxtally-node/src/downstream/connection.rs
+++ b/crates/lynxtally-node/src/downstream/connection.rs
@@ -57,23 +57,23 @@
                 // A call that came meanwhile gets a connection of its own.
                 connection = None;
                 self.handle.detach();
-                self.leave_pool();
+                self.remove_from_pool();
             }
         }
         self.handle.detach();
         // A call that came between the last look at the mailbox and now is reported as not executed, not lost.
         for command in self.handle.close() {
             if let CallCommand::Make(call) = command {
-                let end = CallEnd::NoReply { reason: CloseReason::ClosedByPeer, written: false };
+                let end = CallEnd::NoResponse { reason: CloseReason::ClosedByPeer, written: false };
                 // The event loop is gone only where the program ends.
                 let _ = self.report_end(call, end);
             }
         }
     }
 
-    fn report_end(&self, call: Call, end: CallEnd) -> Result<(), EventLoopGone> {
+    fn report_end(&self, call: Call, end: CallEnd) -> Result<(), EventLoopStopped> {
         let message = Message::CallEnded { id: call.id, number: call.number, end };
-        self.client.event_loop.send(message).map_err(|_| EventLoopGone)
+        self.client.event_loop.send(message).map_err(|_| EventLoopStopped)
     }
 
     /// Offers this connection for the next call; false where the dependency has moved meanwhile.
@@ -87,7 +87,7 @@
         true
     }
 
-    fn leave_pool(&self) {
+    fn remove_from_pool(&self) {
         lock(&self.client.idle).retain(|idle| !Arc::ptr_eq(&idle.handle, self.handle));
     }
 
@@ -119,12 +119,12 @@
     }
 
     fn count_close(&self, reason: CloseReason) {
-        self.client.counters.downstream_closed.add(reason);
+        self.client.counters.downstream_closed.increment(reason);
     }
 
-    fn without_reply(&self, reason: CloseReason, written: bool) -> FinishedCall {
+    fn without_response(&self, reason: CloseReason, written: bool) -> FinishedCall {
         self.count_close(reason);
-        FinishedCall { end: CallEnd::NoReply { reason, written }, reusable: None }
+        FinishedCall { end: CallEnd::NoResponse { reason, written }, reusable: None }
     }
 
     /// Makes one call, on the pooled connection where there is one.
@@ -135,7 +135,7 @@
         };
         match connection {
             Ok(connection) => self.exchange(call, connection),
-            Err(reason) => self.without_reply(reason, false),
+            Err(reason) => self.without_response(reason, false),
         }
     }
 
@@ -144,14 +144,14 @@
         Connection::connect(address, call.deadline.saturating_duration_since(Instant::now()))
     }
 
-    /// Writes the call and reads its reply.
+    /// Writes the call and reads its response.
     fn exchange(&self, call: &Call, mut connection: Connection) -> FinishedCall {
         self.handle.attach(&connection);
         let mut reader = MessageReader::default();
         let mut written = false;
         loop {
             if let Some(reason) = self.cancellation(call) {
-                return self.without_reply(reason, written);
+                return self.without_response(reason, written);
             }
             if connection.is_flushed() && !written {
                 // The clock is read here and not sooner: a process that was stopped on the way to here wakes with a
@@ -160,7 +160,7 @@
                 // not (`coordination`), and a suspension between that check and this one is covered up to its pause margin.
                 let left = call.deadline.saturating_duration_since(Instant::now());
                 if left.is_zero() {
-                    return self.without_reply(CloseReason::TimedOut, false);
+                    return self.without_response(CloseReason::TimedOut, false);
                 }
                 let timeout_ms = (left.as_millis() as u64).max(1);
                 http::write_call(connection.output(), &call.id, timeout_ms, &call.body);
@@ -168,39 +168,40 @@
             let flushed = connection.flush();
             written |= connection.is_flushed() || connection.written() > 0;
             if let Err(reason) = flushed {
-                return self.without_reply(reason, written);
+                return self.without_response(reason, written);
             }
-            let progress = match connection.fill(&mut reader.buffer, MessageReader::REPLY_BUFFER_BYTES) {
-                Ok(progress) => progress,
-                Err(reason) => return self.without_reply(reason, written),
-            };
-            match reader.next_reply() {
-                Ok(Some(reply)) => {
-                    // What follows the reply already would be taken for the next call's.
-                    let is_reusable = !reply.closes_connection
+            let progress =
+                match connection.fill(&mut reader.buffer, MessageReader::CALL_RESPONSE_BUFFER_BYTES) {
+                    Ok(progress) => progress,
+                    Err(reason) => return self.without_response(reason, written),
+                };
+            match reader.next_call_response() {
+                Ok(Some(response)) => {
+                    // What follows the response already would be taken for the next call's.
+                    let is_reusable = !response.closes_connection
                         && progress == ReadProgress::Drained
                         && reader.buffer.is_empty();
                     if !is_reusable {
                         self.count_close(CloseReason::Completed);
                     }
-                    let end = CallEnd::Replied(reply.content);
+                    let end = CallEnd::Response(response.content);
                     return FinishedCall { end, reusable: is_reusable.then_some(connection) };
                 }
                 Ok(None) if progress == ReadProgress::EndOfStream => {
                     let is_empty = reader.buffer.is_empty();
                     let reason = if is_empty { CloseReason::ClosedByPeer } else { CloseReason::Truncated };
-                    return self.without_reply(reason, written);
+                    return self.without_response(reason, written);
                 }
                 Ok(None) => connection.wait(),
                 Err(error) => {
-                    debug!(id = call.id, %error, "a reply to a call can't be parsed");
-                    return self.without_reply(CloseReason::Malformed, written);
+                    debug!(id = call.id, %error, "a response to a call can't be parsed");
+                    return self.without_response(CloseReason::Malformed, written);
                 }
             }
         }
     }
 
-    /// Why the call is to be cancelled, if it is. Its connection is closed with it: a reply that still comes is nobody's.
+    /// Why the call is to be cancelled, if it is. Its connection is closed with it: a response that still comes is nobody's.
     fn cancellation(&self, call: &Call) -> Option<CloseReason> {
         while let Some(command) = self.handle.take() {
             if matches!(command, CallCommand::Cancel(number) if number == call.number) {
@@ -213,4 +214,4 @@
 }
 
 /// The event loop is gone: the program ends.
-struct EventLoopGone;
+struct EventLoopStopped;
--- a/crates/lynxtally-node/src/downstream/mod.rs
+++ b/crates/lynxtally-node/src/downstream/mod.rs
@@ -19,10 +19,10 @@
 /// An idle connection is closed after this. The dependency closes its side after twice as long: ours goes first, so
 /// that none is closed while a call is written to it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// A connection carries the next call once it has been quiet for so long after a reply.
+/// A connection carries the next call once it has been quiet for so long after a response.
 ///
-/// The failure this guards against: something comes late behind a reply (a copy of it, noise, a close) and is taken for
-/// the reply to the next call. In the quiet time it is seen for what it is, and the connection is closed. The price is
+/// The failure this guards against: something comes late behind a response (a copy of it, noise, a close) and is taken for
+/// the response to the next call. In the quiet time it is seen for what it is, and the connection is closed. The price is
 /// a few connections more.
 const QUIET_TIME: Duration = Duration::from_millis(20);
 const STACK_WORDS: usize = 0x2000;
@@ -86,7 +86,7 @@
     /// Starts a call on a pooled connection or on a new one. Its end comes by message. None where no coroutine could be
     /// started: the call was not executed then, and no message comes.
     pub fn start_call(self: &Arc<Self>, call: Call) -> Option<CallHandle> {
-        self.counters.calls.add();
+        self.counters.calls.increment();
         while let Some(handle) = self.take_quiet_connection() {
             // A connection that ended meanwhile has closed its mailbox.
             if handle.push(CallCommand::Make(call.clone())) {
@@ -112,7 +112,7 @@
         let Call { id, number, .. } = call;
         let on_panic = move |panic: Panic| {
             error!(id, %panic, "a call's coroutine failed");
-            let end = CallEnd::NoReply { reason: CloseReason::InternalError, written: true };
+            let end = CallEnd::NoResponse { reason: CloseReason::InternalError, written: true };
             // The event loop outlives its calls.
             let _ = event_loop.send(Message::CallEnded { id, number, end });
         };
--- a/crates/lynxtally-node/src/error.rs
+++ b/crates/lynxtally-node/src/error.rs
@@ -27,7 +27,7 @@
     /// No stack could be allocated for a coroutine.
     Coroutine(io::Error),
     /// A part of the node failed while it ran.
-    PartFailed,
+    ComponentFailed,
 }
 
 impl fmt::Display for NodeError {
@@ -41,7 +41,7 @@
             }
             Self::Thread(error) => write!(f, "a thread can't be started: {error}"),
             Self::Coroutine(error) => write!(f, "a coroutine can't be started: {error}"),
-            Self::PartFailed => f.write_str("a part of the node failed; the log says why"),
+            Self::ComponentFailed => f.write_str("a part of the node failed; the log says why"),
         }
     }
 }
--- a/crates/lynxtally-node/src/event_loop/calls.rs
+++ b/crates/lynxtally-node/src/event_loop/calls.rs
@@ -7,14 +7,14 @@
 use tracing::debug;
 
 impl EventLoop {
-    /// A call ended. A successful reply goes to the run that waits for it; a call that was cancelled meanwhile is only
+    /// A call ended. A successful response goes to the run that waits for it; a call that was cancelled meanwhile is only
     /// counted.
     pub(super) fn call_ended(&mut self, now: Instant, id: &str, number: u64, end: CallEnd) {
         let outcome = end.outcome();
         match outcome {
-            CallOutcome::Succeeded => self.counters.calls_succeeded.add(),
-            CallOutcome::NotExecuted => self.counters.calls_not_executed.add(),
-            CallOutcome::MaybeExecuted => self.counters.calls_maybe_executed.add(),
+            CallOutcome::Succeeded => self.counters.calls_succeeded.increment(),
+            CallOutcome::NotExecuted => self.counters.calls_not_executed.increment(),
+            CallOutcome::MaybeExecuted => self.counters.calls_maybe_executed.increment(),
         }
         let Some(request) = self.engine.find(id) else { return };
         if !self.engine.call_ended(now, request, number, outcome) {
@@ -23,10 +23,10 @@
         debug!(id, ?outcome, "call ended");
         let Some(work) = self.engine.work(request) else { return };
         work.call = None;
-        if let CallEnd::Replied(reply) = end {
+        if let CallEnd::Response(response) = end {
             if outcome == CallOutcome::Succeeded {
-                let reply = Command::CallReply { id: id.to_owned(), body: reply.body };
-                self.executor.send(work, reply);
+                let response = Command::CallResponse { id: id.to_owned(), body: response.body };
+                self.executor.send(work, response);
             }
         }
     }
--- a/crates/lynxtally-node/src/event_loop/executor.rs
+++ b/crates/lynxtally-node/src/event_loop/executor.rs
@@ -81,7 +81,7 @@
     /// The link with this number has reported all that happened before it was made. Commands without a known effect are
     /// sent again, but for those that the executor has surely read.
     ///
-    /// The failure this guards against: a reply to a call that is sent twice could be taken for the reply to the run's
+    /// The failure this guards against: a response to a call that is sent twice could be taken for the response to the run's
     /// next call. The executor reads commands in order, so whatever was sent before a request for gauges that was
     /// answered has been read. What is left open is a command that was read in the last instant before the link broke.
     pub fn link_caught_up<'a>(&mut self, link: u64, works: impl Iterator<Item = &'a mut RequestWork>) {
@@ -119,7 +119,7 @@
         } else {
             Command::Start { id, class: self.classes[work.class].clone(), body: work.body.clone() }
         };
-        self.counters.runs.add();
+        self.counters.runs.increment();
         debug!(id = work.id, "run started");
         self.send(work, command);
     }
--- a/crates/lynxtally-node/src/event_loop/executor_events.rs
+++ b/crates/lynxtally-node/src/event_loop/executor_events.rs
@@ -47,7 +47,7 @@
     }
 
     fn call_requested(&mut self, now: Instant, id: &str, body: Vec<u8>) {
-        let Some((request, work)) = self.find_work(id) else { return self.unknown_request(id) };
+        let Some((request, work)) = self.find_work(id) else { return self.count_unknown_request(id) };
         // It shows that all earlier commands were read, but not a command to stop: that one may have crossed this
         // event, and only the end of the run shows its effect.
         work.unconfirmed.retain(|unconfirmed| matches!(unconfirmed.command, Command::Stop(_)));
@@ -58,13 +58,13 @@
 
     fn run_ended(&mut self, now: Instant, id: &str, status: RunStatus, result: Vec<u8>) {
         match status {
-            RunStatus::Succeeded => self.counters.runs_succeeded.add(),
-            RunStatus::Failed => self.counters.runs_failed.add(),
-            RunStatus::Stopped => self.counters.runs_stopped.add(),
-            RunStatus::NotStarted => self.counters.runs_not_started.add(),
+            RunStatus::Succeeded => self.counters.runs_succeeded.increment(),
+            RunStatus::Failed => self.counters.runs_failed.increment(),
+            RunStatus::Stopped => self.counters.runs_stopped.increment(),
+            RunStatus::NotStarted => self.counters.runs_not_started.increment(),
         }
         debug!(id, ?status, "run ended");
-        let Some(request) = self.engine.find(id) else { return self.unknown_request(id) };
+        let Some(request) = self.engine.find(id) else { return self.count_unknown_request(id) };
         let can_be_resumed = status == RunStatus::Stopped
             && self.config.backend.stop_keeps_progress
             && self.engine.reply_to(request).is_some();
@@ -86,7 +86,7 @@
         if self.counters.commands_refused.get() == 0 {
             warn!(id, %command, "the executor refused a command; later ones are only counted");
         }
-        self.counters.commands_refused.add();
+        self.counters.commands_refused.increment();
         let end = match command {
             CommandName::Start => RunEnd::NotStarted,
             // It had begun before it was stopped.
@@ -108,8 +108,8 @@
         Some((request, self.engine.work(request)?))
     }
 
-    fn unknown_request(&self, id: &str) {
+    fn count_unknown_request(&self, id: &str) {
         debug!(id, "an event for a request that is not known");
-        self.counters.unknown_request_events.add();
+        self.counters.unknown_request_events.increment();
     }
 }
--- a/crates/lynxtally-node/src/event_loop/mod.rs
+++ b/crates/lynxtally-node/src/event_loop/mod.rs
@@ -19,7 +19,7 @@
 use crate::health_reports::HealthReporter;
 use crate::http::RequestSchema;
 use crate::listener::Listener;
-use crate::messages::{ConnectionCommand, ConnectionHandle, CoordinatorReply, Message};
+use crate::messages::{ConnectionCommand, ConnectionHandle, CoordinatorResponse, Message};
 use executor::{NodeExecutor, RequestWork};
 use lynxtally::{Instant, Policy, Span};
 use lynxtally_engine::{Engine, FinalResponse};
@@ -67,7 +67,7 @@
 }
 
 /// The other parts, as the event loop reaches them.
-pub struct Parts {
+pub struct EventLoopParts {
     /// Wakes the event loop.
     pub timer: Timer,
     /// Messages to the event loop itself.
@@ -126,8 +126,8 @@
 
 impl EventLoop {
     /// An event loop that waits for the executor to come up.
-    pub fn new(config: Config, parts: Parts) -> Self {
-        let mut engine = Engine::new(config.bounds().retained_result_bytes);
+    pub fn new(config: Config, parts: EventLoopParts) -> Self {
+        let mut engine = Engine::new(config.resource_limits().retained_result_bytes);
         engine.set_timer(Instant::default(), TimerKind::CloseExpired);
         // The codec accepts nothing that arrived longer ago.
         let max_deadline_ms = RequestSchema::new(&config.backend).max_deadline_ms;
@@ -200,13 +200,15 @@
     fn handle(&mut self, now: Instant, message: Message) {
         match message {
             Message::Request(read) => self.request_read(now, read),
-            Message::CallerGone { id, connection, reason } => self.caller_gone(now, &id, &connection, reason),
+            Message::ClientDisconnected { id, connection, reason } => {
+                self.client_disconnected(now, &id, &connection, reason)
+            }
             Message::Executor(event) => self.executor_event(now, event),
             Message::ExecutorLinkLost => self.executor.link_lost(),
             Message::CallEnded { id, number, end } => self.call_ended(now, &id, number, end),
-            Message::CoordinatorReply(CoordinatorReply { token, reply }) => {
+            Message::CoordinatorResponse(CoordinatorResponse { token, response }) => {
                 if let Some(coordination) = &mut self.coordination {
-                    coordination.on_response(&mut self.engine, token, reply);
+                    coordination.on_response(&mut self.engine, token, response);
                 }
             }
             Message::TimerFired => {}
@@ -220,7 +222,7 @@
         match timer {
             TimerKind::CloseExpired => {
                 self.responder.listener.close_expired();
-                let message_timeout = span(self.config.bounds().message_timeout);
+                let message_timeout = span(self.config.resource_limits().message_timeout);
                 let next = now + message_timeout * EXPIRY_CHECK_FRACTION;
                 self.engine.set_timer(next, TimerKind::CloseExpired);
             }
@@ -238,8 +240,8 @@
         self.responder.announce_health(false);
         self.responder.advertised.set_draining();
         for connection in self.engine.fail_all() {
-            self.counters.failed.add();
-            self.counters.in_flight.subtract();
+            self.counters.failed.increment();
+            self.counters.in_flight.decrement();
             connection.push(ConnectionCommand::Respond(FinalResponse::Failed));
         }
         self.responder.listener.fail_all();
--- a/crates/lynxtally-node/src/event_loop/reload.rs
+++ b/crates/lynxtally-node/src/event_loop/reload.rs
@@ -9,11 +9,11 @@
     /// process is killed after SIGTERM. Runs, requests and counters go on.
     pub(super) fn reload(&mut self, newer: &Config) {
         let Config { executor, downstream, control_plane, .. } = *newer;
-        let shown = downstream.map_or_else(|| "none".to_owned(), |address| address.to_string());
-        info!(%executor, downstream = shown, %control_plane, "configuration reloaded");
-        let fixed = self.config.changed_fixed_keys(newer);
-        if !fixed.is_empty() {
-            warn!(keys = fixed.join(", "), "changed keys that take effect only at the next start");
+        let downstream_text = downstream.map_or_else(|| "none".to_owned(), |address| address.to_string());
+        info!(%executor, downstream = downstream_text, %control_plane, "configuration reloaded");
+        let fixed_keys = self.config.changed_fixed_keys(newer);
+        if !fixed_keys.is_empty() {
+            warn!(keys = fixed_keys.join(", "), "changed keys that take effect only at the next start");
         }
         if self.config.executor != executor {
             self.executor.set_executor_address(executor);
--- a/crates/lynxtally-node/src/event_loop/requests.rs
+++ b/crates/lynxtally-node/src/event_loop/requests.rs
@@ -15,7 +15,7 @@
     /// Submits a request to the engine.
     pub(super) fn request_read(&mut self, now: Instant, read: RequestRead) {
         let RequestRead { request, connection } = read;
-        self.counters.requests.add(request.class);
+        self.counters.requests.increment(request.class);
         let settings = &self.config.backend.settings;
         let effect = settings.classes[request.class].effect;
         let identity = request_identity(&request, effect, settings.coalescing_window);
@@ -23,7 +23,7 @@
         debug!(
             id = request.id,
             class = request.class,
-            caller = request.caller,
+            client = request.client,
             is_retry = request.is_retry,
             receive_delay_ms = incoming.receive_delay.micros() / 1000,
             "request read"
@@ -36,8 +36,8 @@
             ..RequestWork::default()
         };
         match self.engine.submit(now, Some(&id), incoming, work, connection) {
-            Ok(_) => self.counters.in_flight.add(),
-            Err(rejection) => self.refuse(&id, effect, &rejection),
+            Ok(_) => self.counters.in_flight.increment(),
+            Err(rejection) => self.respond_to_rejection(&id, effect, &rejection),
         }
     }
 
@@ -46,29 +46,29 @@
     /// "Rejected" promises that the request was not executed. That is true before the executor is up. Under an id that
     /// is in use, this request can't be told from the one that has it, which may run: for a request with effects, the
     /// response must not promise what could be taken for the other's.
-    fn refuse(&self, id: &str, effect: Effect, rejection: &Rejection<ConnectionHandle>) {
+    fn respond_to_rejection(&self, id: &str, effect: Effect, rejection: &Rejection<ConnectionHandle>) {
         let reason = rejection.reason;
         if self.counters.requests_refused.get() == 0 {
             warn!(id, ?reason, "a request was not accepted; later ones are only counted");
         }
-        self.counters.requests_refused.add();
+        self.counters.requests_refused.increment();
         let was_not_executed = match reason {
             RejectionReason::NotReady => true,
             RejectionReason::NameInUse => effect == Effect::Idempotent,
             RejectionReason::KeyConflict => false,
         };
         let response = if was_not_executed {
-            self.counters.rejected.add();
+            self.counters.rejected.increment();
             FinalResponse::Rejected { retry_after: Span::ZERO, no_retry: false }
         } else {
-            self.counters.failed.add();
+            self.counters.failed.increment();
             FinalResponse::Failed
         };
         rejection.reply_to.push(ConnectionCommand::Respond(response));
     }
 
     /// The connection of a request ended so that its caller no longer waits.
-    pub(super) fn caller_gone(
+    pub(super) fn client_disconnected(
         &mut self,
         now: Instant,
         id: &str,
@@ -79,8 +79,8 @@
         // A request on another connection may have the same id.
         if self.engine.caller_gone(now, request, |own| Arc::ptr_eq(own, connection)) {
             debug!(id, %reason, "caller gone");
-            self.counters.caller_gone.add();
-            self.counters.in_flight.subtract();
+            self.counters.client_disconnected.increment();
+            self.counters.in_flight.decrement();
         }
     }
 }
@@ -90,7 +90,7 @@
     IncomingRequest {
         class: request.class,
         tenant: request.tenant,
-        caller: request.caller,
+        caller: request.client,
         expected_work: request.expected_work_ms.map(|work| Span::from_secs(work / 1000.0)),
         deadline: request.deadline_ms.map(|deadline| Instant::from_micros(deadline * 1000)),
         is_retry: request.is_retry,
--- a/crates/lynxtally-node/src/event_loop/responder.rs
+++ b/crates/lynxtally-node/src/event_loop/responder.rs
@@ -43,17 +43,17 @@
 
 impl Responder<ConnectionHandle> for NodeResponder {
     fn respond(&mut self, connection: ConnectionHandle, response: FinalResponse) -> bool {
-        self.counters.in_flight.subtract();
+        self.counters.in_flight.decrement();
         match &response {
-            FinalResponse::Completed(_) => self.counters.completed.add(),
-            FinalResponse::Rejected { .. } => self.counters.rejected.add(),
-            FinalResponse::Failed => self.counters.failed.add(),
+            FinalResponse::Completed(_) => self.counters.completed.increment(),
+            FinalResponse::Rejected { .. } => self.counters.rejected.increment(),
+            FinalResponse::Failed => self.counters.failed.increment(),
         }
-        let is_taken = connection.push(ConnectionCommand::Respond(response));
-        if !is_taken {
-            self.counters.responses_undelivered.add();
+        let is_delivered = connection.push(ConnectionCommand::Respond(response));
+        if !is_delivered {
+            self.counters.responses_undelivered.increment();
         }
-        is_taken
+        is_delivered
     }
 
     fn set_health(&mut self, is_healthy: bool) {
--- a/crates/lynxtally-node/src/executor_link/mod.rs
+++ b/crates/lynxtally-node/src/executor_link/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! The failure that the numbers of links and events guard against: a link breaks, and nobody knows which commands the
 //! executor had read and which events were lost. Lost events would leave requests without a response; a command
-//! written twice could be taken for another, as a reply to a call for the reply to the run's next call. So each link
+//! written twice could be taken for another, as a response to a call for the response to the run's next call. So each link
 //! begins by having the executor report again all events after the last one read. Commands from before that are
 //! dropped, and only when all has been reported ([`ExecutorEvent::CaughtUp`]) the event loop sends those again whose
 //! effect is still unknown.
@@ -92,12 +92,12 @@
             let address = self.handle.address();
             match Connection::connect(address, CONNECT_TIMEOUT) {
                 Ok(connection) => {
-                    self.counters.executor_links.add();
+                    self.counters.executor_links.increment();
                     info!(events_read = last_event, %address, "connected to the executor");
                     link += 1;
                     let reason = self.serve(connection, address, link, &mut last_event);
                     self.handle.mailbox.detach();
-                    self.counters.executor_links_closed.add(reason);
+                    self.counters.executor_links_closed.increment(reason);
                     if reason == CloseReason::Cancelled {
                         return;
                     }
@@ -107,7 +107,7 @@
                     }
                 }
                 Err(reason) => {
-                    self.counters.executor_links_closed.add(reason);
+                    self.counters.executor_links_closed.increment(reason);
                     debug!(%reason, "no connection to the executor");
                 }
             }
--- a/crates/lynxtally-node/src/executor_link/protocol.rs
+++ b/crates/lynxtally-node/src/executor_link/protocol.rs
@@ -34,11 +34,11 @@
     Stop(String),
     /// Resume the stopped run of the request with this id.
     Resume(String),
-    /// The reply to the call that a run waits for.
-    CallReply {
+    /// The response to the call that a run waits for.
+    CallResponse {
         /// The request's id.
         id: String,
-        /// The reply, unchanged.
+        /// The response, unchanged.
         body: Vec<u8>,
     },
     /// Report the gauges, under this number. The executor reads commands in order: once these gauges are reported, it
@@ -59,7 +59,7 @@
             }
             Self::Stop(id) => write_line(out, format_args!("PREEMPT {id}")),
             Self::Resume(id) => write_line(out, format_args!("RESCHED {id}")),
-            Self::CallReply { id, body } => {
+            Self::CallResponse { id, body } => {
                 write_line(out, format_args!("IODONE {id} {}", body.len()));
                 write_body(out, body);
             }
--- a/crates/lynxtally-node/src/health_reports.rs
+++ b/crates/lynxtally-node/src/health_reports.rs
@@ -68,9 +68,9 @@
 
     fn report(&self, socket: &mut Option<UdpSocket>, is_healthy: bool) {
         match self.send(socket, is_healthy) {
-            Ok(_) => self.counters.health_reports.add(),
+            Ok(_) => self.counters.health_reports.increment(),
             Err(error) => {
-                self.counters.health_reports_failed.add();
+                self.counters.health_reports_failed.increment();
                 debug!(%error, "health report not sent");
             }
         }
--- a/crates/lynxtally-node/src/http/headers.rs
+++ b/crates/lynxtally-node/src/http/headers.rs
@@ -5,7 +5,7 @@
 
 const ID: &str = "X-Correlation-Id";
 const ARRIVED_MS: &str = "X-Arrived-Ms";
-const CALLER: &str = "X-Upstream-Peer";
+const CLIENT: &str = "X-Upstream-Peer";
 const TENANT: &str = "X-Org";
 const TIME_LEFT_MS: &str = "X-Deadline-Ms";
 const EXPECTED_WORK_MS: &str = "X-Estimate-Ms";
@@ -37,7 +37,7 @@
 struct RequestHeaders<'a> {
     id: Option<&'a str>,
     arrived_ms: Option<&'a str>,
-    caller: Option<&'a str>,
+    client: Option<&'a str>,
     tenant: Option<&'a str>,
     time_left_ms: Option<&'a str>,
     expected_work_ms: Option<&'a str>,
@@ -54,7 +54,7 @@
         let slots = [
             (ID, &mut self.id),
             (ARRIVED_MS, &mut self.arrived_ms),
-            (CALLER, &mut self.caller),
+            (CLIENT, &mut self.client),
             (TENANT, &mut self.tenant),
             (TIME_LEFT_MS, &mut self.time_left_ms),
             (EXPECTED_WORK_MS, &mut self.expected_work_ms),
@@ -144,7 +144,7 @@
                 Some(name) => Some(index_of(&schema.tenants, name).ok_or(ParseError::UnknownTenant)?),
                 None => checked(None, schema.tenants.is_empty(), TENANT)?,
             },
-            caller: number(headers.caller, CALLER)?,
+            client: number(headers.client, CLIENT)?,
             // Nobody waits longer than the longest deadline, and no work that takes longer is worth a longer guess.
             deadline_ms: time_left_ms.map(|left| arrived_ms + left.min(max_deadline_ms) as u64),
             expected_work_ms: expected_work_ms
@@ -153,8 +153,8 @@
             is_retry: headers.retry.is_some_and(|retry| retry != "0"),
             memory_kb: checked(memory_kb, memory_kb > 0.0 && memory_kb < MEMORY_LIMIT_KB, MEMORY_KB)?,
             criticality: checked(criticality, (0.0..1.0).contains(&criticality), CRITICALITY)?,
-            subject: key(headers.subject, SUBJECT)?,
-            idempotency_key: key(headers.idempotency_key, IDEMPOTENCY_KEY)?,
+            subject: optional_key(headers.subject, SUBJECT)?,
+            idempotency_key: optional_key(headers.idempotency_key, IDEMPOTENCY_KEY)?,
             body,
         })
     }
@@ -171,7 +171,7 @@
     text.map(|text| number(Some(text), name)).transpose()
 }
 
-fn key(text: Option<&str>, name: &'static str) -> Result<Option<String>, ParseError> {
+fn optional_key(text: Option<&str>, name: &'static str) -> Result<Option<String>, ParseError> {
     let is_valid = text.is_none_or(|text| !text.is_empty() && text.len() <= MAX_KEY_BYTES);
     checked(text.map(str::to_owned), is_valid, name)
 }
--- a/crates/lynxtally-node/src/http/mod.rs
+++ b/crates/lynxtally-node/src/http/mod.rs
@@ -14,8 +14,8 @@
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Room for a request's body, in bytes.
 pub const MAX_REQUEST_BODY_BYTES: usize = 2 * 1024;
-/// Room for the body of a reply to a downstream call, in bytes.
-pub const MAX_REPLY_BODY_BYTES: usize = 64 * 1024;
+/// Room for the body of a response to a downstream call, in bytes.
+pub const MAX_CALL_RESPONSE_BODY_BYTES: usize = 64 * 1024;
 /// A head with more headers is too large.
 const MAX_HEADERS: usize = 64;
 
@@ -37,9 +37,9 @@
     pub closes_connection: bool,
 }
 
-/// The reply to a downstream call.
+/// The response to a downstream call.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CallReply {
+pub struct CallResponse {
     /// Its status.
     pub status: u16,
     /// Whether it says that the call was not executed.
@@ -58,8 +58,8 @@
 impl MessageReader {
     /// How much of what a client sends is buffered, in bytes: one message whole, and a bit of the next.
     pub const CLIENT_BUFFER_BYTES: usize = MAX_HEAD_BYTES + MAX_REQUEST_BODY_BYTES;
-    /// The same for replies to downstream calls.
-    pub const REPLY_BUFFER_BYTES: usize = MAX_HEAD_BYTES + MAX_REPLY_BODY_BYTES;
+    /// The same for responses to downstream calls.
+    pub const CALL_RESPONSE_BUFFER_BYTES: usize = MAX_HEAD_BYTES + MAX_CALL_RESPONSE_BODY_BYTES;
 
     /// The next complete message from a client, if there is one; `now_ms` is the time of the Unix clock.
     ///
@@ -110,11 +110,11 @@
         self.buffer.drain(..blank);
     }
 
-    /// The next complete reply to a downstream call, if there is one. Interim responses (1xx) are skipped.
+    /// The next complete response to a downstream call, if there is one. Interim responses (1xx) are skipped.
     ///
     /// # Errors
-    /// Why the reply can't be parsed. Nothing after it can be, either.
-    pub fn next_reply(&mut self) -> Result<Option<Framed<CallReply>>, ParseError> {
+    /// Why the response can't be parsed. Nothing after it can be, either.
+    pub fn next_call_response(&mut self) -> Result<Option<Framed<CallResponse>>, ParseError> {
         loop {
             let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Response::new(&mut slots);
@@ -124,19 +124,19 @@
                 // After a switch of protocols nothing here can be parsed.
                 Some(101) => return Err(ParseError::MalformedHead),
                 Some(100..=199) => drop(self.buffer.drain(..body_start)),
-                _ => return self.final_reply(),
+                _ => return self.final_call_response(),
             }
         }
     }
 
-    fn final_reply(&mut self) -> Result<Option<Framed<CallReply>>, ParseError> {
+    fn final_call_response(&mut self) -> Result<Option<Framed<CallResponse>>, ParseError> {
         let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut slots);
         let parsed = head.parse(&self.buffer);
         let Some(body_start) = body_start(parsed, self.buffer.len())? else { return Ok(None) };
         let headers = Headers::parse(head.headers)?;
         let length = headers.content_length.ok_or(ParseError::InvalidLength)?;
-        if length > MAX_REPLY_BODY_BYTES {
+        if length > MAX_CALL_RESPONSE_BODY_BYTES {
             return Err(ParseError::BodyTooLarge);
         }
         let body_end = body_start + length;
@@ -148,7 +148,7 @@
         let not_executed = headers.not_executed;
         let body = self.buffer[body_start..body_end].to_vec();
         self.buffer.drain(..body_end);
-        Ok(Some(Framed { content: CallReply { status, not_executed, body }, closes_connection }))
+        Ok(Some(Framed { content: CallResponse { status, not_executed, body }, closes_connection }))
     }
 }
 
--- a/crates/lynxtally-node/src/http/request.rs
+++ b/crates/lynxtally-node/src/http/request.rs
@@ -37,7 +37,7 @@
     /// The index of its tenant.
     pub tenant: Option<usize>,
     /// The client's number.
-    pub caller: u64,
+    pub client: u64,
     /// When the client gives this attempt up, in Unix milliseconds, where it says so.
     pub deadline_ms: Option<u64>,
     /// The expected work on a standard core, in milliseconds, where the client says so.
--- a/crates/lynxtally-node/src/idempotency.rs
+++ b/crates/lynxtally-node/src/idempotency.rs
@@ -32,9 +32,9 @@
         }
         Effect::Deduplicated => {
             let tenant = request.tenant.map_or_else(String::new, |tenant| tenant.to_string());
-            let own_key = |key| IdempotencyKey { class: request.class, value: format!("{tenant}/{key}") };
+            let scoped_key = |key| IdempotencyKey { class: request.class, value: format!("{tenant}/{key}") };
             RequestIdentity {
-                key: request.idempotency_key.as_ref().map(own_key),
+                key: request.idempotency_key.as_ref().map(scoped_key),
                 fingerprint: Sha256::digest(&request.body).into(),
             }
         }
--- a/crates/lynxtally-node/src/listener/accept_loop.rs
+++ b/crates/lynxtally-node/src/listener/accept_loop.rs
@@ -1,7 +1,7 @@
 //! The accept loop: connections are accepted eagerly until the listener is closed.
 
 use super::connection::ClientConnection;
-use super::table::Room;
+use super::table::ConnectionSlot;
 use super::{Listener, ACCEPT_RETRY_PAUSE, YIELD_TIME};
 use crate::messages::{ConnectionHandle, Message};
 use lynxtally_net::close_reason::CloseReason;
@@ -40,7 +40,7 @@
         loop {
             // Read before the look at the queue: what waits by then is still accepted.
             let closing = self.closing.load(Ordering::Acquire);
-            if let Some(pause) = self.pause_for_room().filter(|_| !closing) {
+            if let Some(pause) = self.pause_for_slot().filter(|_| !closing) {
                 self.parts.timer.sleep(pause);
                 continue;
             }
@@ -73,11 +73,11 @@
     }
 
     /// How long to wait for room in the table, where there is none.
-    fn pause_for_room(&self) -> Option<Duration> {
+    fn pause_for_slot(&self) -> Option<Duration> {
         match lock(&self.table).make_room() {
-            Room::Available => None,
-            Room::Soon => Some(EVICTION_PAUSE),
-            Room::Later => Some(ACCEPT_RETRY_PAUSE),
+            ConnectionSlot::Available => None,
+            ConnectionSlot::AfterEviction => Some(EVICTION_PAUSE),
+            ConnectionSlot::NoneEvictable => Some(ACCEPT_RETRY_PAUSE),
         }
     }
 
@@ -86,19 +86,19 @@
         if self.parts.counters.accepts_failed.get() == 0 {
             warn!(%error, "a connection could not be accepted; later ones are only counted");
         }
-        self.parts.counters.accepts_failed.add();
+        self.parts.counters.accepts_failed.increment();
         lock(&self.table).evict_one();
         self.parts.timer.sleep(ACCEPT_RETRY_PAUSE);
     }
 
     /// Starts the coroutine of a connection.
     fn serve(self: &Arc<Self>, stream: TcpStream) {
-        self.parts.counters.connections.add();
+        self.parts.counters.connections.increment();
         let connection = match Connection::new(stream) {
             Ok(connection) => connection,
             Err(error) => {
                 debug!(%error, "a connection broke as it was accepted");
-                return self.parts.counters.connections_closed.add(CloseReason::Reset);
+                return self.parts.counters.connections_closed.increment(CloseReason::Reset);
             }
         };
         let handle = ConnectionHandle::default();
@@ -113,7 +113,7 @@
         };
         if coroutine::spawn(STACK_WORDS, serve, on_panic).is_err() {
             lock(&self.table).remove(number);
-            self.parts.counters.connections_closed.add(CloseReason::InternalError);
+            self.parts.counters.connections_closed.increment(CloseReason::InternalError);
         }
     }
 }
--- a/crates/lynxtally-node/src/listener/connection.rs
+++ b/crates/lynxtally-node/src/listener/connection.rs
@@ -34,9 +34,9 @@
     has_responded: bool,
     reader: MessageReader,
     /// Whether the client may still send.
-    client_sends: bool,
+    read_open: bool,
     /// Why it is to be closed, once its responses are written.
-    closing: Option<CloseReason>,
+    pending_close: Option<CloseReason>,
     /// Its state in the listener's table.
     recorded_state: ConnectionState,
 }
@@ -63,8 +63,8 @@
             open_request: None,
             has_responded: false,
             reader: MessageReader::default(),
-            client_sends: true,
-            closing: None,
+            read_open: true,
+            pending_close: None,
             recorded_state: ConnectionState::New,
         }
     }
@@ -77,13 +77,13 @@
         });
         self.reader = MessageReader::default();
         self.abandon_open_request(&mut connection, reason);
-        self.listener.parts.counters.connections_closed.add(reason);
+        self.listener.parts.counters.connections_closed.increment(reason);
         debug!(connection = self.number, %reason, "a connection ends");
         self.linger_after(&mut connection, reason);
         lock(&self.listener.table).remove(self.number);
         for command in self.handle.close() {
             if matches!(command, ConnectionCommand::Respond(_)) {
-                self.listener.parts.counters.responses_undelivered.add();
+                self.listener.parts.counters.responses_undelivered.increment();
             }
         }
     }
@@ -98,7 +98,7 @@
             let _ = connection.flush();
         }
         if reason.caller_gone() {
-            let gone = Message::CallerGone { id, connection: self.handle.clone(), reason };
+            let gone = Message::ClientDisconnected { id, connection: self.handle.clone(), reason };
             // The event loop is gone only where the program ends.
             let _ = self.listener.parts.event_loop.send(gone);
         }
@@ -137,7 +137,7 @@
             return;
         }
         let mut discarded = Vec::new();
-        let mut bytes_left = self.listener.parts.bounds.linger_bytes;
+        let mut bytes_left = self.listener.parts.resource_limits.linger_bytes;
         while bytes_left > 0 {
             while let Some(command) = self.handle.take() {
                 if matches!(command, ConnectionCommand::Close(_)) {
@@ -161,26 +161,26 @@
     fn serve(&mut self, connection: &mut Connection) -> CloseReason {
         loop {
             let mut pass = self.take_commands(connection);
-            if self.client_sends && self.closing.is_none() && !pass.is_backlogged {
+            if self.read_open && self.pending_close.is_none() && !pass.is_backlogged {
                 match connection.fill(&mut self.reader.buffer, MessageReader::CLIENT_BUFFER_BYTES) {
                     Ok(read) => pass.read = read,
                     Err(reason) => return reason,
                 }
-                self.client_sends = pass.read != ReadProgress::EndOfStream;
+                self.read_open = pass.read != ReadProgress::EndOfStream;
             }
             self.handle_messages(connection, &mut pass);
             if let Err(reason) = connection.flush() {
                 return reason;
             }
             self.close_at_end_of_stream(&pass);
-            if self.close_as_told(connection, &pass) == Closing::Now {
+            if self.apply_close_command(connection, &pass) == CloseTiming::Immediate {
                 return CloseReason::Reset;
             }
             // A client that sends no more and reads no more either is gone.
-            if !self.client_sends && connection.is_broken() {
+            if !self.read_open && connection.is_broken() {
                 return CloseReason::Reset;
             }
-            if let Some(reason) = self.closing {
+            if let Some(reason) = self.pending_close {
                 if connection.is_flushed() && self.open_request.is_none() {
                     return reason;
                 }
@@ -204,7 +204,7 @@
             match command {
                 ConnectionCommand::Respond(response) => {
                     let closes = self.respond(connection.output(), &response);
-                    self.closing = self.closing.or(closes.then_some(CloseReason::Completed));
+                    self.pending_close = self.pending_close.or(closes.then_some(CloseReason::Completed));
                     made_progress = true;
                 }
                 ConnectionCommand::Close(reason) => close_command = Some(reason),
@@ -221,7 +221,7 @@
 
     fn can_handle_message(&self, pass: &Pass) -> bool {
         self.open_request.is_none()
-            && self.closing.is_none()
+            && self.pending_close.is_none()
             && !pass.is_backlogged
             && pass.messages < MAX_MESSAGES_IN_A_ROW
     }
@@ -233,46 +233,46 @@
             match self.reader.next_client_message(&self.listener.parts.schema, now_ms) {
                 Ok(Some(message)) => {
                     let closes = self.handle_message(message, connection.output());
-                    self.closing = closes.then_some(CloseReason::Completed);
+                    self.pending_close = closes.then_some(CloseReason::Completed);
                     pass.made_progress = true;
                     pass.messages += 1;
                 }
                 Ok(None) => break,
-                Err(error) => self.refuse_message(error, connection.output()),
+                Err(error) => self.reject_message(error, connection.output()),
             }
         }
     }
 
-    fn refuse_message(&mut self, error: ParseError, out: &mut Vec<u8>) {
+    fn reject_message(&mut self, error: ParseError, out: &mut Vec<u8>) {
         debug!(%error, "a message can't be accepted");
         self.listener.count_parse_error(error);
         response::write_parse_error(out, error.status(), self.listener.response_context(true));
-        self.closing = Some(CloseReason::Malformed);
+        self.pending_close = Some(CloseReason::Malformed);
     }
 
     fn close_at_end_of_stream(&mut self, pass: &Pass) {
-        if self.can_handle_message(pass) && !self.client_sends {
+        if self.can_handle_message(pass) && !self.read_open {
             let is_between_messages = self.reader.buffer.is_empty();
-            self.closing =
+            self.pending_close =
                 Some(if is_between_messages { CloseReason::ClosedByPeer } else { CloseReason::Truncated });
         }
     }
 
     /// Follows a command to close, but only where nothing is under way, once all that came is read.
-    fn close_as_told(&mut self, connection: &Connection, pass: &Pass) -> Closing {
-        let Some(reason) = pass.close_command else { return Closing::Later };
+    fn apply_close_command(&mut self, connection: &Connection, pass: &Pass) -> CloseTiming {
+        let Some(reason) = pass.close_command else { return CloseTiming::Deferred };
         if self.open_request.is_some() || pass.made_progress {
-            return Closing::Later;
+            return CloseTiming::Deferred;
         }
         // A client that does not take its response in time loses it. Before the program ends it may still take it.
         if !connection.is_flushed() && reason != CloseReason::Completed {
-            return Closing::Now;
+            return CloseTiming::Immediate;
         }
         let is_mid_message = !self.reader.buffer.is_empty();
-        if self.closing.is_none() && !(reason == CloseReason::IdleTimeout && is_mid_message) {
-            self.closing = Some(reason);
+        if self.pending_close.is_none() && !(reason == CloseReason::IdleTimeout && is_mid_message) {
+            self.pending_close = Some(reason);
         }
-        Closing::Later
+        CloseTiming::Deferred
     }
 
     fn update_state(&mut self, connection: &Connection, pass: &Pass) {
@@ -311,7 +311,7 @@
         match message.content {
             ClientMessage::HealthCheck => {
                 let advertised = &self.listener.parts.advertised;
-                self.listener.parts.counters.health_checks.add();
+                self.listener.parts.counters.health_checks.increment();
                 let closes = message.closes_connection || advertised.is_draining();
                 self.has_responded = true;
                 let context = self.listener.response_context(closes);
@@ -351,7 +351,7 @@
 
 /// Whether a connection that was told to close is closed at once, over a response that was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Closing {
-    Now,
-    Later,
+enum CloseTiming {
+    Immediate,
+    Deferred,
 }
--- a/crates/lynxtally-node/src/listener/mod.rs
+++ b/crates/lynxtally-node/src/listener/mod.rs
@@ -7,7 +7,7 @@
 pub use lynxtally_net::listener::listen;
 
 use crate::advertised_state::AdvertisedState;
-use crate::config::Bounds;
+use crate::config::ResourceLimits;
 use crate::counters::Counters;
 use crate::http::{ParseError, RequestSchema};
 use crate::messages::{ConnectionCommand, Message};
@@ -37,7 +37,7 @@
 /// What a [`Listener`] needs of the other parts.
 pub struct ListenerParts {
     /// The limits of connections.
-    pub bounds: Bounds,
+    pub resource_limits: ResourceLimits,
     /// What requests are checked against.
     pub schema: RequestSchema,
     /// What goes with responses.
@@ -64,7 +64,7 @@
 impl Listener {
     /// A listener without connections; [`Listener::accept`] serves a socket.
     pub fn new(parts: ListenerParts) -> Self {
-        let table = Mutex::new(ConnectionTable::new(parts.bounds.max_connections));
+        let table = Mutex::new(ConnectionTable::new(parts.resource_limits.max_connections));
         Self {
             parts,
             clock: Clock::default(),
@@ -104,7 +104,7 @@
     /// This answers silent clients, halves of messages, bytes that trickle in, and forgotten connections. The price: a
     /// client that needs longer than a request's time for one message is closed.
     pub fn close_expired(&self) {
-        let Bounds { message_timeout, linger_timeout, idle_timeout, .. } = self.parts.bounds;
+        let ResourceLimits { message_timeout, linger_timeout, idle_timeout, .. } = self.parts.resource_limits;
         lock(&self.table).close_where(CloseReason::TimedOut, |entry| {
             let is_over = |limit| entry.since.elapsed() >= limit;
             match entry.state {
@@ -152,13 +152,13 @@
     fn count_parse_error(&self, error: ParseError) {
         let counters = &self.parts.counters;
         match error {
-            ParseError::MalformedHead | ParseError::InvalidLength => counters.bad_head.add(),
+            ParseError::MalformedHead | ParseError::InvalidLength => counters.bad_head.increment(),
             ParseError::InvalidHeader(_) | ParseError::UnknownClass | ParseError::UnknownTenant => {
-                counters.bad_header.add();
+                counters.bad_header.increment();
             }
-            ParseError::UnknownPath | ParseError::MethodNotAllowed => counters.bad_path.add(),
+            ParseError::UnknownPath | ParseError::MethodNotAllowed => counters.bad_path.increment(),
             ParseError::HeadTooLarge | ParseError::BodyTooLarge | ParseError::UnsupportedEncoding => {
-                counters.bad_size.add();
+                counters.bad_size.increment();
             }
         }
     }
--- a/crates/lynxtally-node/src/listener/table.rs
+++ b/crates/lynxtally-node/src/listener/table.rs
@@ -38,13 +38,13 @@
 
 /// Whether one more connection can be accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Room {
+pub(super) enum ConnectionSlot {
     /// Now.
     Available,
     /// Once evicted connections have closed.
-    Soon,
+    AfterEviction,
     /// No connection may be evicted yet.
-    Later,
+    NoneEvictable,
 }
 
 /// All open connections, by number.
@@ -108,18 +108,18 @@
     /// each the one that has been so longest; never one with an open request. So neither silent clients nor those that
     /// keep their connections open for good shut the others out. The price: a client whose idle connection is evicted
     /// just as it sends has to send again.
-    pub fn make_room(&mut self) -> Room {
+    pub fn make_room(&mut self) -> ConnectionSlot {
         if self.len() < self.max_connections {
-            return Room::Available;
+            return ConnectionSlot::Available;
         }
         self.evict_one()
     }
 
     /// The same where the system has no descriptor left, although the table is not full.
-    pub fn evict_one(&mut self) -> Room {
+    pub fn evict_one(&mut self) -> ConnectionSlot {
         let is_overcommitted = self.len() >= self.max_connections + self.max_connections / OVERCOMMIT_DIVISOR;
         if is_overcommitted && self.entries.values().any(|entry| entry.evicted) {
-            return Room::Soon;
+            return ConnectionSlot::AfterEviction;
         }
         let may_be_evicted = |entry: &&mut Entry| {
             !entry.evicted
@@ -128,15 +128,15 @@
         };
         let candidates = self.entries.values_mut().filter(may_be_evicted);
         let Some(entry) = candidates.min_by_key(|entry| (entry.state, entry.since)) else {
-            return Room::Later;
+            return ConnectionSlot::NoneEvictable;
         };
         // Each makes room for one new connection: evicted twice, it would be counted on twice.
         entry.evicted = true;
         entry.handle.push(ConnectionCommand::Close(CloseReason::Evicted));
         if is_overcommitted {
-            Room::Soon
+            ConnectionSlot::AfterEviction
         } else {
-            Room::Available
+            ConnectionSlot::Available
         }
     }
 }
--- a/crates/lynxtally-node/src/messages.rs
+++ b/crates/lynxtally-node/src/messages.rs
@@ -2,7 +2,7 @@
 //! the types that it carries.
 
 use crate::config::Config;
-use crate::http::{CallReply, ReceivedRequest};
+use crate::http::{CallResponse, ReceivedRequest};
 use lynxtally::CallOutcome;
 use lynxtally_engine::FinalResponse;
 use lynxtally_net::close_reason::CloseReason;
@@ -15,7 +15,7 @@
     /// A request was read.
     Request(RequestRead),
     /// A request's connection ended in a way that says that its caller no longer waits.
-    CallerGone {
+    ClientDisconnected {
         /// The request's id.
         id: String,
         /// The connection; a request on another connection may have the same id.
@@ -37,7 +37,7 @@
         end: CallEnd,
     },
     /// A message to a coordinator was answered, or surely will not be.
-    CoordinatorReply(CoordinatorReply),
+    CoordinatorResponse(CoordinatorResponse),
     /// A timer of the event loop may have expired.
     TimerFired,
     /// SIGTERM came: drain, and end.
@@ -61,11 +61,11 @@
 pub type ConnectionHandle = Arc<Mailbox<ConnectionCommand>>;
 
 /// What a coordinator replied to a message.
-pub struct CoordinatorReply {
+pub struct CoordinatorResponse {
     /// Which message.
     pub token: u64,
-    /// The reply, or none where surely none will come.
-    pub reply: Option<lynxtally_messages::NodeResponse>,
+    /// The response, or none where surely none will come.
+    pub response: Option<lynxtally_messages::NodeResponse>,
 }
 
 /// A request that was read, and where its response is awaited.
@@ -162,10 +162,10 @@
 /// How a downstream call ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEnd {
-    /// With a reply.
-    Replied(CallReply),
-    /// Without a complete reply.
-    NoReply {
+    /// With a response.
+    Response(CallResponse),
+    /// Without a complete response.
+    NoResponse {
         /// How its connection ended.
         reason: CloseReason,
         /// Whether any byte of the call was written.
@@ -177,10 +177,10 @@
     /// What is known of the call's execution.
     pub fn outcome(&self) -> CallOutcome {
         match self {
-            Self::Replied(CallReply { status: 200, .. }) => CallOutcome::Succeeded,
-            Self::Replied(CallReply { not_executed: true, .. }) => CallOutcome::NotExecuted,
-            Self::Replied(_) => CallOutcome::MaybeExecuted,
-            Self::NoReply { reason, written } => reason.call_outcome(*written),
+            Self::Response(CallResponse { status: 200, .. }) => CallOutcome::Succeeded,
+            Self::Response(CallResponse { not_executed: true, .. }) => CallOutcome::NotExecuted,
+            Self::Response(_) => CallOutcome::MaybeExecuted,
+            Self::NoResponse { reason, written } => reason.call_outcome(*written),
         }
     }
 }
--- a/crates/lynxtally-node/src/node.rs
+++ b/crates/lynxtally-node/src/node.rs
@@ -6,12 +6,12 @@
 use crate::counters::Counters;
 use crate::downstream::DownstreamClient;
 use crate::error::NodeError;
-use crate::event_loop::{EventLoop, Parts};
+use crate::event_loop::{EventLoop, EventLoopParts};
 use crate::executor_link::{ExecutorHandle, ExecutorLink};
 use crate::health_reports::{HealthReporter, HealthReports, ReporterMessage};
 use crate::http::RequestSchema;
 use crate::listener::{self, Listener, ListenerParts};
-use crate::messages::{CoordinatorReply, Message};
+use crate::messages::{CoordinatorResponse, Message};
 use lynxtally_net::coroutine::{catch_panic, spawn, Panic};
 use lynxtally_net::timer::Timer;
 use may::sync::mpsc::{channel, Receiver, Sender};
@@ -76,10 +76,10 @@
 
     let outcome = outcomes.recv().unwrap_or(Outcome::Failed);
     thread::sleep(FINAL_FLUSH_TIME);
-    print(&counters);
+    print_counters(&counters);
     match outcome {
         Outcome::Finished => Ok(()),
-        Outcome::Failed => Err(NodeError::PartFailed),
+        Outcome::Failed => Err(NodeError::ComponentFailed),
     }
 }
 
@@ -119,7 +119,7 @@
         let (event_loop, messages) = channel();
         let timer = Timer::start().map_err(NodeError::Thread)?;
         let listener = Arc::new(Listener::new(ListenerParts {
-            bounds: config.bounds(),
+            resource_limits: config.resource_limits(),
             schema,
             advertised: advertised.clone(),
             timer: timer.clone(),
@@ -152,7 +152,7 @@
                         }
                     },
                     _ => {
-                        print(&counters);
+                        print_counters(&counters);
                         continue;
                     }
                 };
@@ -205,14 +205,15 @@
     }
 
     fn start_coordination(&self, config: &Config) -> Result<Option<Coordination>, NodeError> {
-        let Some(settings) = config.shares.clone() else { return Ok(None) };
+        let Some(settings) = config.coordination.clone() else { return Ok(None) };
         let event_loop = self.event_loop.clone();
-        let on_reply = move |token, reply| {
+        let on_response = move |token, response| {
             // The event loop is gone only where the program ends.
-            let _ = event_loop.send(Message::CoordinatorReply(CoordinatorReply { token, reply }));
+            let _ = event_loop.send(Message::CoordinatorResponse(CoordinatorResponse { token, response }));
         };
-        let sender = RequestSender::start(settings.coordinators.clone(), settings.response_timeout, on_reply)
-            .map_err(NodeError::Thread)?;
+        let sender =
+            RequestSender::start(settings.coordinators.clone(), settings.response_timeout, on_response)
+                .map_err(NodeError::Thread)?;
         Ok(Some(Coordination::new(&config.name, settings, config.seed, sender)))
     }
 
@@ -224,7 +225,7 @@
         supervisor: Supervisor,
     ) -> Result<(), NodeError> {
         let messages = self.messages;
-        let parts = Parts {
+        let parts = EventLoopParts {
             timer: self.timer,
             event_loop: self.event_loop,
             health_reporter,
@@ -247,7 +248,7 @@
 /// same.
 pub fn run_event_loop(
     config: Config,
-    parts: Parts,
+    parts: EventLoopParts,
     messages: &Receiver<Message>,
     outcomes: &mpsc::Sender<Outcome>,
 ) {
@@ -265,6 +266,6 @@
 }
 
 /// Prints the counters. Where nobody reads them, that does no harm.
-fn print(counters: &Counters) {
+fn print_counters(counters: &Counters) {
     let _ = writeln!(std::io::stdout(), "{}", counters.line());
 }
--- a/crates/lynxtally-node/tests/doubles/load.rs
+++ b/crates/lynxtally-node/tests/doubles/load.rs
@@ -7,7 +7,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// A run is stopped after this time, as its caller's is over.
+/// A run is stopped after this time, as its client's is over.
 const RUN_TIME: Duration = Duration::from_millis(1000);
 
 /// What a node is told of a dependency that it shares with other nodes.
@@ -36,7 +36,7 @@
         specifics["linger-ms"] = (self.cancellation_lag.as_millis() as u64).into();
     }
 
-    /// The executor of such a node, as executors do, ends a run at its call when its caller's time is over.
+    /// The executor of such a node, as executors do, ends a run at its call when its client's time is over.
     pub fn end_runs_in_time(node: &TestNode) {
         node.executor.stop_runs_after(RUN_TIME);
     }
--- a/crates/lynxtally-node/tests/fleet.rs
+++ b/crates/lynxtally-node/tests/fleet.rs
@@ -224,7 +224,7 @@
     assert!(dependency.max_in_flight() <= BUDGET, "{}", dependency.max_in_flight());
 }
 
-/// A node's messages reach the coordinator, but no reply comes back. It must not call on the strength of leases
+/// A node's messages reach the coordinator, but no response comes back. It must not call on the strength of leases
 /// that it never hears of, and the other node has its part meanwhile.
 #[test]
 fn a_node_cut_off_one_way_stops_calling_and_its_part_goes_to_the_other() {
