--- a/crates/lynxtally-node/src/advertised_state.rs
+++ b/crates/lynxtally-node/src/advertised_state.rs
@@ -1,19 +1,19 @@
-//! What this node tells callers of itself: its health, its capacity, and whether it drains.
+//! The state that this node advertises to clients: its health, its capacity, and whether it is draining.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// What goes with every response and what health checks report. The event loop sets it, connections read it.
+/// The state in health checks and in the headers of every response. The event loop writes it; connections read it.
 #[derive(Debug, Default)]
 pub struct AdvertisedState {
     healthy: AtomicBool,
     draining: AtomicBool,
-    /// The bits of the capacity, an `f64`.
+    /// The capacity, as the bits of an `f64`.
     capacity_bits: AtomicU64,
     has_capacity: AtomicBool,
 }
 
 impl AdvertisedState {
-    /// Sets what health checks report.
+    /// Sets the health that health checks report.
     pub fn set_healthy(&self, is_healthy: bool) {
         self.healthy.store(is_healthy, Ordering::Release);
     }
@@ -23,12 +23,12 @@
         self.healthy.load(Ordering::Acquire)
     }
 
-    /// From now on every response is the last on its connection.
+    /// Makes connections close after their next response, from now on.
     pub fn set_draining(&self) {
         self.draining.store(true, Ordering::Release);
     }
 
-    /// Whether every response is the last on its connection.
+    /// Whether connections close after their next response.
     pub fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
@@ -39,7 +39,7 @@
         self.has_capacity.store(true, Ordering::Release);
     }
 
-    /// The advertised capacity, once there is one.
+    /// Returns the advertised capacity, or `None` before the first one is set.
     pub fn capacity(&self) -> Option<f64> {
         let bits = || f64::from_bits(self.capacity_bits.load(Ordering::Acquire));
         self.has_capacity.load(Ordering::Acquire).then(bits)
--- a/crates/lynxtally-node/src/config.rs
+++ b/crates/lynxtally-node/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a node: read, checked and given defaults here and nowhere else.
+//! The configuration of a node. All reading, validation and defaults are in this module.
 
 use crate::coordination;
 use lynxtally_settings::{decode, BackendSettings, SettingError};
@@ -11,61 +11,63 @@
 /// The configuration of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// The name of the node, which must stay the same across restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the node accepts clients.
     pub listen: SocketAddr,
-    /// Where the executor is.
+    /// The address of the executor.
     pub executor: SocketAddr,
-    /// Where the control plane is.
+    /// The address of the control plane.
     pub control_plane: SocketAddr,
-    /// Where the downstream dependency is. Nodes whose request classes call nothing may have none.
+    /// The address of the downstream dependency. Optional if no request class makes calls.
     pub downstream: Option<SocketAddr>,
     /// The seed of the random generator.
     pub seed: u64,
     /// How long after SIGTERM the process is killed.
     pub shutdown_timeout: Duration,
-    /// How many descriptors it may hold.
+    /// The maximum number of open descriptors.
     pub max_sockets: usize,
-    /// How much memory it may use, in bytes.
+    /// The maximum memory use, in bytes.
     pub memory_bytes: usize,
-    /// The settings of the decisions, and the names in them.
+    /// The settings of the scheduler, and the names of classes, tenants and gauges in them.
     pub backend: BackendSettings,
-    /// Its part in what the fleet has together; none where no coordinators are named.
+    /// The settings for shared budgets and wallets; `None` if there are no coordinators.
     pub coordination: Option<coordination::Settings>,
 }
 
-/// The limits of the node's own sockets and memory: one place for all such limits, as fractions of the configuration.
+/// The node's limits for sockets, memory and connection times, all derived from the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResourceLimits {
-    /// How many connections from clients may be open.
+    /// The maximum number of open client connections.
     pub max_connections: usize,
-    /// How long a message may take until it is complete, and a response until it is taken.
+    /// The maximum time for a client to complete a message, and to read a response.
     pub message_timeout: Duration,
-    /// How long a connection is read on after our last byte.
+    /// The maximum time for which a connection lingers after the last response.
     pub linger_timeout: Duration,
-    /// How many bytes are read then.
+    /// The maximum number of bytes that a lingering connection reads and discards.
     pub linger_bytes: usize,
-    /// After how long an idle connection is one that its client has forgotten; none where clients keep them for good.
+    /// The time after which the client of an idle connection is assumed to have forgotten it; `None` if clients never
+    /// close idle connections.
     pub idle_timeout: Option<Duration>,
-    /// How many bytes retained results take.
+    /// The maximum size of all retained results together.
     pub retained_result_bytes: usize,
 }
 
-/// Clients get this fraction of the descriptors; the rest is for the executor, the downstream dependency, the control
-/// plane and files.
+/// The fraction of the descriptors for client connections. The rest is for the executor, the downstream dependency,
+/// the control plane and files.
 const CLIENT_SOCKETS_FRACTION: f64 = 0.75;
-/// No message gets longer than this, however long the deadline of a request class is.
+/// The upper limit of the message timeout, which is the longest deadline of a request class otherwise.
 const MAX_MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection lingers for the message timeout divided by this.
+/// The linger timeout is the message timeout divided by this.
 const LINGER_DIVISOR: u32 = 2;
-/// Clients close what is idle after the time that the settings name; after this many times that, they have forgotten it.
+/// The node's idle timeout is this multiple of the clients' idle timeout in the settings. A connection that stays
+/// idle for longer has been forgotten by its client, as the client would have closed it.
 const CLIENT_IDLE_TIMEOUT_FACTOR: u32 = 2;
-/// Retained results take this fraction of the memory.
+/// The fraction of the memory for retained results.
 const RETAINED_RESULTS_FRACTION: f64 = 0.25;
 
 impl Config {
-    /// The limits that follow from it.
+    /// Derives the limits from the configuration.
     pub fn resource_limits(&self) -> ResourceLimits {
         let settings = &self.backend.settings;
         let duration = |span: lynxtally::Span| Duration::from_micros(span.micros());
@@ -78,15 +80,15 @@
             max_connections,
             message_timeout,
             linger_timeout: message_timeout / LINGER_DIVISOR,
-            // All connections together read no more than there is memory.
+            // All lingering connections together read no more bytes than the memory limit.
             linger_bytes: self.memory_bytes / max_connections,
             idle_timeout: Some(idle_timeout).filter(|timeout| !timeout.is_zero()),
             retained_result_bytes: (self.memory_bytes as f64 * RETAINED_RESULTS_FRACTION) as usize,
         }
     }
 
-    /// The keys whose values differ in a newer configuration and can't take effect in a running program. The seed is not
-    /// among them: it serves only the start, and a new one is drawn for each configuration.
+    /// Returns the keys that differ in a newer configuration but take effect only after a restart. The seed is
+    /// excluded, because it is used only at the start and every configuration file gets a new one.
     pub fn changed_fixed_keys(&self, newer: &Self) -> Vec<&'static str> {
         [
             ("name", self.name != newer.name),
@@ -102,7 +104,7 @@
     }
 }
 
-/// The configuration file with its own keys. Unknown keys are ignored.
+/// The configuration file. Some keys have other names than the fields. Unknown keys are ignored.
 #[derive(Deserialize)]
 #[serde(rename = "File")]
 struct ConfigFile {
@@ -151,28 +153,29 @@
     }
 }
 
-/// Fewer descriptors leave no room for the executor, the downstream dependency, the control plane and files.
+/// The minimum number of descriptors. With fewer, the descriptors that clients don't get are not enough for the
+/// executor, the downstream dependency, the control plane and files.
 const MIN_SOCKETS: usize = 64;
-/// Overrides `name` of the file.
+/// The environment variable that overrides `name` of the file.
 const NAME_VARIABLE: &str = "RELAY_NAME";
-/// Overrides `listen` of the file.
+/// The environment variable that overrides `listen` of the file.
 const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
 
-/// Why a configuration can't be used.
+/// The reason why a configuration can't be used.
 #[derive(Debug)]
 pub enum LoadError {
-    /// Its file can't be read.
+    /// The file can't be read.
     Read {
         /// The path of the file.
         path: String,
-        /// Why not.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// What is in the file can't be used.
+    /// The content of the file is invalid.
     Invalid {
         /// The path of the file.
         path: String,
-        /// The key, and what is wrong with it.
+        /// The invalid key and the reason.
         error: SettingError,
     },
 }
@@ -188,10 +191,10 @@
 
 impl std::error::Error for LoadError {}
 
-/// Reads the configuration from a file. The process's environment overrides name and listening address.
+/// Reads the configuration from a file. Environment variables override the name and the listening address.
 ///
 /// # Errors
-/// The file can't be read, or a key in it can't be used.
+/// Returns an error if the file can't be read or has an invalid key.
 pub fn load(path: &str) -> Result<Config, LoadError> {
     let path = path.to_owned();
     let text = match std::fs::read_to_string(&path) {
@@ -201,15 +204,16 @@
     parse(&text, |name| std::env::var(name).ok()).map_err(|error| LoadError::Invalid { path, error })
 }
 
-/// Reads the configuration from a text. `environment` overrides name and listening address.
+/// Parses a configuration. `environment` looks up the environment variables that override the name and the listening
+/// address.
 ///
 /// # Errors
-/// The key that can't be used, and what is wrong with it.
+/// Returns the first invalid key and the reason.
 pub fn parse(text: &str, environment: impl Fn(&str) -> Option<String>) -> Result<Config, SettingError> {
-    let json: serde_json::Value =
-        serde_json::from_str(text).map_err(|error| SettingError::new("", format!("no JSON: {error}")))?;
+    let json: serde_json::Value = serde_json::from_str(text)
+        .map_err(|error| SettingError::new("", format!("invalid JSON: {error}")))?;
     let file: ConfigFile = decode(json)?;
-    let missing = |key: &str| SettingError::new(key, "is missing; a text is expected");
+    let missing = |key: &str| SettingError::new(key, "is missing; a string is expected");
     let name = environment(NAME_VARIABLE).or(file.name).ok_or_else(|| missing("name"))?;
     if name.is_empty() || name.contains(char::is_whitespace) {
         return Err(SettingError::new("name", format!("is {name:?}; one word is expected")));
@@ -228,7 +232,8 @@
     if downstream.is_none() {
         check_no_class_calls_downstream(&backend)?;
     }
-    // The executor has no command to degrade a request, so degrading one earns nothing here.
+    // The executor has no command for degraded responses, so they get no utility and the scheduler never chooses
+    // them.
     backend.settings.classes.iter_mut().for_each(|class| class.degraded_utility_fraction = 0.0);
     Ok(Config {
         name,
@@ -269,12 +274,13 @@
     })
 }
 
-/// A node without a downstream dependency may have no request class that calls it.
+/// Returns an error if a request class makes downstream calls, as the configuration has no address for them.
 fn check_no_class_calls_downstream(backend: &BackendSettings) -> Result<(), SettingError> {
     let Some(calling) = backend.settings.classes.iter().position(|class| class.calls_downstream) else {
         return Ok(());
     };
-    let what =
-        format!("is missing; an address is expected, as stage `{}` calls", backend.class_names[calling]);
-    Err(SettingError::new("ledger", what))
+    let class = &backend.class_names[calling];
+    let problem =
+        format!("is missing; an address is expected, as request class `{class}` makes downstream calls");
+    Err(SettingError::new("ledger", problem))
 }
--- a/crates/lynxtally-node/src/coordination/mod.rs
+++ b/crates/lynxtally-node/src/coordination/mod.rs
@@ -1,8 +1,9 @@
-//! This node's part in coordination: leases of calls downstream and of tenants' quotas, and reservations of wallets.
-//! Nothing of it is there unless the configuration names coordinators.
+//! Connects the node to the coordinators: it leases downstream calls and tenants' quotas, and reserves units of
+//! wallets. Used only if the configuration has coordinators.
 //!
-//! What is decided is decided by the lease client and by the scheduler; here they are told of each other. Requests go to a
-//! thread of their own ([`RequestSender`]), so that the event loop waits for nobody.
+//! This module makes no decisions. It passes leases and reservations from the lease client to the scheduler, and
+//! usage from the scheduler to the lease client. A separate thread ([`RequestSender`]) sends the requests to the
+//! coordinators, so that the event loop never blocks on them.
 
 mod sender;
 mod settings;
@@ -17,38 +18,39 @@
 use rustix::time::{clock_gettime, ClockId};
 use tracing::{debug, error, info, warn};
 
-/// The clock that lease durations are counted by: nobody sets it, and it counts on while the machine sleeps, so that a
-/// lease can't outlast a suspended machine.
+/// Reads the clock that lease durations are measured with. This clock is never set, and it keeps running while the
+/// machine is suspended, so that a lease also expires during a suspension.
 fn boot_clock_now() -> Instant {
     let at = clock_gettime(ClockId::Boottime);
     let micros = i128::from(at.tv_sec) * 1_000_000 + i128::from(at.tv_nsec) / 1000;
     Instant::from_micros(u64::try_from(micros).unwrap_or_default())
 }
 
-/// The event loop's side of coordination. Of the budgets that the lease client knows the first is that of calls
-/// downstream, where there is one; those of quotas follow in the order of the settings.
+/// The event loop's interface to coordination. In the lease client, the budget of downstream calls has index 0 if it
+/// is configured. The budgets of the quotas follow in the order of the settings.
 pub struct Coordination {
     client: LeaseClient,
     sender: RequestSender,
     settings: Settings,
-    /// Whether the engine has been told any quotas.
+    /// Whether the leased quotas have been passed to the engine at least once.
     quotas_applied: bool,
-    /// Whether the engine has been told any reservations.
+    /// Whether the reservations have been passed to the engine at least once.
     reservations_applied: bool,
-    /// The clock reading of this pass of the event loop.
+    /// The boot clock's time at the start of the current event loop iteration.
     now: Instant,
 }
 
 impl Coordination {
-    /// A node that is no member yet.
+    /// Creates the state of a node that has not joined the coordinators yet.
     pub fn new(name: &str, settings: Settings, seed: u64, sender: RequestSender) -> Self {
         let now = boot_clock_now();
         let client = LeaseClient::new(client_settings(name, &settings), seed, now);
         Self { client, sender, settings, quotas_applied: false, reservations_applied: false, now }
     }
 
-    /// Before anything is decided in a pass of the event loop: reads the clock, and tells the engine what is in force now.
-    /// This keeps a node that was paused from starting anything under a lease that expired meanwhile.
+    /// Reads the clock and passes the leases and reservations in force to the engine. Must be called in each
+    /// iteration of the event loop before the scheduler decides: otherwise, a node that was paused could start work
+    /// under a lease that expired during the pause.
     pub fn apply_leases<W, F, D: Copy + Ord>(&mut self, now: Instant, engine: &mut Engine<Policy, W, F, D>) {
         self.now = boot_clock_now();
         self.client.advance(self.now);
@@ -78,9 +80,9 @@
         let Some(TenantWallet { wallet: name, tenant }) = self.settings.wallets.get(wallet) else { return };
         let Some(current) = self.client.reservation(wallet) else { return };
         let (account, granted, in_force) = (current.account, current.granted, current.in_force);
-        debug!(name, account, granted, in_force, "reservation");
+        debug!(wallet = name, reservation_id = account, granted, in_force, "wallet reservation changed");
         let price = |class: &String| current.prices.get(class).copied().unwrap_or(0);
-        // Prices come with the first account.
+        // The prices are known only after the first reservation has been granted.
         let prices = (account > 0).then(|| self.settings.classes.iter().map(price).collect());
         let reservation = WalletReservation { reservation_id: account, granted, in_force, prices };
         engine.set_reservation(*tenant, reservation);
@@ -98,12 +100,12 @@
         LeasedQuotas { calls, tenants }
     }
 
-    /// The place of the first quota's budget.
+    /// The lease client's index of the first quota's budget.
     fn first_quota(&self) -> usize {
         usize::from(self.settings.calls.is_some())
     }
 
-    /// Tells the lease client what is in use now.
+    /// Reports the current usage of budgets and wallets to the lease client.
     fn report_usage<W, F, D: Copy + Ord>(&mut self, engine: &mut Engine<Policy, W, F, D>) {
         if let Some(policy) = engine.scheduler_mut() {
             if self.settings.calls.is_some() {
@@ -129,7 +131,8 @@
         }
     }
 
-    /// After the decisions of a pass: tells the lease client what is in use, and has the request sent that is due.
+    /// Reports usage to the lease client, and sends its next request if one is due. Called in each iteration of the
+    /// event loop after the scheduler has decided.
     pub fn report_and_send<W, F, D: Copy + Ord>(&mut self, engine: &mut Engine<Policy, W, F, D>) {
         self.report_usage(engine);
         if let Some(request) = self.client.next_request(self.now) {
@@ -137,24 +140,25 @@
         }
     }
 
-    /// The response to a request came, or surely none will.
+    /// Passes the outcome of a request to the lease client: the response, or `None` if no response can follow.
     pub fn on_response<W, F, D: Copy + Ord>(
         &mut self,
         engine: &mut Engine<Policy, W, F, D>,
         token: u64,
         response: Option<NodeResponse>,
     ) {
-        // Requests may have been admitted earlier in this pass: units that they hold must not be returned as idle.
+        // Usage is reported first because requests may have been admitted earlier in this iteration. The lease client
+        // must not return the units that they hold as unused.
         self.report_usage(engine);
         self.client.on_response(boot_clock_now(), token, response);
     }
 
-    /// The node shuts down gracefully: its session ends once nothing is in use.
+    /// Begins to leave the coordinators at a graceful shutdown. The session ends when no leased unit is in use.
     pub fn leave(&mut self) {
         self.client.leave();
     }
 
-    /// How long until something is to be done here without being asked.
+    /// The time until the lease client next needs to act without a message.
     pub fn time_to_deadline(&self) -> Option<Span> {
         self.client.next_deadline().map(|deadline| deadline - self.now)
     }
@@ -163,7 +167,8 @@
 fn client_settings(name: &str, settings: &Settings) -> lynxtally_lease_client::Settings {
     let budget = |name: &String, max_in_flight| BudgetSettings { name: name.clone(), max_in_flight };
     let calls = settings.calls.iter().map(|name| budget(name, settings.max_call_duration));
-    // What counts against a quota is started at one moment: nothing of it is in flight.
+    // A quota limits the rate at which requests start. Nothing is in flight under it, so its maximum duration is
+    // zero.
     let quotas = settings.quotas.iter().map(|quota| budget(&quota.budget, Span::ZERO));
     let wallet = |of_tenant: &TenantWallet| WalletSettings {
         name: of_tenant.wallet.clone(),
@@ -185,14 +190,12 @@
         Event::LeaseChanged { budget, amount } => info!(budget, amount, "lease in force"),
         Event::ReservationChanged { .. } => {}
         Event::Document(document) => {
-            debug!(index = document.index, "a route document that nothing in this node reads");
+            debug!(index = document.index, "ignored a route document, which this program does not use");
         }
         Event::DocumentUnreadable { reason } => warn!(reason, "no version of the route document can be read"),
-        Event::Joined { incarnation } => info!(incarnation, "joined coordination"),
+        Event::Joined { incarnation } => info!(incarnation, "joined the coordinators"),
         Event::Replaced => {
-            error!(
-                "another process has taken this node's name: this one is fenced off and gets no more leases"
-            );
+            error!("another process joined under this node's name; this process gets no more leases");
         }
         Event::Rejected(rejection) => warn!(?rejection, "a coordinator rejected a request"),
     }
--- a/crates/lynxtally-node/src/coordination/sender.rs
+++ b/crates/lynxtally-node/src/coordination/sender.rs
@@ -1,4 +1,4 @@
-//! The thread that carries requests to the coordinators, one at a time.
+//! The thread that sends requests to the coordinators, one at a time.
 
 use lynxtally::Span;
 use lynxtally_lease_client::OutgoingRequest;
@@ -10,14 +10,14 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// Hands requests to the thread. It ends when this is dropped.
+/// The handle to the sending thread. The thread ends when the handle is dropped.
 pub struct RequestSender(Sender<OutgoingRequest>);
 
-/// Why a request had no response.
+/// The reason why a request got no usable response.
 enum SendError {
-    /// The coordinator was not reached, or did not respond in time.
+    /// The coordinator could not be reached or did not respond in time.
     Unreachable(ureq::Error),
-    /// Its response can't be decoded.
+    /// The response could not be decoded.
     Undecodable(DecodeError),
 }
 
@@ -37,11 +37,11 @@
 }
 
 impl RequestSender {
-    /// Starts the thread. `on_response` is called once for each request, with its token and the response, or none
-    /// where surely none will come.
+    /// Starts the thread. `on_response` is called once for each request, with the request's token and the response,
+    /// or `None` if the request failed.
     ///
     /// # Errors
-    /// The thread can't be started.
+    /// Returns an error if the thread can't be started.
     pub fn start(
         coordinators: Vec<SocketAddr>,
         response_timeout: Span,
@@ -59,7 +59,7 @@
                 let Some(address) = coordinators.get(outgoing.coordinator) else { continue };
                 let response = post(&agent, *address, &outgoing.request);
                 if let Err(error) = &response {
-                    debug!(coordinator = %address, %error, "no response from a coordinator");
+                    debug!(coordinator = %address, %error, "request to a coordinator failed");
                 }
                 on_response(outgoing.token, response.ok());
             }
@@ -67,9 +67,9 @@
         Ok(Self(sender))
     }
 
-    /// Has a request sent.
+    /// Queues a request for the thread.
     pub fn send(&self, request: OutgoingRequest) {
-        // The thread ends only after this is dropped, so it takes the request.
+        // Sending can't fail, as the thread keeps the receiver until this handle is dropped.
         let _ = self.0.send(request);
     }
 }
--- a/crates/lynxtally-node/src/coordination/settings.rs
+++ b/crates/lynxtally-node/src/coordination/settings.rs
@@ -1,4 +1,4 @@
-//! The part of the configuration that names coordinators, budgets and wallets, under `shares`.
+//! The configuration section `shares`: the coordinators, and the budgets and wallets to lease from them.
 
 use lynxtally::{Downstream, Span};
 use lynxtally_settings::{BackendSettings, SettingError};
@@ -6,33 +6,33 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Limits of `patience_ms`.
+/// The valid values of `patience_ms`.
 const RESPONSE_TIMEOUT_MS: std::ops::RangeInclusive<u64> = 10..=60_000;
-/// `patience_ms` where the file has none.
+/// The default of `patience_ms`.
 const DEFAULT_RESPONSE_TIMEOUT_MS: u64 = 500;
 
-/// What a node takes part in.
+/// The validated coordination settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where the coordinators are, in the order of their numbers.
+    /// The addresses of the coordinators, in the order of their numbers.
     pub coordinators: Vec<SocketAddr>,
-    /// How long a response is waited for before another coordinator is tried.
+    /// How long the node waits for a response before it tries another coordinator.
     pub response_timeout: Span,
-    /// The budget of concurrent calls downstream.
+    /// The name of the budget for concurrent downstream calls; `None` if calls are not leased.
     pub calls: Option<String>,
-    /// How long a call that is started under a lease may run at most, with its cancellation lag.
+    /// The longest time that a call started under a lease can take, including its cancellation lag.
     pub max_call_duration: Span,
-    /// Budgets of tenants' requests a second.
+    /// The tenants' budgets, in requests per second.
     pub quotas: Vec<QuotaBudget>,
-    /// Tenants' wallets.
+    /// The tenants' wallets.
     pub wallets: Vec<TenantWallet>,
-    /// The request classes, in the order of their indices.
+    /// The names of the request classes, in the order of their indices.
     pub classes: Vec<String>,
-    /// How many tenants there are.
+    /// The number of tenants.
     pub tenants: usize,
 }
 
-/// The budget that a tenant's quota is leased from.
+/// The budget from which a tenant's quota is leased.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaBudget {
     /// The budget's name.
@@ -50,7 +50,7 @@
     pub tenant: usize,
 }
 
-/// The part of the section. Its keys are older than the names here.
+/// The section as it appears in the file. Some keys keep their older names, which differ from the field names.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, rename = "File")]
 pub struct CoordinationSection {
@@ -69,10 +69,10 @@
     DEFAULT_RESPONSE_TIMEOUT_MS
 }
 
-/// Checks what the file says against the other settings.
+/// Validates the section against the other settings.
 ///
 /// # Errors
-/// The key and what is wrong with it.
+/// Returns the first invalid key and the reason.
 pub fn validate(section: CoordinationSection, backend: &BackendSettings) -> Result<Settings, SettingError> {
     let coordinators = read_addresses(&section.coordinators)?;
     if !RESPONSE_TIMEOUT_MS.contains(&section.response_timeout_ms) {
@@ -114,17 +114,20 @@
         addresses.push(address);
     }
     if addresses.is_empty() {
-        return Err(SettingError::new("shares.keepers", "is empty; the keepers' addresses are expected"));
+        return Err(SettingError::new(
+            "shares.keepers",
+            "is empty; the addresses of the coordinators are expected",
+        ));
     }
     Ok(addresses)
 }
 
-/// How long a call still runs downstream after its cancellation.
+/// The time for which the dependency continues to execute a cancelled call.
 fn cancellation_lag(section: &CoordinationSection, backend: &BackendSettings) -> Result<Span, SettingError> {
     match backend.settings.downstream {
         Downstream::Shared { cancellation_lag, .. } => Ok(cancellation_lag),
         _ if section.calls.is_some() => {
-            Err(SettingError::new("shares.calls", "is there, but `settings` names no shared dependency"))
+            Err(SettingError::new("shares.calls", "is set, but the dependency in `settings` is not shared"))
         }
         _ => Ok(Span::ZERO),
     }
@@ -132,8 +135,7 @@
 
 fn find_tenant(key: &str, tenant: &str, backend: &BackendSettings) -> Result<usize, SettingError> {
     let index = backend.tenant_names.iter().position(|known| known == tenant);
-    index
-        .ok_or_else(|| SettingError::new(format!("shares.{key}.{tenant}"), "names no customer of `settings`"))
+    index.ok_or_else(|| SettingError::new(format!("shares.{key}.{tenant}"), "is not a tenant in `settings`"))
 }
 
 fn check_distinct<'a>(budgets: impl Iterator<Item = &'a String>) -> Result<(), SettingError> {
--- a/crates/lynxtally-node/src/counters.rs
+++ b/crates/lynxtally-node/src/counters.rs
@@ -1,46 +1,47 @@
-//! What the node receives, sends and answers, counted. SIGUSR1 prints the counters, as does the end of the program.
+//! Counters of connections, messages, requests, runs and calls. They are printed on SIGUSR1 and when the program
+//! ends.
 
 use lynxtally_net::close_reason::CloseReason;
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One number.
+/// One counter.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Adds one.
+    /// Adds one to the counter.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Takes one off, for what is counted while it lasts.
+    /// Subtracts one. Used for counters of what exists at present, such as open requests.
     pub fn decrement(&self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// Its value.
+    /// Returns the current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 
     fn print(&self, line: &mut String) {
-        // Writing to a string can't fail.
+        // Writing to a string never fails.
         let _ = write!(line, "{}", self.get());
     }
 }
 
-/// Connections by the reason of their closing.
+/// The number of closed connections for each close reason.
 #[derive(Debug, Default)]
 pub struct CountByReason([Counter; CloseReason::ALL.len()]);
 
 impl CountByReason {
-    /// Counts one more that ended for this reason.
+    /// Counts one connection that was closed for this reason.
     pub fn increment(&self, reason: CloseReason) {
         self.0[reason as usize].increment();
     }
 
-    /// How many ended for this reason.
+    /// Returns the number of connections that were closed for this reason.
     pub fn get(&self, reason: CloseReason) -> u64 {
         self.0[reason as usize].get()
     }
@@ -55,13 +56,13 @@
     line.push('{');
     for (index, (name, value)) in entries.enumerate() {
         let comma = if index > 0 { "," } else { "" };
-        // As above.
+        // Writing to a string never fails.
         let _ = write!(line, "{comma}\"{name}\":{value}");
     }
     line.push('}');
 }
 
-/// Counts by a name of the settings, such as requests by class.
+/// One counter for each name of a kind in the settings, such as each request class.
 #[derive(Debug, Default)]
 pub struct CountByName(Vec<(String, Counter)>);
 
@@ -70,7 +71,7 @@
         Self(names.iter().map(|name| (name.clone(), Counter::default())).collect())
     }
 
-    /// Counts one more of the name with this index.
+    /// Adds one to the counter of the name with this index.
     pub fn increment(&self, index: usize) {
         if let Some((_, count)) = self.0.get(index) {
             count.increment();
@@ -82,8 +83,8 @@
     }
 }
 
-/// Declares the counters, each with the key under which it is printed. Scripts read these keys: they never change,
-/// also where the field has a better name.
+/// Declares the counters, each with the key under which it is printed. Scripts read the keys, so a key stays the same
+/// even if the field is renamed.
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident: $kind:ty => $key:literal,)*) => {
         /// All counters of a node.
@@ -93,7 +94,7 @@
         }
 
         impl Counters {
-            /// All of them as one line of JSON.
+            /// Returns all counters as one line of JSON.
             pub fn line(&self) -> String {
                 let mut line = String::from("{");
                 $(
@@ -113,38 +114,38 @@
 counters! {
     /// Connections accepted from clients.
     connections: Counter => "connections",
-    /// Why they ended.
+    /// Client connections that were closed, by reason.
     connections_closed: CountByReason => "connection_ends",
-    /// Connections that could not be accepted, for want of descriptors most likely.
+    /// Failed attempts to accept a connection, usually because no descriptor was left.
     accepts_failed: Counter => "accepts_failed",
     /// Health checks answered.
     health_checks: Counter => "health_checks",
-    /// Messages whose head can't be parsed.
+    /// Client messages whose head or length can't be parsed.
     bad_head: Counter => "bad_head",
-    /// Messages with a header that can't be parsed, or with a name that is not known.
+    /// Client messages with a missing or invalid header, or an unknown class or tenant.
     bad_header: Counter => "bad_field",
-    /// Messages for a path or method that does not exist.
+    /// Client messages with an unknown path or an unsupported method.
     bad_path: Counter => "bad_path",
-    /// Messages that are too large, or have an encoding that is not supported.
+    /// Client messages that are too large or have an unsupported transfer encoding.
     bad_size: Counter => "bad_size",
     /// Requests read, by class.
     requests: CountByName => "tasks",
-    /// Requests not accepted by the engine: before the executor is up, under an id that is in use, or under another
-    /// request's idempotency key.
+    /// Requests that the engine rejected on submission because the executor was not up, the id was in use, or the
+    /// idempotency key belonged to a different request.
     requests_refused: Counter => "tasks_refused",
-    /// Requests answered with a run's result.
+    /// Requests answered with the result of a run.
     completed: Counter => "finished",
-    /// Requests answered that they were never executed.
+    /// Requests answered with a rejection, which means that they were not executed.
     rejected: Counter => "rejected",
-    /// Requests answered that they failed.
+    /// Requests answered with a failure.
     failed: Counter => "abandoned",
-    /// Requests whose caller was gone before the response.
+    /// Requests whose client disconnected before the response.
     client_disconnected: Counter => "caller_gone",
-    /// Requests read that are still owed a response.
+    /// Open requests, which have no final response yet.
     in_flight: Counter => "open",
-    /// Responses that no connection took any more.
+    /// Final responses that could not be delivered because their connection had ended.
     responses_undelivered: Counter => "answers_lost",
-    /// Runs ordered.
+    /// Commands to start or resume a run.
     runs: Counter => "runs",
     /// Runs that succeeded.
     runs_succeeded: Counter => "runs_ok",
@@ -158,19 +159,19 @@
     calls: Counter => "calls",
     /// Calls that succeeded.
     calls_succeeded: Counter => "calls_ok",
-    /// Calls that failed and were not executed.
+    /// Calls that failed and were certainly not executed.
     calls_not_executed: Counter => "calls_never_ran",
     /// Calls that failed and may have been executed.
     calls_maybe_executed: Counter => "calls_may_have_run",
-    /// Why downstream connections ended.
+    /// Downstream connections that were closed or could not be opened, by reason.
     downstream_closed: CountByReason => "ledger_ends",
-    /// Links made to the executor.
+    /// Links established to the executor.
     executor_links: Counter => "kernel_links",
-    /// Why they, or the attempts at one, ended.
+    /// Links to the executor that were closed or could not be established, by reason.
     executor_links_closed: CountByReason => "kernel_ends",
     /// Commands that the executor refused.
     commands_refused: Counter => "kernel_refused",
-    /// Events for requests that are not known.
+    /// Executor events that refer to an unknown request.
     unknown_request_events: Counter => "kernel_unknown",
     /// Health reports sent to the control plane.
     health_reports: Counter => "reports",
@@ -179,7 +180,7 @@
 }
 
 impl Counters {
-    /// Counters for the request classes with these names.
+    /// Creates the counters for these request classes.
     pub fn new(classes: &[String]) -> Self {
         Self { requests: CountByName::new(classes), ..Self::default() }
     }
--- a/crates/lynxtally-node/src/downstream/connection.rs
+++ b/crates/lynxtally-node/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the pool: its calls, one after another.
+//! One connection of the pool, which makes its calls one after another.
 
 use super::{Call, CallCommand, CallHandle, DownstreamClient, IdleConnection};
 use crate::http::{self, MessageReader};
@@ -11,25 +11,26 @@
 use std::time::Instant;
 use tracing::debug;
 
-/// One connection of the pool while it is served.
+/// The state of a pooled connection's coroutine.
 pub(super) struct CallConnection<'a> {
     client: &'a DownstreamClient,
     handle: &'a CallHandle,
-    /// Where the dependency was when this connection was made.
+    /// The address of the dependency when this connection was created.
     address: Option<SocketAddr>,
 }
 
-/// How a call ended, and its connection where that may carry another one.
+/// The end of a call.
 struct FinishedCall {
     end: CallEnd,
+    /// The connection, if it can carry another call.
     reusable: Option<Connection>,
 }
 
-/// What ended the wait for the next call.
+/// How the wait for the next call ended.
 enum IdleEnd {
-    /// A call is to be made.
+    /// A call arrived.
     NextCall,
-    /// The connection is closed.
+    /// The connection was closed.
     Closed,
 }
 
@@ -38,7 +39,7 @@
         Self { client, handle, address: *lock(&client.address) }
     }
 
-    /// Makes calls as they come, until the connection is closed.
+    /// Makes calls as they arrive, until the connection is closed.
     pub(super) fn serve(&self) {
         let mut connection = None;
         while let Some(command) = self.handle.take() {
@@ -54,18 +55,18 @@
                 break;
             }
             if let IdleEnd::Closed = self.wait_for_call(idle) {
-                // A call that came meanwhile gets a connection of its own.
+                // A call may have arrived at the same time; the next iteration makes it on a new connection.
                 connection = None;
                 self.handle.detach();
                 self.remove_from_pool();
             }
         }
         self.handle.detach();
-        // A call that came between the last look at the mailbox and now is reported as not executed, not lost.
+        // Calls that arrived after the last check of the mailbox are reported as not executed.
         for command in self.handle.close() {
             if let CallCommand::Make(call) = command {
                 let end = CallEnd::NoResponse { reason: CloseReason::ClosedByPeer, written: false };
-                // The event loop is gone only where the program ends.
+                // Reporting fails only after the event loop has ended, and then the program ends too.
                 let _ = self.report_end(call, end);
             }
         }
@@ -76,7 +77,8 @@
         self.client.event_loop.send(message).map_err(|_| EventLoopStopped)
     }
 
-    /// Offers this connection for the next call; false where the dependency has moved meanwhile.
+    /// Returns this connection to the pool. Returns false if the address of the dependency has changed, because the
+    /// connection must then be closed.
     fn return_to_pool(&self) -> bool {
         let mut idle = lock(&self.client.idle);
         if *lock(&self.client.address) != self.address {
@@ -97,7 +99,7 @@
             self.count_close(reason);
             IdleEnd::Closed
         };
-        // Nothing may come on an idle connection, so a single byte is enough to see that something did.
+        // The dependency must not send anything on an idle connection, so a buffer of one byte detects a violation.
         let mut unexpected = Vec::new();
         loop {
             match connection.fill(&mut unexpected, 1) {
@@ -127,7 +129,7 @@
         FinishedCall { end: CallEnd::NoResponse { reason, written }, reusable: None }
     }
 
-    /// Makes one call, on the pooled connection where there is one.
+    /// Makes one call on the given connection, or on a new one if there is none.
     fn make_call(&self, call: &Call, pooled: Option<Connection>) -> FinishedCall {
         let connection = match pooled {
             Some(connection) => Ok(connection),
@@ -154,10 +156,11 @@
                 return self.without_response(reason, written);
             }
             if connection.is_flushed() && !written {
-                // The clock is read here and not sooner: a process that was stopped on the way to here wakes with a
-                // call whose time may be over, and whose share of the dependency another node may have by now. This is
-                // the monotonic clock, which stands still while the machine is suspended; the lease's own clock does
-                // not (`coordination`), and a suspension between that check and this one is covered up to its pause margin.
+                // The deadline is checked immediately before the write. If the process was stopped after the call was
+                // started, the call may have timed out, and its budget may be leased to another node by now. This
+                // check uses the monotonic clock, which stops while the machine is suspended. Leases are checked
+                // earlier with a clock that continues (see `coordination`); a suspension between the two checks is
+                // covered by the lease's pause margin, if it is no longer than that margin.
                 let left = call.deadline.saturating_duration_since(Instant::now());
                 if left.is_zero() {
                     return self.without_response(CloseReason::TimedOut, false);
@@ -177,7 +180,7 @@
                 };
             match reader.next_call_response() {
                 Ok(Some(response)) => {
-                    // What follows the response already would be taken for the next call's.
+                    // Bytes that follow the response would be read as the response to the next call.
                     let is_reusable = !response.closes_connection
                         && progress == ReadProgress::Drained
                         && reader.buffer.is_empty();
@@ -194,14 +197,15 @@
                 }
                 Ok(None) => connection.wait(),
                 Err(error) => {
-                    debug!(id = call.id, %error, "a response to a call can't be parsed");
+                    debug!(id = call.id, %error, "downstream call failed: its response can't be parsed");
                     return self.without_response(CloseReason::Malformed, written);
                 }
             }
         }
     }
 
-    /// Why the call is to be cancelled, if it is. Its connection is closed with it: a response that still comes is nobody's.
+    /// Returns the close reason if the call was cancelled. The connection must then be closed, so that a late
+    /// response to the cancelled call is not read as the response to another call.
     fn cancellation(&self, call: &Call) -> Option<CloseReason> {
         while let Some(command) = self.handle.take() {
             if matches!(command, CallCommand::Cancel(number) if number == call.number) {
@@ -213,5 +217,5 @@
     }
 }
 
-/// The event loop is gone: the program ends.
+/// The error of a send to the event loop after it has ended. The program ends too.
 struct EventLoopStopped;
--- a/crates/lynxtally-node/src/error.rs
+++ b/crates/lynxtally-node/src/error.rs
@@ -1,4 +1,4 @@
-//! What ends the program with an error.
+//! The errors that end the program.
 
 use crate::config::LoadError;
 use lynxtally_net::startup::LogLevelError;
@@ -6,27 +6,27 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What ends the program with an error. Displayed as one line for the person who started it.
+/// An error that ends the program. Its display text is one line for the operator who started the program.
 #[derive(Debug)]
 pub enum NodeError {
-    /// The log level can't be used.
+    /// The environment variable for the log level has an invalid value.
     LogLevel(LogLevelError),
-    /// The configuration can't be used.
+    /// The configuration can't be read or is invalid.
     Config(LoadError),
-    /// The system delivers no signals.
+    /// The signal handlers can't be installed.
     Signals(io::Error),
-    /// The address of the settings can't be listened on.
+    /// The listening socket can't be opened.
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The system starts no thread.
+    /// A thread can't be started.
     Thread(io::Error),
     /// No stack could be allocated for a coroutine.
     Coroutine(io::Error),
-    /// A part of the node failed while it ran.
+    /// A component of the node panicked.
     ComponentFailed,
 }
 
@@ -35,13 +35,13 @@
         match self {
             Self::LogLevel(error) => error.fmt(f),
             Self::Config(error) => error.fmt(f),
-            Self::Signals(error) => write!(f, "signals can't be listened to: {error}"),
+            Self::Signals(error) => write!(f, "failed to install signal handlers: {error}"),
             Self::Listen { address, error } => {
-                write!(f, "`listen`: {address} can't be listened on: {error}")
+                write!(f, "`listen`: failed to listen on {address}: {error}")
             }
-            Self::Thread(error) => write!(f, "a thread can't be started: {error}"),
-            Self::Coroutine(error) => write!(f, "a coroutine can't be started: {error}"),
-            Self::ComponentFailed => f.write_str("a part of the node failed; the log says why"),
+            Self::Thread(error) => write!(f, "failed to start a thread: {error}"),
+            Self::Coroutine(error) => write!(f, "failed to start a coroutine: {error}"),
+            Self::ComponentFailed => f.write_str("a component of the node panicked; the log has the cause"),
         }
     }
 }
--- a/crates/lynxtally-node/src/event_loop/calls.rs
+++ b/crates/lynxtally-node/src/event_loop/calls.rs
@@ -1,4 +1,4 @@
-//! Downstream calls that ended.
+//! Handles the ends of downstream calls.
 
 use super::EventLoop;
 use crate::executor_link::Command;
@@ -7,8 +7,8 @@
 use tracing::debug;
 
 impl EventLoop {
-    /// A call ended. A successful response goes to the run that waits for it; a call that was cancelled meanwhile is only
-    /// counted.
+    /// Counts the end of a call, and forwards a successful response to the run that waits for it. A call that was
+    /// cancelled in the meantime is only counted.
     pub(super) fn call_ended(&mut self, now: Instant, id: &str, number: u64, end: CallEnd) {
         let outcome = end.outcome();
         match outcome {
--- a/crates/lynxtally-node/src/event_loop/executor.rs
+++ b/crates/lynxtally-node/src/event_loop/executor.rs
@@ -1,4 +1,4 @@
-//! Carries out what the engine has run: commands to the executor, and downstream calls.
+//! The engine's executor interface: sends commands to the executor process and makes downstream calls.
 
 use crate::counters::Counters;
 use crate::downstream::{Call, CallCommand, CallHandle, DownstreamClient};
@@ -9,40 +9,41 @@
 use std::sync::Arc;
 use tracing::{debug, error};
 
-/// What the executor needs of a request.
+/// The data of a request that its runs and calls need.
 #[derive(Default)]
 pub(super) struct RequestWork {
     pub id: String,
     pub class: usize,
     pub body: Vec<u8>,
-    /// Whether its run was stopped and can be resumed.
+    /// Whether the run was stopped and can be resumed.
     pub is_paused: bool,
-    /// Commands whose effect is not known yet.
+    /// Commands that the executor may not have read yet.
     pub unconfirmed: Vec<UnconfirmedCommand>,
-    /// The body of the call that its run waits for.
+    /// The body of the call that the run waits for.
     pub call_body: Vec<u8>,
-    /// The connection that carries its call.
+    /// The connection that carries the call.
     pub call: Option<CallHandle>,
 }
 
-/// A command whose effect is not known yet. A new link to the executor gets it again if it may not have been read.
+/// A command whose effect has not been reported yet. It is resent on a new link to the executor, unless the executor
+/// is known to have read it.
 pub(super) struct UnconfirmedCommand {
-    /// How often gauges had been requested before it.
+    /// The value of `NodeExecutor::gauges_requested` when the command was sent.
     gauges_requested_before: u64,
     pub command: Command,
 }
 
-/// The executor's link, and the downstream dependency for the calls of its runs.
+/// Runs requests on the executor process, and makes their calls to the downstream dependency.
 pub(super) struct NodeExecutor {
     link: Arc<ExecutorHandle>,
     downstream: Arc<DownstreamClient>,
-    /// Whether the executor reads commands now.
+    /// Whether the current link is up and caught up, so that commands can be sent on it.
     is_linked: bool,
-    /// How often gauges have been requested.
+    /// How many `ReportGauges` commands have been sent. The count is the number of the last one.
     gauges_requested: u64,
-    /// The last of these requests that was answered.
+    /// The number of the last `ReportGauges` command that the executor has answered.
     gauges_reported: u64,
-    /// The names of the request classes.
+    /// The names of the request classes, in the order of their indices.
     classes: Vec<String>,
     counters: Arc<Counters>,
 }
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Sends a command on behalf of a request, now or when there is a link again.
+    /// Sends a command for a request. While there is no link, the command waits until the next link has caught up.
     pub fn send(&self, work: &mut RequestWork, command: Command) {
         let gauges_requested_before = self.gauges_requested;
         work.unconfirmed.push(UnconfirmedCommand { gauges_requested_before, command: command.clone() });
@@ -78,12 +79,13 @@
         self.is_linked = false;
     }
 
-    /// The link with this number has reported all that happened before it was made. Commands without a known effect are
-    /// sent again, but for those that the executor has surely read.
+    /// Starts to use the link with this number, after the executor has reported all earlier events on it. Resends the
+    /// unconfirmed commands, except those that the executor is known to have read.
     ///
-    /// The failure this guards against: a response to a call that is sent twice could be taken for the response to the run's
-    /// next call. The executor reads commands in order, so whatever was sent before a request for gauges that was
-    /// answered has been read. What is left open is a command that was read in the last instant before the link broke.
+    /// The exception matters because the executor could take the second copy of a call's response for the response to
+    /// the run's next call. The executor reads commands in order, so it has read every command that precedes an
+    /// answered `ReportGauges`. A command can still be duplicated if the executor read it after the last answered
+    /// `ReportGauges` and before the link broke.
     pub fn link_caught_up<'a>(&mut self, link: u64, works: impl Iterator<Item = &'a mut RequestWork>) {
         self.is_linked = true;
         self.link.begin_link(link);
@@ -95,17 +97,17 @@
         }
     }
 
-    /// The gauges came that were requested under this number.
+    /// Records that the executor has answered the `ReportGauges` command with this number.
     pub fn gauges_reported(&mut self, number: u64) {
         self.gauges_reported = self.gauges_reported.max(number.min(self.gauges_requested));
     }
 
-    /// The executor is at this address from now on.
+    /// Reconnects to the executor at this address.
     pub fn set_executor_address(&self, address: SocketAddr) {
         self.link.set_address(address);
     }
 
-    /// The downstream dependency is at this address from now on.
+    /// Sends new downstream calls to this address.
     pub fn set_downstream_address(&self, address: Option<SocketAddr>) {
         self.downstream.set_address(address);
     }
@@ -134,7 +136,7 @@
         let call = Call { id: work.id.clone(), number, deadline, body: work.call_body.clone() };
         work.call = self.downstream.start_call(call);
         if work.call.is_none() {
-            error!(id = work.id, "no coroutine for a call");
+            error!(id = work.id, "downstream call not started: no coroutine could be allocated");
         }
         debug!(id = work.id, number, timeout_ms = timeout.micros() / 1000, "call started");
         work.call.is_some()
@@ -147,8 +149,8 @@
     }
 
     fn degrade(&mut self, _: RequestId, work: &mut RequestWork) {
-        // The configuration gives degraded responses no utility, so the scheduler never asks for one.
-        error!(id = work.id, "a request can't be degraded here");
+        // `config::parse` sets the utility of degraded responses to zero, so the scheduler never asks for one.
+        error!(id = work.id, "scheduler asked for a degraded response, which the executor can't produce");
     }
 
     fn request_gauges(&mut self) {
--- a/crates/lynxtally-node/src/event_loop/executor_events.rs
+++ b/crates/lynxtally-node/src/event_loop/executor_events.rs
@@ -1,4 +1,4 @@
-//! What the executor reports: it is up, runs ended, calls are to be made, commands were refused.
+//! Handles the events that the executor reports: its start, the ends of runs, requests for calls, refused commands.
 
 use super::executor::RequestWork;
 use super::EventLoop;
@@ -21,18 +21,19 @@
             ExecutorEvent::CallRequested { id, body } => self.call_requested(now, &id, body),
             ExecutorEvent::RunEnded { id, status, result } => self.run_ended(now, &id, status, result),
             ExecutorEvent::CommandRefused { command, id } => self.command_refused(now, &command, &id),
-            ExecutorEvent::LogLine(text) => debug!(text, "log line of the executor"),
+            ExecutorEvent::LogLine(text) => debug!(text, "executor logged a line"),
         }
     }
 
-    /// The executor is up: decisions start. It reports this on each link; only the first counts.
+    /// Starts the scheduler when the executor first reports that it is up. The executor repeats this report on each
+    /// link; the repeats are ignored.
     fn executor_started(&mut self, now: Instant, cold_start: bool, uptime_ms: f64) {
         if self.engine.is_started() {
             return;
         }
         let started_at = now - Span::from_secs(uptime_ms / 1000.0);
         info!(cold_start, uptime_ms, "the executor is up");
-        debug!(downstream = ?self.config.backend.settings.downstream, "where calls go");
+        debug!(downstream = ?self.config.backend.settings.downstream, "downstream dependency configured");
         let mut settings = self.config.backend.settings.clone();
         settings.cold_start = cold_start;
         self.engine.start(now, Policy::new(settings, self.config.seed, started_at));
@@ -48,8 +49,8 @@
 
     fn call_requested(&mut self, now: Instant, id: &str, body: Vec<u8>) {
         let Some((request, work)) = self.find_work(id) else { return self.count_unknown_request(id) };
-        // It shows that all earlier commands were read, but not a command to stop: that one may have crossed this
-        // event, and only the end of the run shows its effect.
+        // A run that requests a call has processed all earlier commands except, possibly, `Stop`: the executor may
+        // have sent this event before it read the `Stop`. Only the end of the run confirms a `Stop`.
         work.unconfirmed.retain(|unconfirmed| matches!(unconfirmed.command, Command::Stop(_)));
         work.call_body = body;
         debug!(id, "call requested");
@@ -81,15 +82,15 @@
         self.end_run(now, request, end);
     }
 
-    /// A refused run is never reported again: its request must not wait for it.
+    /// Ends the run whose command was refused, because the executor will never report an end of that run.
     fn command_refused(&mut self, now: Instant, command: &CommandName, id: &str) {
         if self.counters.commands_refused.get() == 0 {
-            warn!(id, %command, "the executor refused a command; later ones are only counted");
+            warn!(id, %command, "executor refused a command; further refusals are counted, not logged");
         }
         self.counters.commands_refused.increment();
         let end = match command {
             CommandName::Start => RunEnd::NotStarted,
-            // It had begun before it was stopped.
+            // The run had started before it was stopped, so it may have had effects.
             CommandName::Resume => RunEnd::Failed,
             CommandName::Other(_) => return,
         };
@@ -109,7 +110,7 @@
     }
 
     fn count_unknown_request(&self, id: &str) {
-        debug!(id, "an event for a request that is not known");
+        debug!(id, "executor reported an event of an unknown request; event ignored");
         self.counters.unknown_request_events.increment();
     }
 }
--- a/crates/lynxtally-node/src/event_loop/mod.rs
+++ b/crates/lynxtally-node/src/event_loop/mod.rs
@@ -1,6 +1,8 @@
-//! The event loop: one coroutine that holds the engine, with the scheduler and the open requests in it. Everything else
-//! sends it messages. It takes all that wait, has the scheduler decide once for the whole batch, and hands out commands.
-//! It never blocks and never writes to a socket itself, and decides nothing that the scheduler should.
+//! The event loop: the one coroutine that owns the engine, which contains the scheduler and the open requests.
+//!
+//! All other components send messages to the event loop. Each iteration handles all messages that wait, lets the
+//! scheduler decide once for the whole batch, and sends the resulting commands. The event loop only waits for
+//! messages, never writes to a socket, and leaves every scheduling decision to the scheduler.
 
 mod calls;
 mod executor;
@@ -31,28 +33,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Expired connections are looked for at intervals of this fraction of the message timeout.
+/// The interval between checks for expired connections, as a fraction of the message timeout.
 const EXPIRY_CHECK_FRACTION: f64 = 0.1;
 
-/// The event loop's own timers, beside those that the engine keeps. Of those due at the same instant the engine returns
-/// them in this order.
+/// The timers that the event loop sets, in addition to the engine's own. If several expire at the same instant, the
+/// engine returns them in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKind {
-    /// Close connections whose time is over.
+    /// Close the client connections that have exceeded a timeout.
     CloseExpired,
-    /// While shutting down: close the listener.
+    /// Shutdown: close the listener.
     CloseListener,
-    /// While shutting down: no request is on its way any more to a connection that was closed.
+    /// Shutdown: check for the end, since no request can still be in transit to a closed connection.
     ClosedConnectionsSettled,
-    /// While shutting down: close all connections without a request, in the middle of a message or not.
+    /// Shutdown: close all connections without an open request, even in the middle of a message.
     CloseConnections,
-    /// While shutting down: the last instant to end at.
+    /// Shutdown: the latest time to end the program.
     Exit,
 }
 
 type NodeEngine = Engine<Policy, RequestWork, ConnectionHandle, TimerKind>;
 
-/// What the event loop holds.
+/// The event loop and its state.
 pub struct EventLoop {
     config: Config,
     clock: Clock,
@@ -62,42 +64,42 @@
     wakeup: Wakeup,
     shutdown: ShutdownProgress,
     counters: Arc<Counters>,
-    /// Where coordinators are named.
+    /// `None` if the configuration has no coordinators.
     coordination: Option<Coordination>,
 }
 
-/// The other parts, as the event loop reaches them.
+/// The handles through which the event loop reaches the other components.
 pub struct EventLoopParts {
-    /// Wakes the event loop.
+    /// Schedules the wakeups of the event loop.
     pub timer: Timer,
-    /// Messages to the event loop itself.
+    /// Sends messages to the event loop itself.
     pub event_loop: Sender<Message>,
-    /// Health reports to the control plane.
+    /// Reports the node's health to the control plane.
     pub health_reporter: HealthReporter,
-    /// Commands to the executor.
+    /// Sends commands to the executor.
     pub executor: Arc<ExecutorHandle>,
-    /// Downstream calls.
+    /// Makes downstream calls.
     pub downstream: Arc<DownstreamClient>,
-    /// Connections from clients.
+    /// Holds the client connections.
     pub listener: Arc<Listener>,
-    /// What goes with responses.
+    /// The state that responses and health checks advertise.
     pub advertised: Arc<AdvertisedState>,
-    /// The counters.
+    /// The counters of the node.
     pub counters: Arc<Counters>,
-    /// This node's part in what the fleet has together, where coordinators are named.
+    /// Leases shared budgets from the coordinators; `None` if the configuration has no coordinators.
     pub coordination: Option<Coordination>,
 }
 
-/// Wakes the event loop when a timer expires.
+/// Wakes the event loop with a message when its next timer expires.
 struct Wakeup {
     timer: Timer,
     event_loop: Sender<Message>,
-    /// The earliest wakeup that is scheduled.
+    /// The time of the earliest scheduled wakeup.
     scheduled_at: Option<Instant>,
 }
 
 impl Wakeup {
-    /// Schedules a wakeup, unless an earlier one is scheduled anyway.
+    /// Schedules a wakeup, unless one is already scheduled for the same time or earlier.
     fn schedule(&mut self, at: Instant, now: Instant) {
         if self.scheduled_at.is_some_and(|scheduled| scheduled <= at) {
             return;
@@ -105,13 +107,13 @@
         self.scheduled_at = Some(at);
         let event_loop = self.event_loop.clone();
         self.timer.run_after(duration(at - now), move || {
-            // The receiver is gone only where the program ends.
+            // Sending fails only after the event loop has ended, and then the program ends too.
             let _ = event_loop.send(Message::TimerFired);
         });
     }
 
-    /// Forgets the scheduled wakeup if it is past.
-    fn expire(&mut self, now: Instant) {
+    /// Clears the scheduled wakeup if its time has passed.
+    fn clear_expired(&mut self, now: Instant) {
         self.scheduled_at = self.scheduled_at.filter(|at| *at > now);
     }
 }
@@ -125,11 +127,11 @@
 }
 
 impl EventLoop {
-    /// An event loop that waits for the executor to come up.
+    /// Creates an event loop. It admits no requests before the executor has reported that it is up.
     pub fn new(config: Config, parts: EventLoopParts) -> Self {
         let mut engine = Engine::new(config.resource_limits().retained_result_bytes);
         engine.set_timer(Instant::default(), TimerKind::CloseExpired);
-        // The codec accepts nothing that arrived longer ago.
+        // The HTTP codec rejects requests that arrived earlier than this.
         let max_deadline_ms = RequestSchema::new(&config.backend).max_deadline_ms;
         engine.set_max_receive_delay(Span::from_millis(max_deadline_ms));
         let classes = config.backend.class_names.clone();
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Runs until the program is to end.
+    /// Runs until the shutdown is complete.
     pub fn run(&mut self, messages: &Receiver<Message>) {
         let mut batch = Vec::new();
         loop {
@@ -160,7 +162,7 @@
             batch.push(first);
             batch.extend(messages.try_iter());
             let now = self.clock.now();
-            self.wakeup.expire(now);
+            self.wakeup.clear_expired(now);
             for message in batch.drain(..) {
                 self.handle(now, message);
             }
@@ -184,7 +186,7 @@
         }
     }
 
-    /// Schedules a wakeup for the next timer, of the engine or of coordination.
+    /// Schedules a wakeup for the engine's next timer or the next deadline of coordination, whichever is earlier.
     fn schedule_wakeup(&mut self) {
         let coordination_timer = self
             .coordination
@@ -227,15 +229,15 @@
                 self.engine.set_timer(next, TimerKind::CloseExpired);
             }
             TimerKind::CloseListener => self.close_listener(),
-            // Only wakes the event loop, which then finds that it is finished.
+            // No action: the iteration that handles this timer checks whether the shutdown is finished.
             TimerKind::ClosedConnectionsSettled => {}
             TimerKind::CloseConnections => self.close_connections(),
             TimerKind::Exit => self.exit_or_postpone(now),
         }
     }
 
-    /// After a failure of our own: every open request is answered that it failed, those that are still on their way
-    /// here too, and nothing more is accepted.
+    /// Ends service after a panic of the event loop. Answers every open request with a failure, including those that
+    /// were read but not yet submitted to the engine, and lets connections close after their response.
     pub fn fail_all(&mut self) {
         self.responder.announce_health(false);
         self.responder.advertised.set_draining();
--- a/crates/lynxtally-node/src/event_loop/reload.rs
+++ b/crates/lynxtally-node/src/event_loop/reload.rs
@@ -1,19 +1,22 @@
-//! A configuration that was read anew.
+//! Applies a reloaded configuration to the running node.
 
 use super::EventLoop;
 use crate::config::Config;
 use tracing::{info, warn};
 
 impl EventLoop {
-    /// Takes over what can change in a running program: the addresses of the other parts, and the time until the
-    /// process is killed after SIGTERM. Runs, requests and counters go on.
+    /// Applies the keys that can change in a running program: the addresses of the executor, the dependency and the
+    /// control plane, and the shutdown timeout. Open requests, runs and counters are not affected.
     pub(super) fn reload(&mut self, newer: &Config) {
         let Config { executor, downstream, control_plane, .. } = *newer;
         let downstream_text = downstream.map_or_else(|| "none".to_owned(), |address| address.to_string());
         info!(%executor, downstream = downstream_text, %control_plane, "configuration reloaded");
         let fixed_keys = self.config.changed_fixed_keys(newer);
         if !fixed_keys.is_empty() {
-            warn!(keys = fixed_keys.join(", "), "changed keys that take effect only at the next start");
+            warn!(
+                keys = fixed_keys.join(", "),
+                "changed configuration keys take effect only after a restart"
+            );
         }
         if self.config.executor != executor {
             self.executor.set_executor_address(executor);
--- a/crates/lynxtally-node/src/event_loop/requests.rs
+++ b/crates/lynxtally-node/src/event_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that were read, and callers that no longer wait.
+//! Submits received requests to the engine and handles clients that disconnect.
 
 use super::executor::RequestWork;
 use super::EventLoop;
@@ -26,7 +26,7 @@
             client = request.client,
             is_retry = request.is_retry,
             receive_delay_ms = incoming.receive_delay.micros() / 1000,
-            "request read"
+            "submitting a request to the engine"
         );
         let id = request.id.clone();
         let work = RequestWork {
@@ -41,15 +41,20 @@
         }
     }
 
-    /// Answers a request that the engine did not accept.
+    /// Answers a request that the engine rejected.
     ///
-    /// "Rejected" promises that the request was not executed. That is true before the executor is up. Under an id that
-    /// is in use, this request can't be told from the one that has it, which may run: for a request with effects, the
-    /// response must not promise what could be taken for the other's.
+    /// The response `Rejected` guarantees that the request was not executed. The guarantee holds if the executor is
+    /// not up yet. If the id is in use, the client can't distinguish this request from the open one with the same id,
+    /// which may be running. A request with effects is then answered with `Failed`, because the client could apply
+    /// the guarantee to the open request.
     fn respond_to_rejection(&self, id: &str, effect: Effect, rejection: &Rejection<ConnectionHandle>) {
         let reason = rejection.reason;
         if self.counters.requests_refused.get() == 0 {
-            warn!(id, ?reason, "a request was not accepted; later ones are only counted");
+            warn!(
+                id,
+                ?reason,
+                "engine rejected a request on submission; further ones are counted, not logged"
+            );
         }
         self.counters.requests_refused.increment();
         let was_not_executed = match reason {
@@ -67,7 +72,7 @@
         rejection.reply_to.push(ConnectionCommand::Respond(response));
     }
 
-    /// The connection of a request ended so that its caller no longer waits.
+    /// Tells the engine that the client of an open request no longer waits for the response.
     pub(super) fn client_disconnected(
         &mut self,
         now: Instant,
@@ -76,16 +81,16 @@
         reason: CloseReason,
     ) {
         let Some(request) = self.engine.find(id) else { return };
-        // A request on another connection may have the same id.
+        // The open request with this id may belong to another connection.
         if self.engine.caller_gone(now, request, |own| Arc::ptr_eq(own, connection)) {
-            debug!(id, %reason, "caller gone");
+            debug!(id, %reason, "client disconnected before its response");
             self.counters.client_disconnected.increment();
             self.counters.in_flight.decrement();
         }
     }
 }
 
-/// A request in the engine's terms.
+/// Converts a request to the form that the engine takes.
 fn incoming_request(now: Instant, request: &ReceivedRequest, identity: RequestIdentity) -> IncomingRequest {
     IncomingRequest {
         class: request.class,
--- a/crates/lynxtally-node/src/event_loop/responder.rs
+++ b/crates/lynxtally-node/src/event_loop/responder.rs
@@ -1,4 +1,4 @@
-//! Gives final responses to the clients' connections, and announces the node's state.
+//! The engine's responder: sends final responses to the client connections and announces the node's state.
 
 use crate::advertised_state::AdvertisedState;
 use crate::counters::Counters;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use tracing::info;
 
-/// The clients' connections, and the control plane that tells clients of this node.
+/// Delivers the engine's responses, and announces health and capacity to clients and to the control plane.
 pub(super) struct NodeResponder {
     pub listener: Arc<Listener>,
     pub advertised: Arc<AdvertisedState>,
@@ -29,13 +29,13 @@
         Self { listener, advertised, health_reporter, counters }
     }
 
-    /// Tells health checks and the control plane whether this node is healthy.
+    /// Sets the health that health checks return and that is reported to the control plane.
     pub fn announce_health(&mut self, is_healthy: bool) {
         self.advertised.set_healthy(is_healthy);
         self.health_reporter.set_healthy(is_healthy);
     }
 
-    /// The control plane is at this address from now on.
+    /// Sends health reports to this address from now on.
     pub fn set_control_plane_address(&self, address: SocketAddr) {
         self.health_reporter.set_address(address);
     }
--- a/crates/lynxtally-node/src/executor_link/mod.rs
+++ b/crates/lynxtally-node/src/executor_link/mod.rs
@@ -1,12 +1,12 @@
-//! The link to the executor, which runs the requests: one connection, made anew whenever it breaks or the executor
-//! moves.
+//! The link to the executor, the process that runs the requests. A link is one connection; a new one is made whenever
+//! it breaks or the executor's address changes.
 //!
-//! The failure that the numbers of links and events guard against: a link breaks, and nobody knows which commands the
-//! executor had read and which events were lost. Lost events would leave requests without a response; a command
-//! written twice could be taken for another, as a response to a call for the response to the run's next call. So each link
-//! begins by having the executor report again all events after the last one read. Commands from before that are
-//! dropped, and only when all has been reported ([`ExecutorEvent::CaughtUp`]) the event loop sends those again whose
-//! effect is still unknown.
+//! When a link breaks, the node doesn't know which commands the executor has read, and which of its events were lost.
+//! A lost event would leave a request without a response. A command that is sent twice could be mistaken for another
+//! one: the response to a call could be taken for the response to the run's next call. Links and events are numbered
+//! to prevent both. Each link starts with the replay of all events after the last one that the node read. Commands
+//! for an earlier link are dropped. After the replay ([`ExecutorEvent::CaughtUp`]), the event loop resends the
+//! commands that are still unconfirmed.
 
 mod protocol;
 
@@ -25,42 +25,42 @@
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// How long one attempt to connect may take.
+/// The timeout of one attempt to connect to the executor.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause before the next attempt, unless the executor has moved.
+/// The pause before the next attempt to connect. There is no pause if the executor's address has changed.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 
-/// What the link is told.
+/// A message from the event loop to the link.
 enum LinkMessage {
-    /// Write this command.
+    /// Write this command to the executor.
     Send(Command),
-    /// What follows is meant for the link with this number, what came before for an earlier one.
+    /// The following commands belong to the link with this number, and all previous commands to earlier links.
     BeginLink(u64),
 }
 
-/// The event loop's side of the link: commands wait here, and the executor's address is set here.
+/// The event loop's handle to the link. It queues commands and sets the executor's address.
 pub struct ExecutorHandle {
     mailbox: Mailbox<LinkMessage>,
     address: Mutex<SocketAddr>,
 }
 
 impl ExecutorHandle {
-    /// A handle for an executor at this address, without commands.
+    /// Creates a handle for an executor at this address.
     pub fn new(address: SocketAddr) -> Self {
         Self { mailbox: Mailbox::default(), address: Mutex::new(address) }
     }
 
-    /// Has a command written on the present link. Where that breaks first, the command is dropped.
+    /// Queues a command for the current link. The command is dropped if the link breaks before it is written.
     pub fn send(&self, command: Command) {
         self.mailbox.push(LinkMessage::Send(command));
     }
 
-    /// From now on commands are meant for the link with this number.
+    /// Assigns the following commands to the link with this number.
     pub fn begin_link(&self, link: u64) {
         self.mailbox.push(LinkMessage::BeginLink(link));
     }
 
-    /// The executor is at this address from now on.
+    /// Changes the executor's address, which closes the current link.
     pub fn set_address(&self, address: SocketAddr) {
         *lock(&self.address) = address;
         self.mailbox.wake();
@@ -71,20 +71,20 @@
     }
 }
 
-/// The coroutine that holds the link.
+/// The coroutine that maintains the link.
 pub struct ExecutorLink<'a> {
-    /// The event loop's side.
+    /// The handle with the queued commands and the address.
     pub handle: &'a ExecutorHandle,
-    /// Where events go.
+    /// Sends events to the event loop.
     pub event_loop: &'a Sender<Message>,
-    /// For the pause between attempts to connect.
+    /// Provides the pause between attempts to connect.
     pub timer: &'a Timer,
-    /// Where links are counted.
+    /// The counters of links.
     pub counters: &'a Counters,
 }
 
 impl ExecutorLink<'_> {
-    /// Holds a link for as long as the program runs.
+    /// Connects and reconnects to the executor until the event loop ends.
     pub fn run(&self) {
         let mut last_event = 0;
         let mut link = 0;
@@ -101,14 +101,14 @@
                     if reason == CloseReason::Cancelled {
                         return;
                     }
-                    warn!(%reason, events_read = last_event, "connection to the executor lost");
+                    warn!(%reason, %address, events_read = last_event, "connection to the executor lost");
                     if self.event_loop.send(Message::ExecutorLinkLost).is_err() {
                         return;
                     }
                 }
                 Err(reason) => {
                     self.counters.executor_links_closed.increment(reason);
-                    debug!(%reason, "no connection to the executor");
+                    debug!(%reason, %address, "failed to connect to the executor");
                 }
             }
             if self.handle.address() == address {
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Carries one link until it ends. `last_event` is the number of the last event read on any link.
+    /// Serves one link until it ends. `last_event` is the number of the last event read on any link.
     fn serve(
         &self,
         mut connection: Connection,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Hands the events that were read to the event loop, but for those that an earlier link reported already.
+    /// Forwards the events that were read to the event loop, except those that an earlier link already reported.
     fn forward_events(
         &self,
         reader: &mut EventReader,
@@ -176,8 +176,8 @@
         Ok(())
     }
 
-    /// Writes the commands meant for this link, and drops those meant for an earlier one: the event loop sends them
-    /// again if their effect is unknown.
+    /// Writes the queued commands for this link and drops those for earlier links. The event loop resends dropped
+    /// commands that are still unconfirmed.
     fn write_commands(&self, connection: &mut Connection, link: u64, accepts_commands: &mut bool) {
         while let Some(message) = self.handle.mailbox.take() {
             match message {
--- a/crates/lynxtally-node/src/executor_link/protocol.rs
+++ b/crates/lynxtally-node/src/executor_link/protocol.rs
@@ -1,55 +1,54 @@
-//! The executor's line protocol. Its names (SCHED, REAP, SYSINFO, ...) end here.
+//! The codec of the executor's line protocol. The protocol's names (SCHED, REAP, SYSINFO, ...) appear only here.
 
 use crate::messages::{CommandName, ExecutorEvent, RunStatus};
 use lynxtally_net::close_reason::CloseReason;
 use std::io::Write;
 use std::str::FromStr;
 
-/// Room for one line, in bytes.
+/// The maximum length of a line, except for log lines.
 const MAX_LINE_BYTES: usize = 1024;
-/// Room for one result, one body of a call, or one line for the log, in bytes.
+/// The maximum size of the result of a run, of the body of a call, and of a log line.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 const LINE_END: &[u8] = b"\r\n";
-/// Begins the tag of gauges for the scheduler; the number of the request for them follows.
+/// The prefix of the tag for gauges that the scheduler uses. The number of the `ReportGauges` command follows.
 const GAUGES_TAG: &str = "gauges-";
-/// Begins the tag of gauges that mark the end of what a new link reports of the time before it; the link's number
-/// follows.
+/// The prefix of the tag for gauges that only mark the end of the replay on a new link. The link's number follows.
 const CATCH_UP_TAG: &str = "sync-";
 
-/// What the executor is told to do.
+/// A command to the executor.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// The first on a link: report all events after the one with this number.
+    /// Replay all events after the one with this number. This is the first command on a link.
     ReplayAfter(u64),
     /// Start a run.
     Start {
         /// The request's id.
         id: String,
-        /// The name of its class.
+        /// The name of the request class.
         class: String,
-        /// Its body, as it came.
+        /// The request's body, unchanged.
         body: Vec<u8>,
     },
     /// Stop the run of the request with this id.
     Stop(String),
     /// Resume the stopped run of the request with this id.
     Resume(String),
-    /// The response to the call that a run waits for.
+    /// Give a run the response to the call that it waits for.
     CallResponse {
         /// The request's id.
         id: String,
-        /// The response, unchanged.
+        /// The body of the response, unchanged.
         body: Vec<u8>,
     },
-    /// Report the gauges, under this number. The executor reads commands in order: once these gauges are reported, it
-    /// has read every command that was written before.
+    /// Report the gauges under this number. As the executor reads commands in order, the report also shows that it
+    /// has read every command before this one.
     ReportGauges(u64),
-    /// Report when all events from before this command have been reported, for the link with this number.
+    /// Report that all events that precede this command have been sent on the link with this number.
     ReportCaughtUp(u64),
 }
 
 impl Command {
-    /// Writes it as the executor reads it.
+    /// Encodes the command and appends it to `out`.
     pub fn write(&self, out: &mut Vec<u8>) {
         match self {
             Self::ReplayAfter(last_event) => write_line(out, format_args!("OPEN {last_event}")),
@@ -70,7 +69,7 @@
 }
 
 fn write_line(out: &mut Vec<u8>, text: std::fmt::Arguments) {
-    // Writing to a vector can't fail.
+    // Writing to a vector never fails.
     let _ = write!(out, "{text}");
     out.extend_from_slice(LINE_END);
 }
@@ -80,47 +79,47 @@
     out.extend_from_slice(LINE_END);
 }
 
-/// An event, with its number if it has one.
+/// An event with its number, if it has one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NumberedEvent {
-    /// Events of runs are numbered, and so are lines for the log; each is reported again on a new link unless its
-    /// number was read.
+    /// The number of an event of a run or of a log line. A new link replays the numbered events that the node has not
+    /// read. Other events have no number and are not replayed.
     pub number: Option<u64>,
     /// The event.
     pub event: ExecutorEvent,
 }
 
-/// Finds the events in bytes from the executor that were split anywhere.
+/// Extracts complete events from the byte stream of the executor.
 #[derive(Debug, Default)]
 pub struct EventReader {
     buffer: Vec<u8>,
-    /// How much of the buffer has been parsed.
+    /// The number of parsed bytes at the start of the buffer.
     parsed: usize,
 }
 
 impl EventReader {
-    /// How much is buffered, in bytes: one event whole.
+    /// The buffer size: the size of the largest event, with the line ends of its line and its body.
     pub const BUFFER_BYTES: usize = MAX_LINE_BYTES + MAX_BODY_BYTES + 4;
 
-    /// Whether all that was read has been parsed.
+    /// Whether all bytes in the buffer have been parsed.
     pub fn is_empty(&self) -> bool {
         self.parsed == self.buffer.len()
     }
 
-    /// The buffer, to append what was read. What was parsed is dropped here, once for all events of one read: dropped
-    /// with each event, a large read would be moved as often as it has events.
+    /// Returns the buffer, to append bytes that were read. The parsed bytes are removed here, once for each read.
+    /// Removing them after each event would move the rest of a large read as often as it has events.
     pub fn buffer(&mut self) -> &mut Vec<u8> {
         self.buffer.drain(..std::mem::take(&mut self.parsed));
         &mut self.buffer
     }
 
-    /// The next complete event, if there is one.
+    /// Returns the next event, or `None` while it is incomplete.
     ///
     /// # Errors
-    /// What comes next is no event; the link has to be closed.
+    /// Returns the close reason if the next bytes are not a valid event. The link must then be closed.
     pub fn next_event(&mut self) -> Result<Option<NumberedEvent>, CloseReason> {
         let bytes = &self.buffer[self.parsed..];
-        // A line for the log means nothing, however long it is and whatever is in it.
+        // A log line has no meaning for the node, so it may be longer and have any content.
         let max_line = if bytes.starts_with(b"DMESG ") { MAX_BODY_BYTES } else { MAX_LINE_BYTES };
         let Some(line_length) = bytes.windows(LINE_END.len()).position(|pair| pair == LINE_END) else {
             return if bytes.len() > max_line { Err(CloseReason::Malformed) } else { Ok(None) };
@@ -138,11 +137,11 @@
 /// The body that follows an event's line.
 struct EventBody<'a> {
     bytes: &'a [u8],
-    /// Its length with the end of its line, zero where there is no body.
+    /// The length of the body including its line end; zero if the event has no body.
     framed_length: usize,
 }
 
-/// The body of the event whose line has these words, or none where it is not complete yet.
+/// Returns the body of the event whose line has these words, or `None` while the body is incomplete.
 fn split_body<'a>(words: &[&str], after_line: &'a [u8]) -> Result<Option<EventBody<'a>>, CloseReason> {
     if !matches!(words.first(), Some(&("REAP" | "IOREQ"))) {
         return Ok(Some(EventBody { bytes: &[], framed_length: 0 }));
@@ -217,7 +216,7 @@
     }
 }
 
-/// A figure that is neither negative nor infinite.
+/// Parses a number that is finite and not negative.
 fn non_negative(word: &str) -> Result<f64, CloseReason> {
     let value: f64 = parse(Some(word))?;
     let is_valid = value >= 0.0 && value.is_finite();
--- a/crates/lynxtally-node/src/health_reports.rs
+++ b/crates/lynxtally-node/src/health_reports.rs
@@ -1,4 +1,4 @@
-//! Health reports to the control plane, from which callers learn that this node may be used.
+//! Periodic health reports to the control plane, which tells clients which nodes are healthy.
 
 use crate::counters::Counters;
 use lynxtally_net::timer::Timer;
@@ -8,38 +8,38 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// The control plane lists a node for ten of these intervals after its last report: a healthy node stays listed though
-/// most of its reports are lost. A report costs one datagram.
+/// The interval between reports. The control plane lists a node for ten intervals after its last report, so that a
+/// healthy node stays listed even if most of its reports are lost. Each report is one datagram.
 const REPORT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What the reporting coroutine is told.
+/// A message to the reporting coroutine.
 #[derive(Clone, Copy, Debug)]
 pub enum ReporterMessage {
-    /// The node is healthy, or is not, from now on.
+    /// The health of the node changed; true means healthy.
     HealthChanged(bool),
-    /// The control plane has this address from now on.
+    /// The address of the control plane changed.
     AddressChanged(SocketAddr),
-    /// It is time for the next report.
+    /// The next periodic report is due.
     ReportDue,
 }
 
-/// The reporting coroutine.
+/// The coroutine that sends the reports.
 pub struct HealthReports<'a> {
     /// The node's name.
     pub name: &'a str,
-    /// Where the control plane is.
+    /// The address of the control plane.
     pub address: SocketAddr,
-    /// For its own message that the next report is due.
+    /// Sends `ReportDue` messages to this coroutine itself.
     pub sender: &'a Sender<ReporterMessage>,
-    /// Sends that message.
+    /// Schedules the `ReportDue` messages.
     pub timer: &'a Timer,
-    /// Where reports are counted.
+    /// The counters of sent and failed reports.
     pub counters: &'a Counters,
 }
 
 impl HealthReports<'_> {
-    /// Reports each change of health, and the same again at each interval. Reports that can't be sent, as while the
-    /// control plane is down, are counted and do no harm.
+    /// Reports each change of health at once, and repeats the last report at each interval. A report that can't be
+    /// sent, for example because the control plane is down, is counted and not retried before the next interval.
     pub fn run(mut self, messages: &Receiver<ReporterMessage>) {
         let mut socket: Option<UdpSocket> = None;
         let mut health = None;
@@ -61,7 +61,7 @@
     fn schedule_next(&self) {
         let sender = self.sender.clone();
         self.timer.run_after(REPORT_INTERVAL, move || {
-            // The receiver is gone only where the program ends.
+            // Sending fails only after the reporting coroutine has ended, and then the program ends too.
             let _ = sender.send(ReporterMessage::ReportDue);
         });
     }
@@ -71,12 +71,12 @@
             Ok(_) => self.counters.health_reports.increment(),
             Err(error) => {
                 self.counters.health_reports_failed.increment();
-                debug!(%error, "health report not sent");
+                debug!(%error, control_plane = %self.address, "failed to send a health report to the control plane");
             }
         }
     }
 
-    /// Sends one report, as the control plane reads it: `lease NAME Ready` or `lease NAME NotReady`.
+    /// Sends one report. Its format is `lease NAME Ready` or `lease NAME NotReady`.
     fn send(&self, socket: &mut Option<UdpSocket>, is_healthy: bool) -> io::Result<usize> {
         let state = if is_healthy { "Ready" } else { "NotReady" };
         let text = format!("lease {} {state}", self.name);
@@ -96,29 +96,29 @@
     }
 }
 
-/// The event loop's side: passes changes of health on, and nothing that was passed on already.
+/// The event loop's handle to the reporting coroutine. It forwards health values only when they change.
 pub struct HealthReporter {
     messages: Sender<ReporterMessage>,
     last_reported: Option<bool>,
 }
 
 impl HealthReporter {
-    /// A reporter that has reported nothing yet.
+    /// Creates a reporter; its first health value counts as a change.
     pub fn new(messages: Sender<ReporterMessage>) -> Self {
         Self { messages, last_reported: None }
     }
 
-    /// Reports whether this node is healthy.
+    /// Sets the health of this node, and reports it if it changed.
     pub fn set_healthy(&mut self, is_healthy: bool) {
         if self.last_reported.replace(is_healthy) != Some(is_healthy) {
-            // The receiver is gone only where the program ends.
+            // Sending fails only after the reporting coroutine has ended, and then the program ends too.
             let _ = self.messages.send(ReporterMessage::HealthChanged(is_healthy));
         }
     }
 
-    /// Reports go to this address from now on.
+    /// Sends reports to this address from now on.
     pub fn set_address(&self, address: SocketAddr) {
-        // As above.
+        // Sending fails only after the reporting coroutine has ended, and then the program ends too.
         let _ = self.messages.send(ReporterMessage::AddressChanged(address));
     }
 }
--- a/crates/lynxtally-node/src/http/headers.rs
+++ b/crates/lynxtally-node/src/http/headers.rs
@@ -1,4 +1,4 @@
-//! The headers of the protocol, and the values that they may have.
+//! The protocol's headers, and the validation of their values.
 
 use super::{ParseError, ReceivedRequest, RequestSchema};
 use std::str::FromStr;
@@ -16,14 +16,14 @@
 const IDEMPOTENCY_KEY: &str = "X-Operation-Key";
 const NOT_EXECUTED: &str = "X-Untouched";
 
-/// Requests take less memory than this, in kilobytes.
+/// Requests that declare this much memory or more are rejected, in kilobytes.
 const MEMORY_LIMIT_KB: f64 = 2000.0;
-/// An idempotency key or subject is no longer than this.
+/// The maximum length of an idempotency key or a subject.
 const MAX_KEY_BYTES: usize = 64;
-/// How many hex digits an id has.
+/// The number of hex digits in a request id.
 const ID_DIGITS: usize = 16;
 
-/// The headers that are read: the framing already parsed, the others each as it stands.
+/// The headers of a message. The framing headers are parsed; the headers of a request are unparsed text.
 #[derive(Default)]
 pub(super) struct Headers<'a> {
     pub content_length: Option<usize>,
@@ -32,7 +32,7 @@
     request: RequestHeaders<'a>,
 }
 
-/// The headers of a request, each as it stands.
+/// The unparsed values of a request's headers.
 #[derive(Default)]
 struct RequestHeaders<'a> {
     id: Option<&'a str>,
@@ -49,7 +49,7 @@
 }
 
 impl<'a> RequestHeaders<'a> {
-    /// The header with this name, and where its value goes; none where it means nothing here.
+    /// Returns the canonical name of a header and the field for its value, or `None` if the header is ignored.
     fn slot(&mut self, name: &str) -> Option<(&'static str, &mut Option<&'a str>)> {
         let slots = [
             (ID, &mut self.id),
@@ -110,12 +110,12 @@
         if self.content_length.is_some() || !is_number {
             return Err(ParseError::InvalidLength);
         }
-        // Digits that make no number are too many.
+        // Parsing digits fails only on overflow, so the announced body is too large.
         self.content_length = Some(text.parse().map_err(|_| ParseError::BodyTooLarge)?);
         Ok(())
     }
 
-    /// The request of this class, with its headers checked.
+    /// Validates the headers and returns the request for the class with this name.
     pub(super) fn into_request(
         self,
         class: &str,
@@ -132,8 +132,8 @@
         let max_deadline_ms = schema.max_deadline_ms as f64;
         Ok(ReceivedRequest {
             id: headers.id.filter(is_id).ok_or(ParseError::InvalidHeader(ID))?.to_owned(),
-            // A request that came before anybody's deadline, or comes in the future, would teach the scheduler
-            // nonsense of how long requests lie unread.
+            // The scheduler learns from the arrival time how long requests wait unread. An arrival time in the
+            // future, or longer ago than any deadline allows, would corrupt that estimate.
             arrived_ms: checked(
                 arrived_ms,
                 arrived_ms.abs_diff(now_ms) <= schema.max_deadline_ms,
@@ -145,7 +145,7 @@
                 None => checked(None, schema.tenants.is_empty(), TENANT)?,
             },
             client: number(headers.client, CLIENT)?,
-            // Nobody waits longer than the longest deadline, and no work that takes longer is worth a longer guess.
+            // Both values are capped at the longest deadline of any class, since no client waits longer than that.
             deadline_ms: time_left_ms.map(|left| arrived_ms + left.min(max_deadline_ms) as u64),
             expected_work_ms: expected_work_ms
                 .map(|work| work.min(max_deadline_ms))
@@ -160,7 +160,8 @@
     }
 }
 
-/// A number in digits, with a point where fractions are meant: no signs, no exponents, nothing infinite.
+/// Parses a number of decimal digits with an optional decimal point. Signs, exponents, infinities and NaN are
+/// rejected.
 fn number<T: FromStr>(text: Option<&str>, name: &'static str) -> Result<T, ParseError> {
     let is_plain = |text: &&str| text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     let parsed = text.filter(is_plain).and_then(|text| text.parse().ok());
--- a/crates/lynxtally-node/src/http/mod.rs
+++ b/crates/lynxtally-node/src/http/mod.rs
@@ -1,5 +1,7 @@
-//! HTTP/1.1 as clients and the downstream dependency speak it: bytes in, typed values out. No socket is known here, and
-//! the names of the protocol's headers end here (and in [`crate::response`], for what is written to clients).
+//! The HTTP/1.1 codec for clients and the downstream dependency. It parses bytes into typed values and does no I/O.
+//!
+//! The header names of the protocol appear only in this module and in [`crate::response`], which writes the responses
+//! to clients.
 
 mod headers;
 mod parse_error;
@@ -10,61 +12,61 @@
 
 use headers::Headers;
 
-/// Room for a message's head, in bytes.
+/// The maximum size of a message's head.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Room for a request's body, in bytes.
+/// The maximum size of a request's body.
 pub const MAX_REQUEST_BODY_BYTES: usize = 2 * 1024;
-/// Room for the body of a response to a downstream call, in bytes.
+/// The maximum size of the body of a response to a downstream call.
 pub const MAX_CALL_RESPONSE_BODY_BYTES: usize = 64 * 1024;
-/// A head with more headers is too large.
+/// The maximum number of headers in a message.
 const MAX_HEADERS: usize = 64;
 
-/// What a client asks for.
+/// A parsed message from a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientMessage {
-    /// Whether this node is healthy.
+    /// The client asks whether this node is healthy.
     HealthCheck,
-    /// That a request be served.
+    /// The client sends a request to run.
     Request(Box<ReceivedRequest>),
 }
 
-/// A complete message.
+/// A complete message with its connection option.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Framed<T> {
-    /// What it says.
+    /// The parsed message.
     pub content: T,
-    /// Whether its sender closes the connection after this exchange.
+    /// Whether the sender closes the connection after this exchange.
     pub closes_connection: bool,
 }
 
 /// The response to a downstream call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CallResponse {
-    /// Its status.
+    /// The HTTP status.
     pub status: u16,
-    /// Whether it says that the call was not executed.
+    /// Whether the dependency declares, with a header, that it did not execute the call.
     pub not_executed: bool,
-    /// What goes to the executor.
+    /// The body, which is forwarded to the executor.
     pub body: Vec<u8>,
 }
 
-/// Finds the messages in bytes that were split anywhere.
+/// Extracts complete messages from a byte stream.
 #[derive(Debug, Default)]
 pub struct MessageReader {
-    /// What was read and not parsed yet. Readers of a connection append here.
+    /// The bytes that are not parsed yet. The owner of the connection appends what it reads.
     pub buffer: Vec<u8>,
 }
 
 impl MessageReader {
-    /// How much of what a client sends is buffered, in bytes: one message whole, and a bit of the next.
+    /// The buffer size for the bytes of a client: the size of the largest message.
     pub const CLIENT_BUFFER_BYTES: usize = MAX_HEAD_BYTES + MAX_REQUEST_BODY_BYTES;
-    /// The same for responses to downstream calls.
+    /// The buffer size for responses to downstream calls: the size of the largest response.
     pub const CALL_RESPONSE_BUFFER_BYTES: usize = MAX_HEAD_BYTES + MAX_CALL_RESPONSE_BODY_BYTES;
 
-    /// The next complete message from a client, if there is one; `now_ms` is the time of the Unix clock.
+    /// Returns the next message from a client, or `None` while it is incomplete. `now_ms` is the current Unix time.
     ///
     /// # Errors
-    /// Why the message can't be accepted. Nothing after it can be parsed.
+    /// Returns the reason if the message is not accepted. The bytes after such a message can't be parsed either.
     pub fn next_client_message(
         &mut self,
         schema: &RequestSchema,
@@ -104,16 +106,17 @@
         Ok(Some(Framed { content, closes_connection }))
     }
 
-    /// Some clients send empty lines before a message; they mean nothing.
+    /// Removes the empty lines that some clients send before a message.
     fn skip_empty_lines(&mut self) {
         let blank = self.buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
         self.buffer.drain(..blank);
     }
 
-    /// The next complete response to a downstream call, if there is one. Interim responses (1xx) are skipped.
+    /// Returns the next response to a downstream call, or `None` while it is incomplete. Interim responses (1xx) are
+    /// skipped.
     ///
     /// # Errors
-    /// Why the response can't be parsed. Nothing after it can be, either.
+    /// Returns the reason if the response can't be parsed. The bytes after it can't be parsed either.
     pub fn next_call_response(&mut self) -> Result<Option<Framed<CallResponse>>, ParseError> {
         loop {
             let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -121,7 +124,7 @@
             let parsed = head.parse(&self.buffer);
             let Some(body_start) = body_start(parsed, self.buffer.len())? else { return Ok(None) };
             match head.code {
-                // After a switch of protocols nothing here can be parsed.
+                // The bytes after 101 (Switching Protocols) are not HTTP/1.1.
                 Some(101) => return Err(ParseError::MalformedHead),
                 Some(100..=199) => drop(self.buffer.drain(..body_start)),
                 _ => return self.final_call_response(),
@@ -152,7 +155,7 @@
     }
 }
 
-/// Where the body starts, once the head is complete.
+/// Returns the offset of the body, or `None` while the head is incomplete.
 fn body_start(parsed: httparse::Result<usize>, buffered: usize) -> Result<Option<usize>, ParseError> {
     match parsed {
         Ok(httparse::Status::Complete(start)) if start <= MAX_HEAD_BYTES => Ok(Some(start)),
@@ -162,7 +165,7 @@
     }
 }
 
-/// Writes a downstream call for the request with this id.
+/// Writes the HTTP request of a downstream call for the request with this id.
 pub fn write_call(out: &mut Vec<u8>, id: &str, timeout_ms: u64, body: &[u8]) {
     let length = body.len();
     let head = format!(
--- a/crates/lynxtally-node/src/http/parse_error.rs
+++ b/crates/lynxtally-node/src/http/parse_error.rs
@@ -1,34 +1,34 @@
-//! Why a message can't be accepted.
+//! The reasons for which a message is not accepted.
 
 use std::fmt;
 
-/// Why a message can't be accepted.
+/// The reason for which a message is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ParseError {
-    /// Its head is malformed.
+    /// The head is malformed.
     MalformedHead,
-    /// Its length is missing, given twice or not a number.
+    /// The Content-Length header is missing, duplicate or not a number.
     InvalidLength,
-    /// The header with this name is missing, given twice or invalid.
+    /// The header with this name is missing, duplicate or invalid.
     InvalidHeader(&'static str),
-    /// No request class has this name.
+    /// The path names a request class that the settings don't have.
     UnknownClass,
-    /// No tenant has this name.
+    /// A header names a tenant that the settings don't have.
     UnknownTenant,
-    /// Nothing exists at this path.
+    /// The path does not exist.
     UnknownPath,
-    /// The path does not take this method.
+    /// The path does not support this method.
     MethodNotAllowed,
-    /// Its head is too large.
+    /// The head exceeds its maximum size or number of headers.
     HeadTooLarge,
-    /// Its body is too large.
+    /// The body exceeds its maximum size.
     BodyTooLarge,
-    /// Its body has an encoding that is not supported.
+    /// The body has a transfer encoding, and none is supported.
     UnsupportedEncoding,
 }
 
 impl ParseError {
-    /// The HTTP status that says so.
+    /// The HTTP status of the response to the message.
     pub fn status(self) -> u16 {
         match self {
             Self::MalformedHead
@@ -49,15 +49,15 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::MalformedHead => f.write_str("the head is malformed"),
-            Self::InvalidLength => f.write_str("the length is missing, given twice or not a number"),
-            Self::InvalidHeader(name) => write!(f, "`{name}` is missing, given twice or invalid"),
-            Self::UnknownClass => f.write_str("no request class has this name"),
-            Self::UnknownTenant => f.write_str("no tenant has this name"),
-            Self::UnknownPath => f.write_str("nothing exists at this path"),
-            Self::MethodNotAllowed => f.write_str("the path does not take this method"),
+            Self::InvalidLength => f.write_str("`Content-Length` is missing, duplicate or not a number"),
+            Self::InvalidHeader(name) => write!(f, "`{name}` is missing, duplicate or invalid"),
+            Self::UnknownClass => f.write_str("the request class in the path is unknown"),
+            Self::UnknownTenant => f.write_str("the tenant is unknown"),
+            Self::UnknownPath => f.write_str("the path is unknown"),
+            Self::MethodNotAllowed => f.write_str("the path does not support this method"),
             Self::HeadTooLarge => f.write_str("the head is too large"),
             Self::BodyTooLarge => f.write_str("the body is too large"),
-            Self::UnsupportedEncoding => f.write_str("the body's encoding is not supported"),
+            Self::UnsupportedEncoding => f.write_str("the body's transfer encoding is not supported"),
         }
     }
 }
--- a/crates/lynxtally-node/src/http/request.rs
+++ b/crates/lynxtally-node/src/http/request.rs
@@ -1,20 +1,20 @@
-//! A request as a client sent it, and the names that it is checked against.
+//! The request that a client sends, and the schema that it is validated against.
 
 use lynxtally_settings::BackendSettings;
 
-/// What a request is checked against.
+/// The names and limits that requests are validated against.
 #[derive(Clone, Debug, Default)]
 pub struct RequestSchema {
     /// The names of the request classes.
     pub classes: Vec<String>,
     /// The names of the tenants.
     pub tenants: Vec<String>,
-    /// The longest deadline of any class, in milliseconds: nobody waits for a request that arrived longer ago.
+    /// The longest deadline of any class, in milliseconds. No client waits for a request that arrived longer ago.
     pub max_deadline_ms: u64,
 }
 
 impl RequestSchema {
-    /// As the settings declare it.
+    /// Creates the schema from the settings.
     pub fn new(backend: &BackendSettings) -> Self {
         let longest = backend.settings.classes.iter().map(|class| class.deadline).max().unwrap_or_default();
         Self {
@@ -25,33 +25,33 @@
     }
 }
 
-/// A request as a client sent it.
+/// A validated request from a client.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReceivedRequest {
     /// The id of this attempt: 16 hex digits.
     pub id: String,
-    /// When it arrived at this machine, in Unix milliseconds.
+    /// The arrival time at this machine, in Unix milliseconds.
     pub arrived_ms: u64,
-    /// The index of its class.
+    /// The index of the request class.
     pub class: usize,
-    /// The index of its tenant.
+    /// The index of the tenant; `None` if the settings have no tenants.
     pub tenant: Option<usize>,
-    /// The client's number.
+    /// The number that identifies the client.
     pub client: u64,
-    /// When the client gives this attempt up, in Unix milliseconds, where it says so.
+    /// When the client abandons this attempt, in Unix milliseconds, if the client declares it.
     pub deadline_ms: Option<u64>,
-    /// The expected work on a standard core, in milliseconds, where the client says so.
+    /// The expected work on a standard core, in milliseconds, if the client declares it.
     pub expected_work_ms: Option<f64>,
-    /// Whether it is marked as a retry.
+    /// Whether the client marked the attempt as a retry.
     pub is_retry: bool,
-    /// Its memory while queued, in kilobytes.
+    /// The memory that the request takes while queued, in kilobytes.
     pub memory_kb: f64,
-    /// Its place among all requests, from 0 to under 1.
+    /// The rank of the request among all requests, from 0 up to but excluding 1.
     pub criticality: f64,
-    /// What a read is about.
+    /// The subject of a read. Reads with the same subject can share a response.
     pub subject: Option<String>,
-    /// The key by which the duplicates of a deduplicated request are recognized.
+    /// The key that identifies the duplicates of a deduplicated request.
     pub idempotency_key: Option<String>,
-    /// What the executor gets, as it came.
+    /// The body, which the executor gets unchanged.
     pub body: Vec<u8>,
 }
--- a/crates/lynxtally-node/src/idempotency.rs
+++ b/crates/lynxtally-node/src/idempotency.rs
@@ -1,24 +1,25 @@
-//! By which idempotency key duplicates of a request are recognized.
+//! Derives the idempotency key and the fingerprint by which the engine recognizes duplicate requests.
 
 use crate::http::ReceivedRequest;
 use lynxtally::{Effect, Span};
 use lynxtally_engine::{Fingerprint, IdempotencyKey};
 use sha2::{Digest, Sha256};
 
-/// What identifies a request among its duplicates. Without a key it is nobody's duplicate.
+/// The identity that a request shares with its duplicates. A request without a key has no duplicates.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestIdentity {
-    /// The key under which its result is retained.
+    /// The key under which the result is retained.
     pub key: Option<IdempotencyKey>,
-    /// What another request under that key must have in common with it to be its duplicate.
+    /// The fingerprint that another request with the same key must have to be a duplicate.
     pub fingerprint: Fingerprint,
 }
 
-/// The identity of a request whose class has this effect.
+/// Returns the identity of a request whose class has this effect.
 ///
-/// A deduplicated request is known by its tenant, the idempotency key that its caller chose, and its body: without the
-/// tenant and the body, whoever copies a key would be given what another's run made. An idempotent read is known by
-/// its subject alone, for all tenants and bodies, and only where responses are coalesced at all.
+/// A deduplicated request is identified by its tenant, its client's idempotency key and its body. Without the tenant
+/// and the body, a client that copies the key of another client would get the result of the other client's request.
+/// An idempotent read is identified by its subject alone, across tenants and bodies, and only if the settings enable
+/// response coalescing.
 pub fn request_identity(
     request: &ReceivedRequest,
     effect: Effect,
--- a/crates/lynxtally-node/src/lib.rs
+++ b/crates/lynxtally-node/src/lib.rs
@@ -1,9 +1,10 @@
-//! A node: the program that serves requests on real sockets as lynxtally decides.
+//! The implementation of `lynxtally-node`, a server process that admits, schedules and answers requests over TCP.
 //!
-//! The parts run side by side and send each other [`messages`]. The [`event_loop`] alone decides: it holds the
-//! scheduler and the open requests. The [`listener`] reads requests from clients and writes their responses, the
-//! [`executor_link`] has them run, [`downstream`] makes their calls, [`health_reports`] tells the control plane that
-//! this node may be used, and [`coordination`] has its part in what all nodes share. [`node`] starts all of them.
+//! The components run concurrently, as coroutines or threads, and communicate through [`messages`]. Only the
+//! [`event_loop`] makes decisions: it owns the scheduler and the open requests. The [`listener`] reads requests from
+//! clients and writes the responses, the [`executor_link`] sends the requests to the executor, [`downstream`] makes
+//! calls to the dependency on their behalf, [`health_reports`] reports the health of this node to the control plane,
+//! and [`coordination`] leases budgets that several nodes share. [`node`] starts all components.
 
 pub mod advertised_state;
 pub mod config;
--- a/crates/lynxtally-node/src/listener/accept_loop.rs
+++ b/crates/lynxtally-node/src/listener/accept_loop.rs
@@ -1,4 +1,4 @@
-//! The accept loop: connections are accepted eagerly until the listener is closed.
+//! The accept loop, which accepts connections as soon as possible until the listener is closed.
 
 use super::connection::ClientConnection;
 use super::table::ConnectionSlot;
@@ -17,28 +17,31 @@
 use std::time::Duration;
 use tracing::{debug, warn};
 
+/// Stack size of a client connection's coroutine.
 const STACK_WORDS: usize = 0x2000;
-/// After so many connections accepted in one go the others run.
+/// After this many consecutive accepts, the loop pauses so that other coroutines run.
 const MAX_ACCEPTS_IN_A_ROW: u32 = 16;
-/// The pause for evicted connections to close: they do as soon as they run, or after a moment of reading on.
+/// How long the accept loop waits for evicted connections to close. They close when their coroutines run next, or
+/// shortly after if they linger.
 const EVICTION_PAUSE: Duration = Duration::from_millis(5);
 
 impl Listener {
-    /// Accepts connections until [`Listener::close`], then reports that the socket is closed.
+    /// Accepts connections until [`Listener::close`], then sends [`Message::ListenerClosed`].
     ///
-    /// While closing, what waits in the system's queue is still accepted: the system has accepted those connections,
-    /// so requests on them count as read, and closing the socket over them would reset them. Only when the queue is
-    /// empty, new connections are ignored; those whose handshake was under way get one more pause to arrive.
+    /// While closing, the loop still accepts the connections in the kernel's accept queue. Their handshakes are
+    /// complete, so their clients may have sent requests, and closing the socket would reset them. When the queue is
+    /// empty, a packet filter drops new connection attempts. Connections whose handshake had begun by then get one
+    /// more [`ACCEPT_RETRY_PAUSE`] to reach the queue.
     pub fn accept(self: &Arc<Self>, socket: TcpListener) {
         let socket = match CoIo::new(socket) {
             Ok(socket) => socket,
-            Err(error) => return warn!(%error, "the listener can't be registered with the event loop"),
+            Err(error) => return warn!(%error, "failed to register the listening socket for I/O"),
         };
         *lock(&self.waker) = Some(socket.waker());
         let mut accepted_in_a_row = 0;
         let mut ignores_new = false;
         loop {
-            // Read before the look at the queue: what waits by then is still accepted.
+            // The flag is read before `accept`, so that every connection in the queue at that time is still accepted.
             let closing = self.closing.load(Ordering::Acquire);
             if let Some(pause) = self.pause_for_slot().filter(|_| !closing) {
                 self.parts.timer.sleep(pause);
@@ -58,21 +61,21 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock && ignores_new => break,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     if let Err(error) = ignore_new_connections(socket.inner()) {
-                        debug!(%error, "connections may begin until the listener is closed");
+                        debug!(%error, "failed to filter out new connections; late ones may be reset");
                     }
                     ignores_new = true;
                     self.parts.timer.sleep(ACCEPT_RETRY_PAUSE);
                 }
-                // Also while closing: only the end of the program gives up what waits in the queue.
+                // The loop continues even while closing, because ending it would reset the connections in the queue.
                 Err(error) => self.accept_failed(&error),
             }
         }
         drop(socket);
-        // The event loop is gone only where the program ends.
+        // Sending fails only after the event loop has ended, and then the program ends too.
         let _ = self.parts.event_loop.send(Message::ListenerClosed);
     }
 
-    /// How long to wait for room in the table, where there is none.
+    /// Makes room in the table for one connection. Returns how long to wait if there is none yet.
     fn pause_for_slot(&self) -> Option<Duration> {
         match lock(&self.table).make_room() {
             ConnectionSlot::Available => None,
@@ -81,23 +84,24 @@
         }
     }
 
-    /// There is no descriptor left, most likely, although the table has room.
+    /// Handles a failed `accept`. The most likely cause is that no descriptor is left although the table is not full,
+    /// so an existing connection is evicted.
     fn accept_failed(&self, error: &io::Error) {
         if self.parts.counters.accepts_failed.get() == 0 {
-            warn!(%error, "a connection could not be accepted; later ones are only counted");
+            warn!(%error, "failed to accept a client connection; further failures are counted, not logged");
         }
         self.parts.counters.accepts_failed.increment();
         lock(&self.table).evict_one();
         self.parts.timer.sleep(ACCEPT_RETRY_PAUSE);
     }
 
-    /// Starts the coroutine of a connection.
+    /// Starts the coroutine for a client connection.
     fn serve(self: &Arc<Self>, stream: TcpStream) {
         self.parts.counters.connections.increment();
         let connection = match Connection::new(stream) {
             Ok(connection) => connection,
             Err(error) => {
-                debug!(%error, "a connection broke as it was accepted");
+                debug!(%error, "client connection broke while it was accepted");
                 return self.parts.counters.connections_closed.increment(CloseReason::Reset);
             }
         };
@@ -108,7 +112,7 @@
         let serve = move || ClientConnection::new(&listener, &handle, number).run(connection);
         let listener = self.clone();
         let on_panic = move |panic: Panic| {
-            warn!(%panic, "a connection's coroutine failed while closing");
+            warn!(connection = number, %panic, "coroutine of a client connection panicked while closing it");
             lock(&listener.table).remove(number);
         };
         if coroutine::spawn(STACK_WORDS, serve, on_panic).is_err() {
--- a/crates/lynxtally-node/src/listener/connection.rs
+++ b/crates/lynxtally-node/src/listener/connection.rs
@@ -1,4 +1,4 @@
-//! One connection from a client: read eagerly, one request at a time.
+//! One client connection. Its bytes are read as they arrive, and one request is open at a time.
 
 use super::table::{ConnectionState, MIN_TIME_IN_STATE};
 use super::Listener;
@@ -12,45 +12,46 @@
 use lynxtally_net::sync::lock;
 use tracing::{debug, warn};
 
-/// So many messages are handled in one go; then the other connections run.
+/// After this many consecutive messages, the connection pauses so that other connections are served.
 const MAX_MESSAGES_IN_A_ROW: usize = 64;
-/// How much is read at once of what nobody will look at, in bytes.
+/// How many bytes a lingering connection reads and discards at once.
 const LINGER_CHUNK_BYTES: usize = 16 * 1024;
 
-/// A request whose response is awaited.
+/// A request that waits for its response.
 struct OpenRequest {
     id: String,
     /// Whether the client closes the connection after this exchange.
     closes_connection: bool,
 }
 
-/// One connection while it is served.
+/// The state of a client connection's coroutine.
 pub(super) struct ClientConnection<'a> {
     listener: &'a Listener,
     handle: &'a ConnectionHandle,
     number: u64,
     open_request: Option<OpenRequest>,
-    /// Whether any response was written on it.
+    /// Whether any response was written on this connection.
     has_responded: bool,
     reader: MessageReader,
-    /// Whether the client may still send.
+    /// Whether the client can still send, that is, has not closed its sending side.
     read_open: bool,
-    /// Why it is to be closed, once its responses are written.
+    /// The reason to close the connection after its responses are written.
     pending_close: Option<CloseReason>,
-    /// Its state in the listener's table.
+    /// The connection's state in the listener's table.
     recorded_state: ConnectionState,
 }
 
-/// What one pass of [`ClientConnection::serve`] found.
+/// The observations of one pass through the loop in [`ClientConnection::serve`].
 struct Pass {
-    /// Whether responses of earlier passes are still not taken. Such a client is not read: one that only asks and never
-    /// reads would fill the memory.
+    /// Whether responses of earlier passes are not fully written. Nothing is read in this state, because the
+    /// responses to a client that sends messages without reading responses would fill the memory.
     is_backlogged: bool,
     /// Whether a message was handled or a response written.
     made_progress: bool,
+    /// The number of messages handled.
     messages: usize,
     read: ReadProgress,
-    /// The reason for which it was told to close, if it was.
+    /// The reason of a [`ConnectionCommand::Close`], if one arrived.
     close_command: Option<CloseReason>,
 }
 
@@ -69,10 +70,10 @@
         }
     }
 
-    /// Carries the connection from its first byte to its last.
+    /// Serves the connection until it ends, then lingers if necessary and removes it from the table.
     pub(super) fn run(mut self, mut connection: Connection) {
         let reason = catch_panic(|| self.serve(&mut connection)).unwrap_or_else(|panic| {
-            warn!(%panic, "a connection's coroutine failed");
+            warn!(connection = self.number, %panic, "coroutine of a client connection panicked");
             CloseReason::InternalError
         });
         self.reader = MessageReader::default();
@@ -88,23 +89,23 @@
         }
     }
 
-    /// The connection ended before the response to its open request.
+    /// Handles the end of the connection before the response to its open request.
     fn abandon_open_request(&mut self, connection: &mut Connection, reason: CloseReason) {
         let Some(OpenRequest { id, .. }) = self.open_request.take() else { return };
         if reason == CloseReason::InternalError {
             let context = ResponseContext { capacity: None, closes_connection: true };
             response::write(connection.output(), &FinalResponse::Failed, context);
-            // If it can't be written, the connection ends without it.
+            // A write error is ignored, as the connection ends in any case.
             let _ = connection.flush();
         }
         if reason.caller_gone() {
             let gone = Message::ClientDisconnected { id, connection: self.handle.clone(), reason };
-            // The event loop is gone only where the program ends.
+            // Sending fails only after the event loop has ended, and then the program ends too.
             let _ = self.listener.parts.event_loop.send(gone);
         }
     }
 
-    /// Reads on after the last response where that could be lost otherwise.
+    /// Lingers if closing the connection immediately could lose the last response.
     fn linger_after(&self, connection: &mut Connection, reason: CloseReason) {
         match reason {
             CloseReason::Completed
@@ -115,7 +116,8 @@
                 self.record_state(ConnectionState::Lingering);
                 self.linger(connection);
             }
-            // It keeps its state in the table, so that no other is evicted in its place meanwhile.
+            // The connection keeps its state in the table while it lingers. It then still counts as evicted, and no
+            // other connection is evicted in its place.
             CloseReason::Evicted if self.has_responded => {
                 let handle = self.handle.clone();
                 self.listener.parts.timer.run_after(MIN_TIME_IN_STATE, move || {
@@ -127,11 +129,11 @@
         }
     }
 
-    /// Closes the writing side and reads on.
+    /// Closes the sending side of the connection, then reads and discards what the client still sends.
     ///
-    /// The failure this guards against: a socket closed with unread bytes resets the connection, and the client may lose
-    /// the last response. Lingering is bounded in bytes here; in time by [`Listener::close_expired`], or, where others
-    /// need the room, by the command to close that an evicted connection gets.
+    /// Closing a socket with unread bytes resets the connection, and the client may lose the last response. This
+    /// method limits the discarded bytes. [`Listener::close_expired`] limits the time; an evicted connection gets a
+    /// second close command, which ends its lingering earlier.
     fn linger(&self, connection: &mut Connection) {
         if !connection.shutdown_write() {
             return;
@@ -154,10 +156,10 @@
         }
     }
 
-    /// Serves the connection until it is to be closed, and returns the reason.
+    /// Serves the connection until it must be closed, and returns the reason.
     ///
-    /// Each pass takes the commands, then reads what is there, then handles it, and only then considers a command to
-    /// close: a request that came before the close is served.
+    /// Each pass takes the commands, reads the available bytes, handles the messages in them and only then applies a
+    /// close command, so that a request that arrived before the close command is served.
     fn serve(&mut self, connection: &mut Connection) -> CloseReason {
         loop {
             let mut pass = self.take_commands(connection);
@@ -176,7 +178,7 @@
             if self.apply_close_command(connection, &pass) == CloseTiming::Immediate {
                 return CloseReason::Reset;
             }
-            // A client that sends no more and reads no more either is gone.
+            // A client that has closed both directions waits for no response.
             if !self.read_open && connection.is_broken() {
                 return CloseReason::Reset;
             }
@@ -187,7 +189,7 @@
             }
             self.update_state(connection, &pass);
             if self.reader.buffer.is_empty() {
-                // An idle connection needs no buffer.
+                // Frees the buffer while the connection is idle.
                 self.reader.buffer = Vec::new();
             }
             if pass.is_backlogged && connection.is_flushed() {
@@ -226,7 +228,7 @@
             && pass.messages < MAX_MESSAGES_IN_A_ROW
     }
 
-    /// Handles the messages that were read, up to the first request.
+    /// Handles the messages in the buffer, up to and including the first request.
     fn handle_messages(&mut self, connection: &mut Connection, pass: &mut Pass) {
         while self.can_handle_message(pass) {
             let now_ms = self.listener.clock.micros() / 1000;
@@ -244,7 +246,7 @@
     }
 
     fn reject_message(&mut self, error: ParseError, out: &mut Vec<u8>) {
-        debug!(%error, "a message can't be accepted");
+        debug!(connection = self.number, %error, "client message not accepted; closing the connection");
         self.listener.count_parse_error(error);
         response::write_parse_error(out, error.status(), self.listener.response_context(true));
         self.pending_close = Some(CloseReason::Malformed);
@@ -258,13 +260,14 @@
         }
     }
 
-    /// Follows a command to close, but only where nothing is under way, once all that came is read.
+    /// Applies a close command, unless a request is open or this pass handled a message or wrote a response.
     fn apply_close_command(&mut self, connection: &Connection, pass: &Pass) -> CloseTiming {
         let Some(reason) = pass.close_command else { return CloseTiming::Deferred };
         if self.open_request.is_some() || pass.made_progress {
             return CloseTiming::Deferred;
         }
-        // A client that does not take its response in time loses it. Before the program ends it may still take it.
+        // If the client has not read its last response, an eviction or a timeout discards the response. The close
+        // before the end of the program (`Completed`) lets the client finish reading.
         if !connection.is_flushed() && reason != CloseReason::Completed {
             return CloseTiming::Immediate;
         }
@@ -278,7 +281,8 @@
     fn update_state(&mut self, connection: &Connection, pass: &Pass) {
         let state = match self.recorded_state {
             _ if self.open_request.is_some() => ConnectionState::Serving,
-            // Bytes that complete no message yet give it no further time.
+            // A new connection stays `New` until its first message is complete, so that single bytes don't restart
+            // its timeout.
             ConnectionState::New if !pass.made_progress => ConnectionState::New,
             _ if !connection.is_flushed() || !self.reader.buffer.is_empty() => ConnectionState::Partial,
             _ => ConnectionState::Idle,
@@ -293,8 +297,8 @@
         lock(&self.listener.table).set_state(self.number, state);
     }
 
-    /// Waits for the next event, or lets the others run where more could be done at once. What the buffer had no room
-    /// for is read now, or, while a request is open, after its response.
+    /// Waits for the next event, or yields to other connections if more work is available immediately. Bytes that did
+    /// not fit into the full buffer are read in the next pass or, while a request is open, after its response.
     fn wait(&self, connection: &Connection, pass: &Pass) {
         let has_room = self.reader.buffer.len() < MessageReader::CLIENT_BUFFER_BYTES;
         let has_more_messages = pass.messages == MAX_MESSAGES_IN_A_ROW;
@@ -306,7 +310,7 @@
         }
     }
 
-    /// Handles one message; true where the connection is to be closed after it.
+    /// Handles one message. Returns true if the connection must be closed after it.
     fn handle_message(&mut self, message: Framed<ClientMessage>, out: &mut Vec<u8>) -> bool {
         match message.content {
             ClientMessage::HealthCheck => {
@@ -322,7 +326,8 @@
         }
     }
 
-    /// Hands a request to the event loop; true where that is gone and the connection is to be closed.
+    /// Sends a request to the event loop. Returns true if the connection must be closed, because the event loop has
+    /// ended and the request was answered with a failure.
     fn forward_request(
         &mut self,
         request: ReceivedRequest,
@@ -338,7 +343,7 @@
         false
     }
 
-    /// Writes the final response to the open request; true where the connection is to be closed after it.
+    /// Writes the final response to the open request. Returns true if the connection must be closed after it.
     fn respond(&mut self, out: &mut Vec<u8>, response: &FinalResponse) -> bool {
         let Some(OpenRequest { id, closes_connection }) = self.open_request.take() else { return false };
         debug!(id, status = response::status(response), "response written");
@@ -349,9 +354,11 @@
     }
 }
 
-/// Whether a connection that was told to close is closed at once, over a response that was not taken.
+/// When a connection that got a close command is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum CloseTiming {
+    /// Now, even though the client has not read its last response.
     Immediate,
+    /// After the responses are written, or not at all if the command is ignored.
     Deferred,
 }
--- a/crates/lynxtally-node/src/listener/mod.rs
+++ b/crates/lynxtally-node/src/listener/mod.rs
@@ -1,4 +1,4 @@
-//! Connections from clients: accepted eagerly, read eagerly, one request at a time on each.
+//! The listener and the client connections that it accepts. Each connection has at most one open request.
 
 mod accept_loop;
 mod connection;
@@ -24,45 +24,45 @@
 use std::time::Duration;
 use table::{ConnectionState, ConnectionTable};
 
-/// The pause after a connection could not be accepted: with no descriptor left, accepting fails at once each time.
+/// The pause before another `accept` after one has failed. Without descriptors, `accept` fails immediately each time.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// A connection that could go on without waiting lets the others run for so long.
+/// How long a connection sleeps to yield to other coroutines although it has more work.
 ///
-/// The failure this guards against: a client that never stops sending keeps the whole node waiting, because a coroutine
-/// that only yields is put at the front of its worker's queue again, and the worker never polls for anything else. Of
-/// many that do so each waits so many times as long, so that all together get no more than one.
+/// A coroutine that only yields returns to the front of its worker's queue, and the worker doesn't poll for I/O.
+/// Without the sleep, a client that never stops sending would block the whole node. The sleep is multiplied by the
+/// number of connections that yield at the same time, so that all of them together get as much time as one would.
 const YIELD_TIME: Duration = Duration::from_millis(1);
 
-/// What a [`Listener`] needs of the other parts.
+/// The configuration of a [`Listener`], and its handles to the other components.
 pub struct ListenerParts {
-    /// The limits of connections.
+    /// The limits for connections.
     pub resource_limits: ResourceLimits,
-    /// What requests are checked against.
+    /// The schema that requests are validated against.
     pub schema: RequestSchema,
-    /// What goes with responses.
+    /// The state that responses and health checks advertise.
     pub advertised: Arc<AdvertisedState>,
-    /// Sends messages later.
+    /// Puts coroutines to sleep and schedules commands.
     pub timer: Timer,
-    /// Where requests go.
+    /// Sends requests to the event loop.
     pub event_loop: Sender<Message>,
-    /// Where connections and messages are counted.
+    /// The counters of connections and messages.
     pub counters: Arc<Counters>,
 }
 
-/// The listener and all connections that were accepted from it.
+/// The listener and the open connections that it accepted.
 pub struct Listener {
     parts: ListenerParts,
     clock: Clock,
     table: Mutex<ConnectionTable>,
-    /// How many connections are letting the others run.
+    /// The number of connections that sleep to yield to others.
     yielding: AtomicU32,
     closing: AtomicBool,
     waker: Mutex<Option<WaitIoWaker>>,
 }
 
 impl Listener {
-    /// A listener without connections; [`Listener::accept`] serves a socket.
+    /// Creates a listener without connections. [`Listener::accept`] accepts connections from a socket.
     pub fn new(parts: ListenerParts) -> Self {
         let table = Mutex::new(ConnectionTable::new(parts.resource_limits.max_connections));
         Self {
@@ -75,22 +75,22 @@
         }
     }
 
-    /// Whether no connection is open, but for those that have carried their last response.
+    /// Whether no connection is open, apart from those that linger after their last response.
     pub fn is_empty(&self) -> bool {
         lock(&self.table).all(|entry| entry.state == ConnectionState::Lingering)
     }
 
-    /// How many connections were accepted so far.
+    /// The number of connections accepted so far.
     pub fn accepted(&self) -> u64 {
         self.parts.counters.connections.get()
     }
 
-    /// How many connections are open.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
         lock(&self.table).len()
     }
 
-    /// Closes the connections that have carried nothing for so long.
+    /// Closes the connections that have been idle, or without a first message, for at least this long.
     pub fn close_idle(&self, idle_for: Duration) {
         lock(&self.table).close_where(CloseReason::IdleTimeout, |entry| {
             matches!(entry.state, ConnectionState::New | ConnectionState::Idle)
@@ -98,11 +98,12 @@
         });
     }
 
-    /// Closes the connections whose time is over: those that complete no message or don't take a response, those that
-    /// linger, and idle ones that their clients would have closed long ago if they still knew them.
+    /// Closes the connections that have exceeded a timeout: the message timeout for completing a message or reading a
+    /// response, the linger timeout, or the idle timeout.
     ///
-    /// This answers silent clients, halves of messages, bytes that trickle in, and forgotten connections. The price: a
-    /// client that needs longer than a request's time for one message is closed.
+    /// This limits silent clients, incomplete messages, clients that send a few bytes at a time, and connections that
+    /// their clients have forgotten. A slow client that needs longer than the message timeout for one message is
+    /// closed too.
     pub fn close_expired(&self) {
         let ResourceLimits { message_timeout, linger_timeout, idle_timeout, .. } = self.parts.resource_limits;
         lock(&self.table).close_where(CloseReason::TimedOut, |entry| {
@@ -116,20 +117,21 @@
         });
     }
 
-    /// Closes all connections without an open request, also in the middle of a message. The last step before the
-    /// program ends: what is half written then would be reset by the end, so its client is told, and sends it again.
+    /// Closes all connections without an open request, even in the middle of a message. This is the last step before
+    /// the program ends. The end of the program would reset connections with incomplete messages, whereas after a
+    /// close their clients know that they must send the messages again.
     pub fn close_all(&self) {
         lock(&self.table).close_where(CloseReason::Completed, |entry| {
             !matches!(entry.state, ConnectionState::Lingering | ConnectionState::Serving)
         });
     }
 
-    /// Answers whatever request still waits on any connection that it failed.
+    /// Answers the open requests of all connections with a failure.
     pub fn fail_all(&self) {
         lock(&self.table).send_to_all(&ConnectionCommand::Respond(FinalResponse::Failed));
     }
 
-    /// Closes the listening socket, once all connections that wait there have been accepted.
+    /// Closes the listening socket after all connections in the accept queue have been accepted.
     pub fn close(&self) {
         self.closing.store(true, Ordering::Release);
         if let Some(waker) = &*lock(&self.waker) {
@@ -137,14 +139,14 @@
         }
     }
 
-    /// Lets the others run. Answers floods of any kind, and costs nothing to a client that sends one message at a time.
+    /// Sleeps so that other coroutines run. A client that sends one message at a time is never slowed down by this.
     fn yield_to_others(&self) {
         let yielding = self.yielding.fetch_add(1, Ordering::Relaxed) + 1;
         self.parts.timer.sleep(YIELD_TIME * yielding);
         self.yielding.fetch_sub(1, Ordering::Relaxed);
     }
 
-    /// What goes with a response after which the client or this node closes the connection, or does not.
+    /// Returns the context for a response. `closes_connection` tells whether the connection is closed after it.
     fn response_context(&self, closes_connection: bool) -> ResponseContext {
         ResponseContext { capacity: self.parts.advertised.capacity(), closes_connection }
     }
--- a/crates/lynxtally-node/src/listener/table.rs
+++ b/crates/lynxtally-node/src/listener/table.rs
@@ -1,4 +1,4 @@
-//! The table of open connections, and which of them is closed to make room for a new one.
+//! The table of open connections, and the choice of the connection to evict for a new one.
 
 use super::ACCEPT_RETRY_PAUSE;
 use crate::messages::{ConnectionCommand, ConnectionHandle};
@@ -6,48 +6,49 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A connection that has been in its state for less is not evicted: its first bytes may be on their way.
+/// A connection is not evicted until it has been in its state for this long, as its first bytes may be in transit.
 pub(super) const MIN_TIME_IN_STATE: Duration = ACCEPT_RETRY_PAUSE;
-/// Evicted connections need a moment to close. Until then the table may hold this fraction more than its limit.
+/// While evicted connections close, the table may exceed its limit by the limit divided by this.
 const OVERCOMMIT_DIVISOR: usize = 8;
 
-/// What a connection is doing. To make room, connections are evicted in the order of these states.
+/// The state of a connection. Connections are evicted in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ConnectionState {
-    /// The last response was written, and it is read on so that this response is not lost to a reset.
+    /// The last response was written. The node still reads, as closing now could reset the connection and lose the
+    /// response.
     Lingering,
-    /// No complete message has come on it yet.
+    /// No complete message has arrived yet.
     New,
-    /// A message has begun, or a response is not taken yet.
+    /// A message is incomplete, or a response is not fully written.
     Partial,
-    /// Between two messages.
+    /// The connection is between two messages.
     Idle,
-    /// A request on it is open.
+    /// The connection has an open request.
     Serving,
 }
 
-/// An open connection.
+/// An open connection in the table.
 pub(super) struct Entry {
     handle: ConnectionHandle,
     pub state: ConnectionState,
-    /// Since when it has been in this state.
+    /// When the connection entered this state.
     pub since: Instant,
-    /// Whether it was told to close to make room, and has not changed its state since.
+    /// Whether the connection got an eviction command in this state.
     evicted: bool,
 }
 
-/// Whether one more connection can be accepted.
+/// Whether the table has a slot for one more connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionSlot {
-    /// Now.
+    /// A slot is available now.
     Available,
-    /// Once evicted connections have closed.
+    /// A slot will be available when evicted connections have closed.
     AfterEviction,
-    /// No connection may be evicted yet.
+    /// The table is full, and no connection may be evicted yet.
     NoneEvictable,
 }
 
-/// All open connections, by number.
+/// The open connections, by connection number.
 pub(super) struct ConnectionTable {
     entries: BTreeMap<u64, Entry>,
     next_number: u64,
@@ -80,7 +81,7 @@
         self.entries.values().all(predicate)
     }
 
-    /// A connection is in this state from now on.
+    /// Sets the state of a connection, which resets its time in the state and its eviction mark.
     pub fn set_state(&mut self, number: u64, state: ConnectionState) {
         if let Some(entry) = self.entries.get_mut(&number) {
             entry.state = state;
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Tells the connections that the predicate selects to close.
+    /// Sends a close command to each connection that the predicate selects.
     pub fn close_where(&self, reason: CloseReason, selects: impl Fn(&Entry) -> bool) {
         for entry in self.entries.values().filter(|entry| selects(entry)) {
             entry.handle.push(ConnectionCommand::Close(reason));
@@ -102,12 +103,12 @@
         }
     }
 
-    /// Whether there is room for one more connection, for which another is evicted where the table is full.
+    /// Returns whether there is a slot for one more connection. If the table is full, evicts a connection for it.
     ///
-    /// Evicted first are connections that linger, then those that never carried a complete message, then idle ones, of
-    /// each the one that has been so longest; never one with an open request. So neither silent clients nor those that
-    /// keep their connections open for good shut the others out. The price: a client whose idle connection is evicted
-    /// just as it sends has to send again.
+    /// Connections are evicted in the order of [`ConnectionState`], and within a state by the longest time in it. A
+    /// connection with an open request is never evicted. Thus neither silent clients nor clients that keep
+    /// connections open forever can block new clients. A client whose idle connection is evicted while it sends a
+    /// request has to send the request again.
     pub fn make_room(&mut self) -> ConnectionSlot {
         if self.len() < self.max_connections {
             return ConnectionSlot::Available;
@@ -115,7 +116,7 @@
         self.evict_one()
     }
 
-    /// The same where the system has no descriptor left, although the table is not full.
+    /// Evicts one connection even if the table is not full. Used when the process has no descriptors left.
     pub fn evict_one(&mut self) -> ConnectionSlot {
         let is_overcommitted = self.len() >= self.max_connections + self.max_connections / OVERCOMMIT_DIVISOR;
         if is_overcommitted && self.entries.values().any(|entry| entry.evicted) {
@@ -130,7 +131,7 @@
         let Some(entry) = candidates.min_by_key(|entry| (entry.state, entry.since)) else {
             return ConnectionSlot::NoneEvictable;
         };
-        // Each makes room for one new connection: evicted twice, it would be counted on twice.
+        // Each evicted connection provides one slot. Evicting it a second time would count that slot twice.
         entry.evicted = true;
         entry.handle.push(ConnectionCommand::Close(CloseReason::Evicted));
         if is_overcommitted {
--- a/crates/lynxtally-node/src/main.rs
+++ b/crates/lynxtally-node/src/main.rs
@@ -1,11 +1,11 @@
-//! `lynxtally-node`: one backend on real sockets.
+//! The `lynxtally-node` program: parses the command line, sets up logging and runs one node.
 
 use lynxtally_net::startup::{log_level, Program};
 use lynxtally_node::error::NodeError;
 use lynxtally_node::{config, node};
 use std::process::ExitCode;
 
-/// Names the configuration where the command line does not.
+/// Environment variable with the path of the configuration file, used if the command line has no path.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
 
 const PROGRAM: Program = Program {
@@ -13,10 +13,11 @@
     version: env!("CARGO_PKG_VERSION"),
     usage: "usage: lynxtally-node [CONFIG]
 
-Serves requests on real sockets as lynxtally decides. CONFIG is the path of the configuration, JSON; without it
-the variable RELAY_CONFIG names the file. RELAY_NAME and RELAY_LISTEN go before what the file says.
-LYNXTALLY_LOG sets what is logged: error, warn, info (the default), debug, trace or off.
-SIGTERM drains and ends it, SIGHUP has it read CONFIG again, SIGUSR1 print its counters.",
+Accepts requests from clients, schedules them on the executor and answers each of them once. CONFIG is the path of
+the JSON configuration file. Without CONFIG, the environment variable RELAY_CONFIG gives the path.
+RELAY_NAME and RELAY_LISTEN override `name` and `listen` of the file.
+LYNXTALLY_LOG sets the log level: error, warn, info (the default), debug, trace or off.
+Signals: SIGTERM drains the node and ends it, SIGHUP reloads CONFIG, SIGUSR1 prints the counters.",
 };
 
 fn main() -> ExitCode {
--- a/crates/lynxtally-node/src/messages.rs
+++ b/crates/lynxtally-node/src/messages.rs
@@ -1,5 +1,5 @@
-//! The messages between the parts of a node. All parts depend on this module, and it depends on none of them but for
-//! the types that it carries.
+//! The messages between the components of a node. All components depend on this module. The module itself depends on
+//! the components only for the types that the messages carry.
 
 use crate::config::Config;
 use crate::http::{CallResponse, ReceivedRequest};
@@ -12,100 +12,100 @@
 
 /// A message to the event loop.
 pub enum Message {
-    /// A request was read.
+    /// The listener read a request.
     Request(RequestRead),
-    /// A request's connection ended in a way that says that its caller no longer waits.
+    /// The connection of an open request ended so that the client no longer waits for the response.
     ClientDisconnected {
         /// The request's id.
         id: String,
-        /// The connection; a request on another connection may have the same id.
+        /// The connection. It identifies the request, as a request on another connection may have the same id.
         connection: ConnectionHandle,
-        /// How the connection ended.
+        /// Why the connection ended.
         reason: CloseReason,
     },
-    /// The executor reported something.
+    /// The executor reported an event.
     Executor(ExecutorEvent),
-    /// There is no link to the executor any more.
+    /// The link to the executor was lost.
     ExecutorLinkLost,
     /// A downstream call ended.
     CallEnded {
-        /// The id of the request that it was made for.
+        /// The id of the request that the call was made for.
         id: String,
         /// The call's number.
         number: u64,
-        /// How it ended.
+        /// How the call ended.
         end: CallEnd,
     },
-    /// A message to a coordinator was answered, or surely will not be.
+    /// A request to a coordinator got its response, or can no longer get one.
     CoordinatorResponse(CoordinatorResponse),
-    /// A timer of the event loop may have expired.
+    /// The wakeup for the next timer fired; the event loop checks which timers have expired.
     TimerFired,
-    /// SIGTERM came: drain, and end.
+    /// SIGTERM arrived: drain the node, then end the program.
     Shutdown,
-    /// SIGHUP came, and this is the configuration as it was read anew.
+    /// SIGHUP arrived; this is the reloaded configuration.
     Reload(Box<Config>),
-    /// The listener is closed; nobody connects any more.
+    /// The listening socket is closed, so no client can connect any more.
     ListenerClosed,
 }
 
-/// What a client's connection is told.
+/// A command to a client connection.
 #[derive(Clone, Debug)]
 pub enum ConnectionCommand {
-    /// Write the final response to its open request.
+    /// Write the final response to the open request.
     Respond(FinalResponse),
-    /// Close if no request is open and nothing came meanwhile, for this reason.
+    /// Close the connection for this reason, unless a request is open or new bytes have arrived.
     Close(CloseReason),
 }
 
-/// A client's connection, as the other parts reach it.
+/// The mailbox through which other components send commands to a client connection.
 pub type ConnectionHandle = Arc<Mailbox<ConnectionCommand>>;
 
-/// What a coordinator replied to a message.
+/// The outcome of a request to a coordinator.
 pub struct CoordinatorResponse {
-    /// Which message.
+    /// The token that the lease client gave the request.
     pub token: u64,
-    /// The response, or none where surely none will come.
+    /// The response, or `None` if the request failed and no response can follow.
     pub response: Option<lynxtally_messages::NodeResponse>,
 }
 
-/// A request that was read, and where its response is awaited.
+/// A request that the listener read.
 pub struct RequestRead {
     /// The request.
     pub request: ReceivedRequest,
-    /// The connection.
+    /// The connection that waits for the response.
     pub connection: ConnectionHandle,
 }
 
-/// How a run ended, as the executor reports it.
+/// The status that the executor reports at the end of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunStatus {
-    /// It succeeded, with a result.
+    /// The run succeeded and has a result.
     Succeeded,
-    /// It failed.
+    /// The run failed.
     Failed,
-    /// It was stopped, or ended at a call because nobody waits any more.
+    /// The run was stopped, or ended at a call because no client waits for its result any more.
     Stopped,
-    /// Nothing was started.
+    /// The run was never started.
     NotStarted,
 }
 
-/// What the executor reports.
+/// An event that the executor reports.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExecutorEvent {
-    /// It is up.
+    /// The executor is up.
     Started {
-        /// Whether it had a cold start.
+        /// Whether the executor had a cold start.
         cold_start: bool,
-        /// How long ago it came up, in milliseconds.
+        /// How long the executor has been up, in milliseconds.
         uptime_ms: f64,
     },
     /// A run ended.
     RunEnded {
         /// The request's id.
         id: String,
-        /// How it ended.
+        /// How the run ended.
         status: RunStatus,
-        /// Its result.
+        /// The result of a run that succeeded.
         result: Vec<u8>,
     },
     /// A run waits for a downstream call.
@@ -115,37 +115,37 @@
         /// The body of the call.
         body: Vec<u8>,
     },
-    /// The gauges that were requested.
+    /// The executor reported its gauges, as the node had asked.
     Gauges {
-        /// The number of the request for them.
+        /// The number of the `ReportGauges` command that asked for these values.
         number: u64,
-        /// Their values, in the order of the settings.
+        /// The values, in the order of the settings.
         values: Vec<f64>,
     },
-    /// All events from before the link with this number was made have been reported.
+    /// The executor has reported all events that precede the link with this number.
     CaughtUp {
         /// The link's number.
         link: u64,
     },
-    /// A command was not carried out.
+    /// The executor refused a command.
     CommandRefused {
-        /// Which command.
+        /// The refused command.
         command: CommandName,
         /// The request's id.
         id: String,
     },
-    /// A line for the log.
+    /// A line of the executor's own log.
     LogLine(String),
 }
 
-/// A command that the executor refused.
+/// The kind of a command that the executor refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandName {
-    /// To start a run.
+    /// Start a run.
     Start,
-    /// To resume a stopped run.
+    /// Resume a stopped run.
     Resume,
-    /// Any other, by its name in the protocol.
+    /// Any other command, by its name in the executor's protocol.
     Other(String),
 }
 
@@ -162,19 +162,20 @@
 /// How a downstream call ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEnd {
-    /// With a response.
+    /// The dependency sent a complete response.
     Response(CallResponse),
-    /// Without a complete response.
+    /// No complete response arrived.
     NoResponse {
-        /// How its connection ended.
+        /// Why the connection of the call ended.
         reason: CloseReason,
-        /// Whether any byte of the call was written.
+        /// Whether any byte of the call was written to the connection.
         written: bool,
     },
 }
 
 impl CallEnd {
-    /// What is known of the call's execution.
+    /// Whether the dependency executed the call, as far as the node can know. Status 200 means success. A response
+    /// with the header for "not executed" excludes execution; any other response leaves it open.
     pub fn outcome(&self) -> CallOutcome {
         match self {
             Self::Response(CallResponse { status: 200, .. }) => CallOutcome::Succeeded,
--- a/crates/lynxtally-node/src/node.rs
+++ b/crates/lynxtally-node/src/node.rs
@@ -1,4 +1,4 @@
-//! One node from its start to its end: starts the parts, connects them, and waits for the event loop to end.
+//! Starts and connects the components of a node, then waits for the event loop to end.
 
 use crate::advertised_state::AdvertisedState;
 use crate::config::{Config, LoadError};
@@ -25,41 +25,44 @@
 use std::time::Duration;
 use tracing::error;
 
-/// The event loop runs the scheduler; the other coroutines need less stack.
+/// Stack size of the event loop's coroutine. It runs the scheduler, which needs more stack than the other coroutines.
 const EVENT_LOOP_STACK_WORDS: usize = 0x8000;
+/// Stack size of the other components' coroutines.
 const STACK_WORDS: usize = 0x2000;
-/// How many coroutines are kept for reuse.
+/// Number of finished coroutines kept for reuse.
 const COROUTINE_POOL: usize = 32;
-/// How long the coroutines' worker sleeps where nothing is due.
+/// How long the worker thread of the coroutines sleeps at most while no coroutine is ready.
 const MAX_WORKER_SLEEP: Duration = Duration::from_secs(10);
-/// After the event loop has ended the connections get so long to write its last responses.
+/// How long the process stays alive after the event loop has ended, so that connections can write the last responses.
 const FINAL_FLUSH_TIME: Duration = Duration::from_millis(20);
 
-/// How the event loop, or another part that may not end, has ended.
+/// How the node ended: by the end of the event loop, or by the failure of a component.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// After a shutdown.
+    /// The event loop completed a shutdown.
     Finished,
-    /// By a failure of our own.
+    /// A component panicked.
     Failed,
 }
 
-/// Sets the coroutines up: one worker, as there is one core, and not pinned to it, as others share it.
+/// Configures the coroutine runtime. It uses one worker thread because a node has one core, and does not pin the
+/// thread because other processes share that core.
 pub fn configure_coroutines() {
     may::config().set_workers(1).set_stack_size(STACK_WORDS).set_pool_capacity(COROUTINE_POOL);
     may::config().set_worker_pin(false);
     may::config().set_timeout_ns(MAX_WORKER_SLEEP.as_nanos() as u64);
 }
 
-/// Serves until a shutdown is complete. `read_config` reads the configuration again where SIGHUP asks for it.
+/// Runs a node until its shutdown is complete. SIGHUP calls `read_config` to reload the configuration.
 ///
 /// # Errors
-/// The node can't start, or a part of it failed.
+/// Returns an error if the node can't start or if one of its components panics.
 pub fn serve(
     config: Config,
     read_config: impl Fn() -> Result<Config, LoadError> + Send + 'static,
 ) -> Result<(), NodeError> {
-    // Before anybody can connect: a SIGTERM that came between the two would end the program at once.
+    // Signal handlers are installed before the listener: without a handler, a SIGTERM that arrives after the first
+    // client has connected would kill the process at once.
     let signals = Signals::new([SIGHUP, SIGTERM, SIGUSR1]).map_err(NodeError::Signals)?;
     let address = config.listen;
     let socket = listener::listen(address).map_err(|error| NodeError::Listen { address, error })?;
@@ -83,23 +86,23 @@
     }
 }
 
-/// Learns when a part ends that may not end before the program.
+/// Receives the panics of components that must run for as long as the program does, and ends the program.
 #[derive(Clone)]
 struct Supervisor(mpsc::Sender<Outcome>);
 
 impl Supervisor {
-    /// What to do when the part with this name panics: the program ends.
-    fn on_panic(&self, part: &'static str) -> impl FnOnce(Panic) + Send + 'static {
+    /// Returns the panic handler for the component with this name. The handler ends the program.
+    fn on_panic(&self, component: &'static str) -> impl FnOnce(Panic) + Send + 'static {
         let outcomes = self.0.clone();
         move |panic: Panic| {
-            error!(part, %panic, "a part of the node failed");
-            // The receiver waits for as long as the program runs.
+            error!(component, %panic, "component of the node panicked; the program ends");
+            // `serve` holds the receiver until the program ends.
             let _ = outcomes.send(Outcome::Failed);
         }
     }
 }
 
-/// The parts of a node, while they are started.
+/// The handles and channels of the components while the node starts.
 struct Node {
     timer: Timer,
     listener: Arc<Listener>,
@@ -132,7 +135,8 @@
         Ok(Self { timer, listener, executor, downstream, advertised, counters, event_loop, messages })
     }
 
-    /// SIGTERM shuts down, SIGHUP has the configuration read again, SIGUSR1 prints the counters.
+    /// Starts the thread that handles signals: SIGTERM shuts the node down, SIGHUP reloads the configuration, SIGUSR1
+    /// prints the counters.
     fn handle_signals(
         &self,
         mut signals: Signals,
@@ -147,7 +151,7 @@
                     SIGHUP => match read_config() {
                         Ok(config) => Message::Reload(Box::new(config)),
                         Err(error) => {
-                            error!(%error, "the new configuration can't be used; the old one stays in force");
+                            error!(%error, "configuration not reloaded; the previous one stays in force");
                             continue;
                         }
                     },
@@ -189,7 +193,7 @@
         supervisor: &Supervisor,
     ) -> Result<HealthReporter, NodeError> {
         let (sender, messages) = channel();
-        // The interval to the next report begins now.
+        // Starts the interval until the first periodic report.
         let _ = sender.send(ReporterMessage::ReportDue);
         let reporter = HealthReporter::new(sender.clone());
         let name = config.name.clone();
@@ -208,7 +212,7 @@
         let Some(settings) = config.coordination.clone() else { return Ok(None) };
         let event_loop = self.event_loop.clone();
         let on_response = move |token, response| {
-            // The event loop is gone only where the program ends.
+            // Sending fails only after the event loop has ended, and then the program ends too.
             let _ = event_loop.send(Message::CoordinatorResponse(CoordinatorResponse { token, response }));
         };
         let sender =
@@ -238,14 +242,14 @@
         };
         let run = move || run_event_loop(config, parts, &messages, &supervisor.0);
         let on_panic =
-            |panic: Panic| error!(%panic, "the event loop failed while it answered its open requests");
+            |panic: Panic| error!(%panic, "event loop panicked again while it failed its open requests");
         spawn(EVENT_LOOP_STACK_WORDS, run, on_panic).map_err(NodeError::Coroutine)?;
         Ok(())
     }
 }
 
-/// Runs the event loop to its end, and then sends how it ended. If it fails, every open request is answered all the
-/// same.
+/// Runs the event loop to its end and sends the outcome. If the event loop panics, every open request is answered
+/// with a failure first.
 pub fn run_event_loop(
     config: Config,
     parts: EventLoopParts,
@@ -256,16 +260,16 @@
     let outcome = match catch_panic(|| event_loop.run(messages)) {
         Ok(()) => Outcome::Finished,
         Err(panic) => {
-            error!(%panic, "the event loop failed; every open request is answered that it failed");
+            error!(%panic, "event loop panicked; answering every open request with a failure");
             event_loop.fail_all();
             Outcome::Failed
         }
     };
-    // The receiver waits for as long as the program runs.
+    // `serve` holds the receiver until the program ends.
     let _ = outcomes.send(outcome);
 }
 
-/// Prints the counters. Where nobody reads them, that does no harm.
+/// Prints the counters on standard output. A write error is ignored, since standard output may be closed.
 fn print_counters(counters: &Counters) {
     let _ = writeln!(std::io::stdout(), "{}", counters.line());
 }
--- a/crates/lynxtally-node/src/response.rs
+++ b/crates/lynxtally-node/src/response.rs
@@ -1,4 +1,4 @@
-//! How responses are written to a client, as HTTP/1.1.
+//! Writes responses to clients as HTTP/1.1.
 
 use lynxtally::Span;
 use lynxtally_engine::FinalResponse;
@@ -8,10 +8,10 @@
 const NO_RETRY: &str = "X-Stop-Trying";
 const CAPACITY: &str = "X-Backend-Says";
 
-/// What goes with every response on a connection.
+/// The headers that every response on a connection carries, independent of its request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ResponseContext {
-    /// The capacity to advertise, once there is one.
+    /// The capacity to advertise; `None` before the scheduler has computed one.
     pub capacity: Option<f64>,
     /// Whether the connection is closed after this response.
     pub closes_connection: bool,
@@ -46,7 +46,7 @@
     out.extend_from_slice(body);
 }
 
-/// Writes the response to a message that can't be accepted, with the status that says why.
+/// Writes the response to a message that can't be parsed or is not accepted. The status gives the reason.
 pub fn write_parse_error(out: &mut Vec<u8>, status: u16, context: ResponseContext) {
     write_head(out, status, "Unfit", 0, context);
     end_head(out);
@@ -75,6 +75,6 @@
 }
 
 fn write_line(out: &mut Vec<u8>, text: std::fmt::Arguments) {
-    // Writing to a vector can't fail.
+    // Writing to a vector never fails.
     let _ = write!(out, "{text}\r\n");
 }
