--- a/crates/lynxtally-node/src/config.rs
+++ b/crates/lynxtally-node/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration of a node. All reading, validation and defaults are in this module.
+//! Reads and validates the configuration of a node, and applies the defaults. The section for coordinators is validated
+//! in [`crate::coordination`], and the section for the scheduler in `lynxtally_settings`.
 
 use crate::coordination;
 use lynxtally_settings::{decode, BackendSettings, SettingError};
@@ -106,7 +107,7 @@
 
 /// The configuration file. Some keys have other names than the fields. Unknown keys are ignored.
 #[derive(Deserialize)]
-#[serde(rename = "File")]
+#[serde(rename = "File")] // The name in serde's error messages.
 struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
@@ -224,8 +225,8 @@
         return Err(SettingError::new("stop_ms", "is 0; a time above 0 is expected"));
     }
     if file.limits.sockets < MIN_SOCKETS {
-        let what = format!("is {}; at least {MIN_SOCKETS} are expected", file.limits.sockets);
-        return Err(SettingError::new("limits.sockets", what));
+        let problem = format!("is {}; at least {MIN_SOCKETS} are expected", file.limits.sockets);
+        return Err(SettingError::new("limits.sockets", problem));
     }
     let mut backend = parse_settings(file.settings)?;
     let downstream = file.downstream.map(|text| parse_address("ledger", &text)).transpose()?;
@@ -254,8 +255,8 @@
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, SettingError> {
-    let what = || format!("is {text:?}; an address such as 127.0.0.1:8443 is expected");
-    text.parse().map_err(|_| SettingError::new(key, what()))
+    let problem = || format!("is {text:?}; an address such as 127.0.0.1:8443 is expected");
+    text.parse().map_err(|_| SettingError::new(key, problem()))
 }
 
 fn parse_seed(text: &str) -> Result<u64, SettingError> {
--- a/crates/lynxtally-node/src/coordination/settings.rs
+++ b/crates/lynxtally-node/src/coordination/settings.rs
@@ -76,8 +76,8 @@
 pub fn validate(section: CoordinationSection, backend: &BackendSettings) -> Result<Settings, SettingError> {
     let coordinators = read_addresses(&section.coordinators)?;
     if !RESPONSE_TIMEOUT_MS.contains(&section.response_timeout_ms) {
-        let what = format!("is {}; 10 to 60000 is expected", section.response_timeout_ms);
-        return Err(SettingError::new("shares.patience_ms", what));
+        let problem = format!("is {}; 10 to 60000 is expected", section.response_timeout_ms);
+        return Err(SettingError::new("shares.patience_ms", problem));
     }
     let cancellation_lag = cancellation_lag(&section, backend)?;
     let deadlines = backend.settings.classes.iter().map(|class| class.deadline);
@@ -108,8 +108,8 @@
     let mut addresses = Vec::new();
     for (n, text) in texts.iter().enumerate() {
         let address = text.parse().map_err(|_| {
-            let what = format!("is {text:?}; an address such as 127.0.0.1:7601 is expected");
-            SettingError::new(format!("shares.keepers[{n}]"), what)
+            let problem = format!("is {text:?}; an address such as 127.0.0.1:7601 is expected");
+            SettingError::new(format!("shares.keepers[{n}]"), problem)
         })?;
         addresses.push(address);
     }
--- a/crates/lynxtally-node/src/event_loop/executor.rs
+++ b/crates/lynxtally-node/src/event_loop/executor.rs
@@ -138,7 +138,7 @@
         if work.call.is_none() {
             error!(id = work.id, "downstream call not started: no coroutine could be allocated");
         }
-        debug!(id = work.id, number, timeout_ms = timeout.micros() / 1000, "call started");
+        debug!(id = work.id, number, timeout_ms = timeout.micros() / 1000, "downstream call started");
         work.call.is_some()
     }
 
--- a/crates/lynxtally-node/src/event_loop/executor_events.rs
+++ b/crates/lynxtally-node/src/event_loop/executor_events.rs
@@ -53,7 +53,7 @@
         // have sent this event before it read the `Stop`. Only the end of the run confirms a `Stop`.
         work.unconfirmed.retain(|unconfirmed| matches!(unconfirmed.command, Command::Stop(_)));
         work.call_body = body;
-        debug!(id, "call requested");
+        debug!(id, "run requested a downstream call");
         self.engine.call_requested(now, request);
     }
 
--- a/crates/lynxtally-node/src/event_loop/requests.rs
+++ b/crates/lynxtally-node/src/event_loop/requests.rs
@@ -82,7 +82,7 @@
     ) {
         let Some(request) = self.engine.find(id) else { return };
         // The open request with this id may belong to another connection.
-        if self.engine.caller_gone(now, request, |own| Arc::ptr_eq(own, connection)) {
+        if self.engine.caller_gone(now, request, |reply_to| Arc::ptr_eq(reply_to, connection)) {
             debug!(id, %reason, "client disconnected before its response");
             self.counters.client_disconnected.increment();
             self.counters.in_flight.decrement();
--- a/crates/lynxtally-node/src/event_loop/shutdown.rs
+++ b/crates/lynxtally-node/src/event_loop/shutdown.rs
@@ -46,7 +46,10 @@
         if !self.engine.begin_drain(now, timeout) {
             return;
         }
-        info!(timeout_ms = self.config.shutdown_timeout.as_millis() as u64, "shutting down");
+        info!(
+            timeout_ms = self.config.shutdown_timeout.as_millis() as u64,
+            "received SIGTERM; shutting down"
+        );
         self.responder.announce_health(false);
         self.engine.set_timer(now + timeout * CLOSE_LISTENER_AFTER, TimerKind::CloseListener);
         // The scheduler answers every request no later than two periods before the kill, so the program can end one
--- a/crates/lynxtally-node/src/listener/mod.rs
+++ b/crates/lynxtally-node/src/listener/mod.rs
@@ -139,7 +139,8 @@
         }
     }
 
-    /// Sleeps so that other coroutines run. A client that sends one message at a time is never slowed down by this.
+    /// Sleeps so that other coroutines run. This limits clients that flood the node, and never slows down a client that
+    /// sends one message at a time.
     fn yield_to_others(&self) {
         let yielding = self.yielding.fetch_add(1, Ordering::Relaxed) + 1;
         self.parts.timer.sleep(YIELD_TIME * yielding);
