--- a/crates/lynxtally-node/src/coordination/mod.rs
+++ b/crates/lynxtally-node/src/coordination/mod.rs
@@ -80,7 +80,7 @@
         let Some(TenantWallet { wallet: name, tenant }) = self.settings.wallets.get(wallet) else { return };
         let Some(current) = self.client.reservation(wallet) else { return };
         let (account, granted, in_force) = (current.account, current.granted, current.in_force);
-        debug!(wallet = name, reservation_id = account, granted, in_force, "wallet reservation changed");
+        debug!(wallet = name, reservation_id = account, granted, in_force, "reservation");
         let price = |class: &String| current.prices.get(class).copied().unwrap_or(0);
         // The prices are known only after the first reservation has been granted.
         let prices = (account > 0).then(|| self.settings.classes.iter().map(price).collect());
--- a/crates/lynxtally-node/src/downstream/mod.rs
+++ b/crates/lynxtally-node/src/downstream/mod.rs
@@ -123,7 +123,7 @@
         coroutine::spawn(STACK_WORDS, serve, on_panic).ok().map(|_| handle)
     }
 
-    /// Closes the connections that have been idle for [`IDLE_TIMEOUT`].
+    /// Closes the connections that have been idle for `IDLE_TIMEOUT`.
     pub fn close_idle(&self) {
         lock(&self.idle).retain(|idle| {
             let keep = idle.since.elapsed() < IDLE_TIMEOUT;
--- a/crates/lynxtally-node/src/event_loop/executor_events.rs
+++ b/crates/lynxtally-node/src/event_loop/executor_events.rs
@@ -48,7 +48,7 @@
     }
 
     fn call_requested(&mut self, now: Instant, id: &str, body: Vec<u8>) {
-        let Some((request, work)) = self.find_work(id) else { return self.count_unknown_request(id) };
+        let Some((request, work)) = self.find_work(id) else { return self.count_unknown_request_event(id) };
         // A run that requests a call has processed all earlier commands except, possibly, `Stop`: the executor may
         // have sent this event before it read the `Stop`. Only the end of the run confirms a `Stop`.
         work.unconfirmed.retain(|unconfirmed| matches!(unconfirmed.command, Command::Stop(_)));
@@ -65,7 +65,7 @@
             RunStatus::NotStarted => self.counters.runs_not_started.increment(),
         }
         debug!(id, ?status, "run ended");
-        let Some(request) = self.engine.find(id) else { return self.count_unknown_request(id) };
+        let Some(request) = self.engine.find(id) else { return self.count_unknown_request_event(id) };
         let can_be_resumed = status == RunStatus::Stopped
             && self.config.backend.stop_keeps_progress
             && self.engine.reply_to(request).is_some();
@@ -109,7 +109,7 @@
         Some((request, self.engine.work(request)?))
     }
 
-    fn count_unknown_request(&self, id: &str) {
+    fn count_unknown_request_event(&self, id: &str) {
         debug!(id, "executor reported an event of an unknown request; event ignored");
         self.counters.unknown_request_events.increment();
     }
--- a/crates/lynxtally-node/src/listener/accept_loop.rs
+++ b/crates/lynxtally-node/src/listener/accept_loop.rs
@@ -31,7 +31,7 @@
     /// While closing, the loop still accepts the connections in the kernel's accept queue. Their handshakes are
     /// complete, so their clients may have sent requests, and closing the socket would reset them. When the queue is
     /// empty, a packet filter drops new connection attempts. Connections whose handshake had begun by then get one
-    /// more [`ACCEPT_RETRY_PAUSE`] to reach the queue.
+    /// more `ACCEPT_RETRY_PAUSE` to reach the queue.
     pub fn accept(self: &Arc<Self>, socket: TcpListener) {
         let socket = match CoIo::new(socket) {
             Ok(socket) => socket,
