--- a/crates/lynxtally-node/src/coordination/settings.rs
+++ b/crates/lynxtally-node/src/coordination/settings.rs
@@ -1,4 +1,4 @@
-//! The part of the configuration that names coordinators, budgets and wallets, under `shares`.
+//! The configuration section `shares`: the coordinators, and the budgets and wallets to lease from them.
 
 use lynxtally::{Downstream, Span};
 use lynxtally_settings::{BackendSettings, SettingError};
@@ -6,33 +6,33 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Limits of `patience_ms`.
+/// The valid values of `patience_ms`.
 const RESPONSE_TIMEOUT_MS: std::ops::RangeInclusive<u64> = 10..=60_000;
-/// `patience_ms` where the file has none.
+/// The default of `patience_ms`.
 const DEFAULT_RESPONSE_TIMEOUT_MS: u64 = 500;
 
-/// What a node takes part in.
+/// The validated coordination settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where the coordinators are, in the order of their numbers.
+    /// The addresses of the coordinators, in the order of their numbers.
     pub coordinators: Vec<SocketAddr>,
-    /// How long a response is waited for before another coordinator is tried.
+    /// How long the node waits for a response before it tries another coordinator.
     pub response_timeout: Span,
-    /// The budget of concurrent calls downstream.
+    /// The name of the budget for concurrent downstream calls; `None` if calls are not leased.
     pub calls: Option<String>,
-    /// How long a call that is started under a lease may run at most, with its cancellation lag.
+    /// The longest time that a call started under a lease can take, including its cancellation lag.
     pub max_call_duration: Span,
-    /// Budgets of tenants' requests a second.
+    /// The tenants' budgets, in requests per second.
     pub quotas: Vec<QuotaBudget>,
-    /// Tenants' wallets.
+    /// The tenants' wallets.
     pub wallets: Vec<TenantWallet>,
-    /// The request classes, in the order of their indices.
+    /// The names of the request classes, in the order of their indices.
     pub classes: Vec<String>,
-    /// How many tenants there are.
+    /// The number of tenants.
     pub tenants: usize,
 }
 
-/// The budget that a tenant's quota is leased from.
+/// The budget from which a tenant's quota is leased.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaBudget {
     /// The budget's name.
@@ -50,10 +50,10 @@
     pub tenant: usize,
 }
 
-/// The part of the file. Its keys are older than the names here.
+/// The section as it appears in the file. Some keys keep their older names, which differ from the field names.
 #[derive(Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct File {
+#[serde(deny_unknown_fields, rename = "File")]
+pub struct CoordinationSection {
     #[serde(rename = "keepers")]
     coordinators: Vec<String>,
     #[serde(default = "default_response_timeout_ms", rename = "patience_ms")]
@@ -69,33 +69,33 @@
     DEFAULT_RESPONSE_TIMEOUT_MS
 }
 
-/// Checks what the file says against the other settings.
+/// Validates the section against the other settings.
 ///
 /// # Errors
-/// The key and what is wrong with it.
-pub fn read(file: File, backend: &BackendSettings) -> Result<Settings, SettingError> {
-    let coordinators = read_addresses(&file.coordinators)?;
-    if !RESPONSE_TIMEOUT_MS.contains(&file.response_timeout_ms) {
-        let what = format!("is {}; 10 to 60000 is expected", file.response_timeout_ms);
-        return Err(SettingError::new("shares.patience_ms", what));
+/// Returns the first invalid key and the reason.
+pub fn validate(section: CoordinationSection, backend: &BackendSettings) -> Result<Settings, SettingError> {
+    let coordinators = read_addresses(&section.coordinators)?;
+    if !RESPONSE_TIMEOUT_MS.contains(&section.response_timeout_ms) {
+        let problem = format!("is {}; 10 to 60000 is expected", section.response_timeout_ms);
+        return Err(SettingError::new("shares.patience_ms", problem));
     }
-    let cancellation_lag = cancellation_lag(&file, backend)?;
+    let cancellation_lag = cancellation_lag(&section, backend)?;
     let deadlines = backend.settings.classes.iter().map(|class| class.deadline);
     let longest_deadline = deadlines.max().unwrap_or_default();
     let mut quotas = Vec::new();
-    for (tenant, budget) in &file.quotas {
+    for (tenant, budget) in &section.quotas {
         quotas.push(QuotaBudget { budget: budget.clone(), tenant: find_tenant("quotas", tenant, backend)? });
     }
     let mut wallets = Vec::new();
-    for (tenant, wallet) in &file.wallets {
+    for (tenant, wallet) in &section.wallets {
         wallets
             .push(TenantWallet { wallet: wallet.clone(), tenant: find_tenant("wallets", tenant, backend)? });
     }
-    check_distinct(file.calls.iter().chain(quotas.iter().map(|quota| &quota.budget)))?;
+    check_distinct(section.calls.iter().chain(quotas.iter().map(|quota| &quota.budget)))?;
     Ok(Settings {
         coordinators,
-        response_timeout: Span::from_millis(file.response_timeout_ms),
-        calls: file.calls,
+        response_timeout: Span::from_millis(section.response_timeout_ms),
+        calls: section.calls,
         max_call_duration: longest_deadline + cancellation_lag,
         quotas,
         wallets,
@@ -108,32 +108,34 @@
     let mut addresses = Vec::new();
     for (n, text) in texts.iter().enumerate() {
         let address = text.parse().map_err(|_| {
-            let what = format!("is {text:?}; an address such as 127.0.0.1:7601 is expected");
-            SettingError::new(format!("shares.keepers[{n}]"), what)
+            let problem = format!("is {text:?}; an address such as 127.0.0.1:7601 is expected");
+            SettingError::new(format!("shares.keepers[{n}]"), problem)
         })?;
         addresses.push(address);
     }
     if addresses.is_empty() {
-        return Err(SettingError::new("shares.keepers", "is empty; the keepers' addresses are expected"));
+        return Err(SettingError::new(
+            "shares.keepers",
+            "is empty; the addresses of the coordinators are expected",
+        ));
     }
     Ok(addresses)
 }
 
-/// How long a call still runs downstream after its cancellation.
-fn cancellation_lag(file: &File, backend: &BackendSettings) -> Result<Span, SettingError> {
+/// The time for which the dependency continues to execute a cancelled call.
+fn cancellation_lag(section: &CoordinationSection, backend: &BackendSettings) -> Result<Span, SettingError> {
     match backend.settings.downstream {
         Downstream::Shared { cancellation_lag, .. } => Ok(cancellation_lag),
-        _ if file.calls.is_some() => {
-            Err(SettingError::new("shares.calls", "is there, but `settings` names no shared dependency"))
+        _ if section.calls.is_some() => {
+            Err(SettingError::new("shares.calls", "is set, but the dependency in `settings` is not shared"))
         }
         _ => Ok(Span::ZERO),
     }
 }
 
 fn find_tenant(key: &str, tenant: &str, backend: &BackendSettings) -> Result<usize, SettingError> {
-    let place = backend.tenant_names.iter().position(|known| known == tenant);
-    place
-        .ok_or_else(|| SettingError::new(format!("shares.{key}.{tenant}"), "names no customer of `settings`"))
+    let index = backend.tenant_names.iter().position(|known| known == tenant);
+    index.ok_or_else(|| SettingError::new(format!("shares.{key}.{tenant}"), "is not a tenant in `settings`"))
 }
 
 fn check_distinct<'a>(budgets: impl Iterator<Item = &'a String>) -> Result<(), SettingError> {
--- a/crates/lynxtally-node/src/downstream/connection.rs
+++ b/crates/lynxtally-node/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the pool: its calls, one after another.
+//! One connection of the pool, which makes its calls one after another.
 
 use super::{Call, CallCommand, CallHandle, DownstreamClient, IdleConnection};
 use crate::http::{self, MessageReader};
@@ -11,25 +11,26 @@
 use std::time::Instant;
 use tracing::debug;
 
-/// One connection of the pool while it is served.
+/// The state of a pooled connection's coroutine.
 pub(super) struct CallConnection<'a> {
     client: &'a DownstreamClient,
     handle: &'a CallHandle,
-    /// Where the dependency was when this connection was made.
+    /// The address of the dependency when this connection was created.
     address: Option<SocketAddr>,
 }
 
-/// How a call ended, and its connection where that may carry another one.
+/// The end of a call.
 struct FinishedCall {
     end: CallEnd,
+    /// The connection, if it can carry another call.
     reusable: Option<Connection>,
 }
 
-/// What ended the wait for the next call.
+/// How the wait for the next call ended.
 enum IdleEnd {
-    /// A call is to be made.
+    /// A call arrived.
     NextCall,
-    /// The connection is closed.
+    /// The connection was closed.
     Closed,
 }
 
@@ -38,7 +39,7 @@
         Self { client, handle, address: *lock(&client.address) }
     }
 
-    /// Makes calls as they come, until the connection is closed.
+    /// Makes calls as they arrive, until the connection is closed.
     pub(super) fn serve(&self) {
         let mut connection = None;
         while let Some(command) = self.handle.take() {
@@ -54,29 +55,30 @@
                 break;
             }
             if let IdleEnd::Closed = self.wait_for_call(idle) {
-                // A call that came meanwhile gets a connection of its own.
+                // A call may have arrived at the same time; the next iteration makes it on a new connection.
                 connection = None;
                 self.handle.detach();
-                self.leave_pool();
+                self.remove_from_pool();
             }
         }
         self.handle.detach();
-        // A call that came between the last look at the mailbox and now is reported as not executed, not lost.
+        // Calls that arrived after the last check of the mailbox are reported as not executed.
         for command in self.handle.close() {
             if let CallCommand::Make(call) = command {
-                let end = CallEnd::NoReply { reason: CloseReason::ClosedByPeer, written: false };
-                // The event loop is gone only where the program ends.
+                let end = CallEnd::NoResponse { reason: CloseReason::ClosedByPeer, written: false };
+                // Reporting fails only after the event loop has ended, and then the program ends too.
                 let _ = self.report_end(call, end);
             }
         }
     }
 
-    fn report_end(&self, call: Call, end: CallEnd) -> Result<(), EventLoopGone> {
+    fn report_end(&self, call: Call, end: CallEnd) -> Result<(), EventLoopStopped> {
         let message = Message::CallEnded { id: call.id, number: call.number, end };
-        self.client.event_loop.send(message).map_err(|_| EventLoopGone)
+        self.client.event_loop.send(message).map_err(|_| EventLoopStopped)
     }
 
-    /// Offers this connection for the next call; false where the dependency has moved meanwhile.
+    /// Returns this connection to the pool. Returns false if the address of the dependency has changed, because the
+    /// connection must then be closed.
     fn return_to_pool(&self) -> bool {
         let mut idle = lock(&self.client.idle);
         if *lock(&self.client.address) != self.address {
@@ -87,7 +89,7 @@
         true
     }
 
-    fn leave_pool(&self) {
+    fn remove_from_pool(&self) {
         lock(&self.client.idle).retain(|idle| !Arc::ptr_eq(&idle.handle, self.handle));
     }
 
@@ -97,7 +99,7 @@
             self.count_close(reason);
             IdleEnd::Closed
         };
-        // Nothing may come on an idle connection, so a single byte is enough to see that something did.
+        // The dependency must not send anything on an idle connection, so a buffer of one byte detects a violation.
         let mut unexpected = Vec::new();
         loop {
             match connection.fill(&mut unexpected, 1) {
@@ -119,15 +121,15 @@
     }
 
     fn count_close(&self, reason: CloseReason) {
-        self.client.counters.downstream_closed.add(reason);
+        self.client.counters.downstream_closed.increment(reason);
     }
 
-    fn without_reply(&self, reason: CloseReason, written: bool) -> FinishedCall {
+    fn without_response(&self, reason: CloseReason, written: bool) -> FinishedCall {
         self.count_close(reason);
-        FinishedCall { end: CallEnd::NoReply { reason, written }, reusable: None }
+        FinishedCall { end: CallEnd::NoResponse { reason, written }, reusable: None }
     }
 
-    /// Makes one call, on the pooled connection where there is one.
+    /// Makes one call on the given connection, or on a new one if there is none.
     fn make_call(&self, call: &Call, pooled: Option<Connection>) -> FinishedCall {
         let connection = match pooled {
             Some(connection) => Ok(connection),
@@ -135,7 +137,7 @@
         };
         match connection {
             Ok(connection) => self.exchange(call, connection),
-            Err(reason) => self.without_reply(reason, false),
+            Err(reason) => self.without_response(reason, false),
         }
     }
 
@@ -144,23 +146,24 @@
         Connection::connect(address, call.deadline.saturating_duration_since(Instant::now()))
     }
 
-    /// Writes the call and reads its reply.
+    /// Writes the call and reads its response.
     fn exchange(&self, call: &Call, mut connection: Connection) -> FinishedCall {
         self.handle.attach(&connection);
         let mut reader = MessageReader::default();
         let mut written = false;
         loop {
             if let Some(reason) = self.cancellation(call) {
-                return self.without_reply(reason, written);
+                return self.without_response(reason, written);
             }
             if connection.is_flushed() && !written {
-                // The clock is read here and not sooner: a process that was stopped on the way to here wakes with a
-                // call whose time may be over, and whose share of the dependency another node may have by now. This is
-                // the monotonic clock, which stands still while the machine is suspended; the lease's own clock does
-                // not (`coordination`), and a suspension between that check and this one is covered up to its pause margin.
+                // The deadline is checked immediately before the write. If the process was stopped after the call was
+                // started, the call may have timed out, and its budget may be leased to another node by now. This
+                // check uses the monotonic clock, which stops while the machine is suspended. Leases are checked
+                // earlier with a clock that continues (see `coordination`); a suspension between the two checks is
+                // covered by the lease's pause margin, if it is no longer than that margin.
                 let left = call.deadline.saturating_duration_since(Instant::now());
                 if left.is_zero() {
-                    return self.without_reply(CloseReason::TimedOut, false);
+                    return self.without_response(CloseReason::TimedOut, false);
                 }
                 let timeout_ms = (left.as_millis() as u64).max(1);
                 http::write_call(connection.output(), &call.id, timeout_ms, &call.body);
@@ -168,39 +171,41 @@
             let flushed = connection.flush();
             written |= connection.is_flushed() || connection.written() > 0;
             if let Err(reason) = flushed {
-                return self.without_reply(reason, written);
+                return self.without_response(reason, written);
             }
-            let progress = match connection.fill(&mut reader.buffer, MessageReader::REPLY_BUFFER_BYTES) {
-                Ok(progress) => progress,
-                Err(reason) => return self.without_reply(reason, written),
-            };
-            match reader.next_reply() {
-                Ok(Some(reply)) => {
-                    // What follows the reply already would be taken for the next call's.
-                    let is_reusable = !reply.closes_connection
+            let progress =
+                match connection.fill(&mut reader.buffer, MessageReader::CALL_RESPONSE_BUFFER_BYTES) {
+                    Ok(progress) => progress,
+                    Err(reason) => return self.without_response(reason, written),
+                };
+            match reader.next_call_response() {
+                Ok(Some(response)) => {
+                    // Bytes that follow the response would be read as the response to the next call.
+                    let is_reusable = !response.closes_connection
                         && progress == ReadProgress::Drained
                         && reader.buffer.is_empty();
                     if !is_reusable {
                         self.count_close(CloseReason::Completed);
                     }
-                    let end = CallEnd::Replied(reply.content);
+                    let end = CallEnd::Response(response.content);
                     return FinishedCall { end, reusable: is_reusable.then_some(connection) };
                 }
                 Ok(None) if progress == ReadProgress::EndOfStream => {
                     let is_empty = reader.buffer.is_empty();
                     let reason = if is_empty { CloseReason::ClosedByPeer } else { CloseReason::Truncated };
-                    return self.without_reply(reason, written);
+                    return self.without_response(reason, written);
                 }
                 Ok(None) => connection.wait(),
                 Err(error) => {
-                    debug!(id = call.id, %error, "a reply to a call can't be parsed");
-                    return self.without_reply(CloseReason::Malformed, written);
+                    debug!(id = call.id, %error, "downstream call failed: its response can't be parsed");
+                    return self.without_response(CloseReason::Malformed, written);
                 }
             }
         }
     }
 
-    /// Why the call is to be cancelled, if it is. Its connection is closed with it: a reply that still comes is nobody's.
+    /// Returns the close reason if the call was cancelled. The connection must then be closed, so that a late
+    /// response to the cancelled call is not read as the response to another call.
     fn cancellation(&self, call: &Call) -> Option<CloseReason> {
         while let Some(command) = self.handle.take() {
             if matches!(command, CallCommand::Cancel(number) if number == call.number) {
@@ -212,5 +217,5 @@
     }
 }
 
-/// The event loop is gone: the program ends.
-struct EventLoopGone;
+/// The error of a send to the event loop after it has ended. The program ends too.
+struct EventLoopStopped;
--- a/crates/lynxtally-node/src/event_loop/requests.rs
+++ b/crates/lynxtally-node/src/event_loop/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that were read, and callers that no longer wait.
+//! Submits received requests to the engine and handles clients that disconnect.
 
 use super::executor::RequestWork;
 use super::EventLoop;
@@ -15,7 +15,7 @@
     /// Submits a request to the engine.
     pub(super) fn request_read(&mut self, now: Instant, read: RequestRead) {
         let RequestRead { request, connection } = read;
-        self.counters.requests.add(request.class);
+        self.counters.requests.increment(request.class);
         let settings = &self.config.backend.settings;
         let effect = settings.classes[request.class].effect;
         let identity = request_identity(&request, effect, settings.coalescing_window);
@@ -23,10 +23,10 @@
         debug!(
             id = request.id,
             class = request.class,
-            caller = request.caller,
+            client = request.client,
             is_retry = request.is_retry,
             receive_delay_ms = incoming.receive_delay.micros() / 1000,
-            "request read"
+            "submitting a request to the engine"
         );
         let id = request.id.clone();
         let work = RequestWork {
@@ -36,39 +36,44 @@
             ..RequestWork::default()
         };
         match self.engine.submit(now, Some(&id), incoming, work, connection) {
-            Ok(_) => self.counters.in_flight.add(),
-            Err(rejection) => self.refuse(&id, effect, &rejection),
+            Ok(_) => self.counters.in_flight.increment(),
+            Err(rejection) => self.respond_to_rejection(&id, effect, &rejection),
         }
     }
 
-    /// Answers a request that the engine did not accept.
+    /// Answers a request that the engine rejected.
     ///
-    /// "Rejected" promises that the request was not executed. That is true before the executor is up. Under an id that
-    /// is in use, this request can't be told from the one that has it, which may run: for a request with effects, the
-    /// response must not promise what could be taken for the other's.
-    fn refuse(&self, id: &str, effect: Effect, rejection: &Rejection<ConnectionHandle>) {
+    /// The response `Rejected` guarantees that the request was not executed. The guarantee holds if the executor is
+    /// not up yet. If the id is in use, the client can't distinguish this request from the open one with the same id,
+    /// which may be running. A request with effects is then answered with `Failed`, because the client could apply
+    /// the guarantee to the open request.
+    fn respond_to_rejection(&self, id: &str, effect: Effect, rejection: &Rejection<ConnectionHandle>) {
         let reason = rejection.reason;
         if self.counters.requests_refused.get() == 0 {
-            warn!(id, ?reason, "a request was not accepted; later ones are only counted");
+            warn!(
+                id,
+                ?reason,
+                "engine rejected a request on submission; further ones are counted, not logged"
+            );
         }
-        self.counters.requests_refused.add();
+        self.counters.requests_refused.increment();
         let was_not_executed = match reason {
             RejectionReason::NotReady => true,
             RejectionReason::NameInUse => effect == Effect::Idempotent,
             RejectionReason::KeyConflict => false,
         };
         let response = if was_not_executed {
-            self.counters.rejected.add();
+            self.counters.rejected.increment();
             FinalResponse::Rejected { retry_after: Span::ZERO, no_retry: false }
         } else {
-            self.counters.failed.add();
+            self.counters.failed.increment();
             FinalResponse::Failed
         };
         rejection.reply_to.push(ConnectionCommand::Respond(response));
     }
 
-    /// The connection of a request ended so that its caller no longer waits.
-    pub(super) fn caller_gone(
+    /// Tells the engine that the client of an open request no longer waits for the response.
+    pub(super) fn client_disconnected(
         &mut self,
         now: Instant,
         id: &str,
@@ -76,21 +81,21 @@
         reason: CloseReason,
     ) {
         let Some(request) = self.engine.find(id) else { return };
-        // A request on another connection may have the same id.
-        if self.engine.caller_gone(now, request, |own| Arc::ptr_eq(own, connection)) {
-            debug!(id, %reason, "caller gone");
-            self.counters.caller_gone.add();
-            self.counters.in_flight.subtract();
+        // The open request with this id may belong to another connection.
+        if self.engine.caller_gone(now, request, |reply_to| Arc::ptr_eq(reply_to, connection)) {
+            debug!(id, %reason, "client disconnected before its response");
+            self.counters.client_disconnected.increment();
+            self.counters.in_flight.decrement();
         }
     }
 }
 
-/// A request in the engine's terms.
+/// Converts a request to the form that the engine takes.
 fn incoming_request(now: Instant, request: &ReceivedRequest, identity: RequestIdentity) -> IncomingRequest {
     IncomingRequest {
         class: request.class,
         tenant: request.tenant,
-        caller: request.caller,
+        caller: request.client,
         expected_work: request.expected_work_ms.map(|work| Span::from_secs(work / 1000.0)),
         deadline: request.deadline_ms.map(|deadline| Instant::from_micros(deadline * 1000)),
         is_retry: request.is_retry,
