--- a/crates/lynxtally-node/tests/fleet.rs
+++ b/crates/lynxtally-node/tests/fleet.rs
@@ -4,7 +4,7 @@
 mod doubles;
 
 use doubles::{request, Client, Load, SharedDependency, TestNode};
-use lynxtally_fault_injection::ledger::Ledger;
+use lynxtally_fault_injection::test_dependency::Ledger;
 use lynxtally_fault_injection::process::TempFolder;
 use lynxtally_fault_injection::relay::{Faults, Relay};
 use lynxtally_fault_injection::{http_client, wait_until};
--- a/crates/lynxtally-node/tests/sums.rs
+++ b/crates/lynxtally-node/tests/sums.rs
@@ -3,7 +3,7 @@
 
 mod doubles;
 use doubles::{until, Load, SharedDependency, TestNode};
-use lynxtally_fault_injection::ledger::Ledger;
+use lynxtally_fault_injection::test_dependency::Ledger;
 use std::thread;
 use std::time::{Duration, Instant};
 
--- a/crates/testing/fault-injection/src/lib.rs
+++ b/crates/testing/fault-injection/src/lib.rs
@@ -1,15 +1,15 @@
 //! Several processes of the programs on loopback, with faults between them: relays that delay, lose, repeat and cut
 //! ([`relay`]), processes that are killed, paused and started again ([`process`]), nodes without a program round them
 //! ([`test_node`]) whose leases are summed ([`lease_audit`]), and a ledger that counts for itself what is in flight there
-//! ([`ledger`]).
+//! ([`test_dependency`]).
 
 #![forbid(unsafe_code)]
 
 pub mod http_client;
 pub mod lease_audit;
-pub mod ledger;
 pub mod process;
 pub mod relay;
+pub mod test_dependency;
 pub mod test_node;
 
 use std::net::{SocketAddr, TcpListener};
