--- a/crates/core/wal/src/frame.rs
+++ b/crates/core/wal/src/frame.rs
@@ -62,23 +62,23 @@
 
 /// A sealed file taken apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SealedFile<'a> {
+pub struct ChecksummedFile<'a> {
     /// The number it was sealed with; of a snapshot, that of the first entry after it.
     pub number: u64,
     /// Its content.
     pub content: &'a [u8],
 }
 
-/// A snapshot or other whole file with its checksum: number and content come back from [`unseal`].
-pub fn seal(number: u64, content: &[u8]) -> Vec<u8> {
+/// A snapshot or other whole file with its checksum: number and content come back from [`decode_checksummed_file`].
+pub fn encode_checksummed_file(number: u64, content: &[u8]) -> Vec<u8> {
     let mut out = SEALED_MAGIC.to_vec();
     write_frame(&mut out, number, content);
     out
 }
 
 /// Takes a sealed file apart; none where it is not whole.
-pub fn unseal(file: &[u8]) -> Option<SealedFile<'_>> {
+pub fn decode_checksummed_file(file: &[u8]) -> Option<ChecksummedFile<'_>> {
     file.strip_prefix(SEALED_MAGIC)?;
     let Frame { number, content, end } = read_frame(file, SEALED_MAGIC.len())?;
-    (end == file.len()).then_some(SealedFile { number, content })
+    (end == file.len()).then_some(ChecksummedFile { number, content })
 }
--- a/crates/core/wal/src/lib.rs
+++ b/crates/core/wal/src/lib.rs
@@ -18,7 +18,7 @@
 mod recovery;
 mod storage;
 
-pub use frame::{seal, unseal, SealedFile};
+pub use frame::{decode_checksummed_file, encode_checksummed_file, ChecksummedFile};
 pub use log::{Batch, Rotation, WriteAheadLog};
 pub use recovery::{Damage, DamagedFile, Recovered, TornTail};
 pub use storage::{Storage, StorageError};
--- a/crates/core/wal/src/log.rs
+++ b/crates/core/wal/src/log.rs
@@ -1,7 +1,7 @@
 //! The log that entries are appended to.
 
 use crate::files::{file_name, generations, FileKind};
-use crate::frame::{seal, write_frame, LOG_MAGIC};
+use crate::frame::{encode_checksummed_file, write_frame, LOG_MAGIC};
 use crate::recovery::{recover, Position, Recovered, TornTail};
 use crate::storage::{OfFile, Storage, StorageError};
 
@@ -122,7 +122,7 @@
         snapshot: &[u8],
     ) -> Result<(), StorageError> {
         let file = file_name(name, rotation.generation, FileKind::Snapshot);
-        storage.replace(&file, &seal(rotation.first_entry, snapshot)).of_file(&file)?;
+        storage.replace(&file, &encode_checksummed_file(rotation.first_entry, snapshot)).of_file(&file)?;
         let files = storage.list().of_file(name)?;
         let snapshots = generations(&files, name, FileKind::Snapshot);
         let before = snapshots.into_iter().rev().find(|generation| *generation < rotation.generation);
--- a/crates/core/wal/src/recovery.rs
+++ b/crates/core/wal/src/recovery.rs
@@ -6,7 +6,7 @@
 //! operator has looked. In place of a damaged snapshot an older one is taken, where the logs reach back to it.
 
 use crate::files::{file_name, generations, is_snapshot, FileKind};
-use crate::frame::{any_frame, read_frame, unseal, LOG_MAGIC};
+use crate::frame::{any_frame, decode_checksummed_file, read_frame, LOG_MAGIC};
 use crate::storage::{OfFile, Storage, StorageError};
 use std::fmt;
 
@@ -132,7 +132,7 @@
         for generation in generations(files, self.log, FileKind::Snapshot).into_iter().rev() {
             let file = file_name(self.log, generation, FileKind::Snapshot);
             let bytes = storage.read(&file).of_file(&file)?.unwrap_or_default();
-            if let Some(sealed) = unseal(&bytes) {
+            if let Some(sealed) = decode_checksummed_file(&bytes) {
                 self.position.next_number = sealed.number;
                 self.recovered.snapshot = Some(sealed.content.to_vec());
                 return Ok(generation);
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -419,7 +419,7 @@
 /// Writes a base to its own file; tells its name.
 fn write_base(folder: &mut DirectoryStorage, name: &str, zone: &Zone) -> Result<String, String> {
     let file = format!("{name}.{:016x}.base", rand::rng().random::<u64>());
-    let octets = lynxtally_wal::seal(u64::from(zone.serial().0), &encode_base(zone));
+    let octets = lynxtally_wal::encode_checksummed_file(u64::from(zone.serial().0), &encode_base(zone));
     folder.replace(&file, &octets).map_err(|fault| format!("{file}: {fault}"))?;
     Ok(file)
 }
@@ -427,7 +427,7 @@
 /// Reads it.
 pub fn read_base(folder: &mut DirectoryStorage, file: &str) -> Option<Zone> {
     let octets = folder.read(file).ok()??;
-    decode_base(lynxtally_wal::unseal(&octets)?.content)
+    decode_base(lynxtally_wal::decode_checksummed_file(&octets)?.content)
 }
 
 /// Takes a zone from its log, or from its file where it has none yet. A damaged log freezes the zone as far as it
@@ -531,7 +531,7 @@
     for file in files.iter().filter(|file| file.starts_with(&format!("{name}."))) {
         let Ok(Some(octets)) = folder.read(file) else { return };
         if file.ends_with(".snap") {
-            let Some(sealed) = lynxtally_wal::unseal(&octets) else { return };
+            let Some(sealed) = lynxtally_wal::decode_checksummed_file(&octets) else { return };
             let Ok(snapshot) = decode::<Snapshot>(sealed.content) else { return };
             named.push(snapshot.base);
         } else if file.ends_with(".log") {
--- a/crates/lynxtally-coordinator/src/coordinator.rs
+++ b/crates/lynxtally-coordinator/src/coordinator.rs
@@ -71,7 +71,7 @@
     let folder = DirectoryStorage::new(&settings.folder).map_err(|error| in_folder(&error))?;
     let failed = |error: StoreError| in_folder(&error);
     let opened = store::open(folder).map_err(failed)?;
-    if let Some(cut) = &opened.cut {
+    if let Some(cut) = &opened.truncated_tail {
         warn!(cut, "an entry that was never acknowledged was cut off");
     }
     let state_machine = StateMachine::new(&opened).map_err(failed)?;
--- a/crates/lynxtally-coordinator/src/store/storage_thread.rs
+++ b/crates/lynxtally-coordinator/src/store/storage_thread.rs
@@ -2,7 +2,9 @@
 
 use super::error::{StorageFailure, StoreError};
 use super::log_record::{LogContent, LogRecord};
-use lynxtally_wal::{seal, unseal, Recovered, SealedFile, Storage, WriteAheadLog};
+use lynxtally_wal::{
+    decode_checksummed_file, encode_checksummed_file, ChecksummedFile, Recovered, Storage, WriteAheadLog,
+};
 use std::fmt;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
@@ -64,7 +66,7 @@
     pub(crate) state: Option<Vec<u8>>,
     pub(crate) storage: StorageHandle,
     /// What was cut off at the end of the log: it was never acknowledged.
-    pub cut: Option<String>,
+    pub truncated_tail: Option<String>,
 }
 
 /// Opens a folder and starts its thread.
@@ -81,14 +83,15 @@
     let first = wal.next_number() - entries.len() as u64;
     let log = read_log(snapshot, first, &entries)?;
     let state = read_state(&mut folder)?;
-    let cut = torn_tail.map(|tail| format!("{}: {} octets from {} on", tail.file, tail.length, tail.offset));
+    let truncated_tail =
+        torn_tail.map(|tail| format!("{}: {} octets from {} on", tail.file, tail.length, tail.offset));
     let (sender, jobs) = channel();
     let mut worker = StorageThread { folder, wal, log: log.clone(), failure: None };
     thread::Builder::new()
         .name("folder".to_owned())
         .spawn(move || worker.run(&jobs))
         .map_err(StoreError::Thread)?;
-    Ok(OpenedStore { log, state, storage: StorageHandle(sender), cut })
+    Ok(OpenedStore { log, state, storage: StorageHandle(sender), truncated_tail })
 }
 
 /// What a snapshot of the log and the records that follow it add up to.
@@ -109,8 +112,8 @@
 fn read_state(folder: &mut impl Storage) -> Result<Option<Vec<u8>>, StoreError> {
     let file = folder.read(STATE_FILE).map_err(|error| StoreError::State(error.to_string()))?;
     let Some(sealed) = file else { return Ok(None) };
-    match unseal(&sealed) {
-        Some(SealedFile { content, .. }) => Ok(Some(content.to_vec())),
+    match decode_checksummed_file(&sealed) {
+        Some(ChecksummedFile { content, .. }) => Ok(Some(content.to_vec())),
         None => Err(StoreError::State("it is not whole".to_owned())),
     }
 }
@@ -171,7 +174,7 @@
 
     fn replace_state(&mut self, index: u64, state: &[u8]) {
         if self.failure.is_none() {
-            let replaced = self.folder.replace(STATE_FILE, &seal(index, state));
+            let replaced = self.folder.replace(STATE_FILE, &encode_checksummed_file(index, state));
             self.note(replaced.map_err(|error| format!("{STATE_FILE}: {error}")));
         }
     }
--- a/crates/testing/fault-injection/src/process.rs
+++ b/crates/testing/fault-injection/src/process.rs
@@ -70,7 +70,7 @@
     ///
     /// # Panics
     /// It was waited for before.
-    pub fn wait_success(&mut self) -> bool {
+    pub fn wait_for_success(&mut self) -> bool {
         let mut child = self.0.take().expect("it runs");
         child.wait().expect("it ends").success()
     }
--- a/crates/testing/fault-injection/src/relay.rs
+++ b/crates/testing/fault-injection/src/relay.rs
@@ -28,7 +28,7 @@
 
 impl Faults {
     /// Nothing gets through.
-    pub const CUT: Self = Self {
+    pub const DROP_ALL: Self = Self {
         drop_requests: true,
         drop_responses: true,
         stall: false,
