--- a/crates/core/wal/src/files.rs
+++ b/crates/core/wal/src/files.rs
@@ -1,6 +1,6 @@
 //! The names of a log's files: `NAME.GENERATION.log` and `NAME.GENERATION.snap`.
 
-/// What a file of a log holds.
+/// The kind of a file of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FileKind {
     Log,
@@ -16,17 +16,16 @@
     }
 }
 
-/// The name of a file.
 pub(crate) fn file_name(log: &str, generation: u64, kind: FileKind) -> String {
     format!("{log}.{generation}.{}", kind.extension())
 }
 
-/// Whether a file of this name holds a snapshot.
+/// Whether the file name is that of a snapshot.
 pub(crate) fn is_snapshot(file: &str) -> bool {
     file.ends_with(".snap")
 }
 
-/// The generations of which there is a file of this kind, in ascending order.
+/// The generations of a log that have a file of this kind, in ascending order.
 pub(crate) fn generations(files: &[String], log: &str, kind: FileKind) -> Vec<u64> {
     let generation = |file: &String| {
         let rest = file.strip_prefix(log)?.strip_prefix('.')?;
--- a/crates/core/wal/src/frame.rs
+++ b/crates/core/wal/src/frame.rs
@@ -1,28 +1,27 @@
-//! The stored form of entries and of sealed files: a frame of length, CRC-32C, number and content, behind the magic bytes
-//! that begin a file.
+//! The file format. A file starts with 8 magic bytes. A log file has any number of frames after them, a checksummed file
+//! such as a snapshot exactly one. A frame consists of length, CRC-32C, number and content.
 
-/// Begins a log.
+/// The first bytes of a log file.
 pub(crate) const LOG_MAGIC: &[u8; 8] = b"LXTLOG\x001";
-/// Begins a sealed file, such as a snapshot.
-const SEALED_MAGIC: &[u8; 8] = b"LXTSNP\x001";
-/// Length (4 bytes), CRC (4) and number (8) before a frame's content, all little-endian.
+/// The first bytes of a checksummed file.
+const CHECKSUMMED_MAGIC: &[u8; 8] = b"LXTSNP\x001";
+/// The header of a frame: length (4 bytes), CRC (4 bytes) and number (8 bytes), all little-endian.
 const HEADER_BYTES: usize = 4 + 4 + 8;
-/// The content of a frame is no longer than this: a reader takes more for damage. Writers keep far below it; that is not
-/// checked here.
+/// A frame with longer content is read as damage. Writers stay far below this limit and do not check it.
 const MAX_CONTENT_BYTES: usize = 256 << 20;
-/// Numbers that lie further apart than this do not belong to one log.
+/// A number that is this far above the expected one does not belong to the log: the bytes are no frame.
 const MAX_NUMBER_GAP: u64 = 1 << 32;
 
-/// A whole frame with a right CRC.
+/// A complete frame whose CRC matches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Frame<'a> {
     pub number: u64,
     pub content: &'a [u8],
-    /// Where it ends, in bytes from the file's start.
+    /// The offset of the byte after the frame.
     pub end: usize,
 }
 
-/// Appends a frame.
+/// Appends a frame to `out`.
 pub(crate) fn write_frame(out: &mut Vec<u8>, number: u64, content: &[u8]) {
     out.extend((content.len() as u32).to_le_bytes());
     out.extend(crc(number, content).to_le_bytes());
@@ -30,12 +29,12 @@
     out.extend_from_slice(content);
 }
 
-/// The CRC over number and content.
+/// The CRC-32C over number and content.
 fn crc(number: u64, content: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c(&number.to_le_bytes()), content)
 }
 
-/// The frame at an offset, if a whole one with a right CRC stands there.
+/// Reads the frame at an offset; `None` if it is incomplete, too long, or its CRC does not match.
 pub(crate) fn read_frame(file: &[u8], offset: usize) -> Option<Frame<'_>> {
     let header = file.get(offset..offset + HEADER_BYTES)?;
     let length = u32::from_le_bytes(header[..4].try_into().ok()?) as usize;
@@ -48,11 +47,11 @@
     is_whole.then_some(Frame { number, content, end })
 }
 
-/// Whether a whole frame with a number from `min_number` on stands anywhere from an offset on. It tells a write that
-/// broke off (nothing follows) from damage (acknowledged entries follow).
+/// Whether a valid frame with a number of at least `min_number` starts at any offset from `from` on. This distinguishes an
+/// incomplete write, which nothing follows, from damage, which acknowledged entries follow.
 pub(crate) fn any_frame(file: &[u8], from: usize, min_number: u64) -> bool {
     (from..file.len()).any(|offset| {
-        // The number is compared first: a CRC at each offset would take long in a large file.
+        // Comparing the number first avoids computing a CRC at every offset of a large file.
         let number = file.get(offset + 8..offset + HEADER_BYTES).and_then(|bytes| bytes.try_into().ok());
         let number = number.map(u64::from_le_bytes);
         let plausible = number.is_some_and(|n| n >= min_number && n - min_number < MAX_NUMBER_GAP);
@@ -60,25 +59,25 @@
     })
 }
 
-/// A sealed file taken apart.
+/// The decoded number and content of a checksummed file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChecksummedFile<'a> {
-    /// The number it was sealed with; of a snapshot, that of the first entry after it.
+    /// The number that the writer chose. In a snapshot, the number of the first entry after it.
     pub number: u64,
-    /// Its content.
+    /// The bytes that the writer stored, without header and checksum.
     pub content: &'a [u8],
 }
 
-/// A snapshot or other whole file with its checksum: number and content come back from [`decode_checksummed_file`].
+/// Encodes a number and a content as a file with a checksum. [`decode_checksummed_file`] decodes it.
 pub fn encode_checksummed_file(number: u64, content: &[u8]) -> Vec<u8> {
-    let mut out = SEALED_MAGIC.to_vec();
+    let mut out = CHECKSUMMED_MAGIC.to_vec();
     write_frame(&mut out, number, content);
     out
 }
 
-/// Takes a sealed file apart; none where it is not whole.
+/// Decodes a checksummed file; `None` if it is incomplete or damaged.
 pub fn decode_checksummed_file(file: &[u8]) -> Option<ChecksummedFile<'_>> {
-    file.strip_prefix(SEALED_MAGIC)?;
-    let Frame { number, content, end } = read_frame(file, SEALED_MAGIC.len())?;
+    file.strip_prefix(CHECKSUMMED_MAGIC)?;
+    let Frame { number, content, end } = read_frame(file, CHECKSUMMED_MAGIC.len())?;
     (end == file.len()).then_some(ChecksummedFile { number, content })
 }
--- a/crates/core/wal/src/lib.rs
+++ b/crates/core/wal/src/lib.rs
@@ -1,14 +1,19 @@
-//! A write-ahead log of numbered entries, with snapshots that shorten it. It knows no file system: a [`Storage`] carries
-//! out what it says, and may fail or lose what was not made durable at any step.
+//! A write-ahead log of numbered entries, with snapshots that let older entries be deleted. Use it for state that has to
+//! survive a crash or a loss of power at any step. The log accesses files only through a [`Storage`], whose operations may
+//! fail, and which may lose any data that was not synced.
 //!
-//! Files of a log called `zone`: `zone.G.snap`, a snapshot with generation G, and `zone.G.log`, the entries after it. A
-//! new generation begins with its log ([`WriteAheadLog::rotate`]); its snapshot follows when it is ready, and is the
-//! point from which the older ones are not needed. So nothing waits for a snapshot, and a stop at any step leaves a
-//! snapshot and all logs after it.
+//! # Files
 //!
-//! Every entry carries its number, its length and a CRC-32C over number and content. What breaks off at the end of the
-//! newest log was never acknowledged and is cut off ([`TornTail`]); anything else is damage, and is reported
-//! ([`DamagedFile`]).
+//! A log named `zone` consists of snapshots `zone.G.snap` and log files `zone.G.log`, where `G` is the generation. A log
+//! file holds the entries after the snapshot of its generation. [`WriteAheadLog::rotate`] starts a new generation with an
+//! empty log file; [`WriteAheadLog::write_snapshot`] adds its snapshot later. Appends therefore never wait for a
+//! snapshot, and a crash at any step leaves a snapshot and all log files after it.
+//!
+//! # What goes wrong
+//!
+//! Every entry carries its number, its length and a CRC-32C over number and content. An incomplete write at the end of the
+//! newest log file ([`TornTail`]) was never acknowledged and is truncated. Anything else that can't be read is reported
+//! as damage ([`DamagedFile`]).
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/wal/src/log.rs
+++ b/crates/core/wal/src/log.rs
@@ -1,60 +1,61 @@
-//! The log that entries are appended to.
+//! Appending entries, rotating to a new generation, and writing snapshots.
 
 use crate::files::{file_name, generations, FileKind};
 use crate::frame::{encode_checksummed_file, write_frame, LOG_MAGIC};
 use crate::recovery::{recover, Position, Recovered, TornTail};
 use crate::storage::{OfFile, Storage, StorageError};
 
-/// A log that entries are appended to.
+/// A write-ahead log that is open for appending.
 #[derive(Debug)]
 pub struct WriteAheadLog {
     name: String,
     generation: u64,
     next_number: u64,
-    /// Whether the newest log file has its magic bytes already.
+    /// Whether the magic bytes of the newest log file have been written.
     has_header: bool,
-    /// Entries, framed, that no batch has taken yet.
+    /// Framed entries that are not part of a batch yet.
     pending: Vec<u8>,
     bytes_since_snapshot: u64,
 }
 
-/// Bytes to be appended to a file and made durable.
+/// Bytes to append to a file and then sync.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// The file.
+    /// The name of the file.
     pub file: String,
-    /// What to append.
+    /// The bytes to append.
     pub bytes: Vec<u8>,
-    /// Once it is durable, all entries below this number are.
+    /// All entries with numbers below this are durable once the batch is synced.
     pub durable_below: u64,
 }
 
-/// A generation that has begun and waits for its snapshot.
+/// A generation whose log file has been started and whose snapshot is still to be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rotation {
-    /// The generation.
+    /// The number of the generation.
     pub generation: u64,
-    /// The number of the first entry after the snapshot.
+    /// The number of the first entry that the snapshot does not cover.
     pub first_entry: u64,
 }
 
 impl WriteAheadLog {
-    /// Opens a log: reads what is there, cuts a torn tail off, and tells all it found.
+    /// Opens a log: reads its files and truncates a torn tail. Check [`Recovered::damage`] before appending: entries after
+    /// the damage are missing from the result.
     ///
     /// # Errors
-    /// Where the storage fails. Damage is no error here: see [`Recovered::damage`].
+    /// A storage operation failed. Damage is not an error.
     pub fn open(storage: &mut impl Storage, name: &str) -> Result<(Self, Recovered), StorageError> {
         let (log, recovered) = Self::inspect(storage, name)?;
         if let Some(tail) = &recovered.torn_tail {
-            cut_off(storage, tail)?;
+            truncate_tail(storage, tail)?;
         }
         Ok((log, recovered))
     }
 
-    /// The same as [`Self::open`] without changing anything.
+    /// Reads a log like [`Self::open`], but leaves a torn tail in place.
     ///
     /// # Errors
-    /// Where the storage fails.
+    /// A storage operation failed.
     pub fn inspect(storage: &mut impl Storage, name: &str) -> Result<(Self, Recovered), StorageError> {
         let (Position { generation, next_number, has_header, entry_bytes }, recovered) =
             recover(storage, name)?;
@@ -69,7 +70,7 @@
         Ok((log, recovered))
     }
 
-    /// Appends an entry and returns its number; it is durable once a [`Batch`] with it is.
+    /// Appends an entry in memory and returns its number. It is durable once the [`Batch`] that contains it is synced.
     pub fn append(&mut self, entry: &[u8]) -> u64 {
         let number = self.next_number;
         write_frame(&mut self.pending, number, entry);
@@ -82,12 +83,14 @@
         self.next_number
     }
 
-    /// How many bytes of entries stand behind the last snapshot.
+    /// The size in bytes of the entries since the last rotation or, if there was none since opening, of all recovered and
+    /// later entries. Entries that are not part of a batch yet do not count.
     pub fn bytes_since_snapshot(&self) -> u64 {
         self.bytes_since_snapshot
     }
 
-    /// What was appended since the last batch; none where nothing was.
+    /// Returns the entries appended since the last batch, or `None` if there are none. The caller has to write batches in
+    /// order.
     pub fn take_batch(&mut self) -> Option<Batch> {
         if self.pending.is_empty() {
             return None;
@@ -100,8 +103,8 @@
         Some(Batch { file, bytes, durable_below: self.next_number })
     }
 
-    /// Begins a generation: entries from now on stand in a new log file. Whatever was appended before must have been
-    /// taken as a batch. The snapshot of all before is written later, by [`Self::write_snapshot`].
+    /// Starts a new generation: later entries go to a new log file. All entries appended before must have been taken as a
+    /// batch. [`Self::write_snapshot`] writes the snapshot, which covers the entries before the rotation.
     pub fn rotate(&mut self) -> Rotation {
         debug_assert!(self.pending.is_empty(), "entries of the old generation are left");
         self.generation += 1;
@@ -110,11 +113,11 @@
         Rotation { generation: self.generation, first_entry: self.next_number }
     }
 
-    /// Writes a generation's snapshot. What is older than the snapshot before it is removed then: two generations stay,
-    /// so that a damaged snapshot is no loss.
+    /// Writes the snapshot of a generation, then removes all files older than the previous snapshot. The previous snapshot
+    /// and the log files after it remain, so that the state can be recovered if the new snapshot is damaged.
     ///
     /// # Errors
-    /// Where the storage fails.
+    /// A storage operation failed.
     pub fn write_snapshot(
         storage: &mut impl Storage,
         name: &str,
@@ -125,11 +128,11 @@
         storage.replace(&file, &encode_checksummed_file(rotation.first_entry, snapshot)).of_file(&file)?;
         let files = storage.list().of_file(name)?;
         let snapshots = generations(&files, name, FileKind::Snapshot);
-        let before = snapshots.into_iter().rev().find(|generation| *generation < rotation.generation);
-        let Some(before) = before else { return Ok(()) };
+        let previous = snapshots.into_iter().rev().find(|generation| *generation < rotation.generation);
+        let Some(previous) = previous else { return Ok(()) };
         for kind in [FileKind::Snapshot, FileKind::Log] {
             let all = generations(&files, name, kind);
-            for generation in all.into_iter().filter(|generation| *generation < before) {
+            for generation in all.into_iter().filter(|generation| *generation < previous) {
                 let file = file_name(name, generation, kind);
                 storage.remove(&file).of_file(&file)?;
             }
@@ -137,10 +140,11 @@
         Ok(())
     }
 
-    /// Writes what was appended and makes it durable; for those who have no thread for it.
+    /// Writes and syncs the entries appended since the last batch. For callers that write on their own thread; others use
+    /// [`Self::take_batch`] and hand the batch to a writer thread.
     ///
     /// # Errors
-    /// Where the storage fails: then it is not known whether the entries are durable.
+    /// A storage operation failed. It is unknown then whether the entries are durable.
     pub fn commit(&mut self, storage: &mut impl Storage) -> Result<(), StorageError> {
         if let Some(batch) = self.take_batch() {
             storage.append(&batch.file, &batch.bytes).of_file(&batch.file)?;
@@ -150,10 +154,10 @@
     }
 }
 
-/// Cuts a torn tail off. It is kept in a file beside: an operator may want to see what it was.
-fn cut_off(storage: &mut impl Storage, tail: &TornTail) -> Result<(), StorageError> {
+/// Truncates a torn tail after saving its bytes in a `.cut` file, so that an operator can look at them.
+fn truncate_tail(storage: &mut impl Storage, tail: &TornTail) -> Result<(), StorageError> {
     let bytes = storage.read(&tail.file).of_file(&tail.file)?.unwrap_or_default();
-    let kept = format!("{}.cut", tail.file);
-    storage.replace(&kept, &bytes[tail.offset as usize..]).of_file(&kept)?;
+    let saved = format!("{}.cut", tail.file);
+    storage.replace(&saved, &bytes[tail.offset as usize..]).of_file(&saved)?;
     storage.truncate(&tail.file, tail.offset).of_file(&tail.file)
 }
--- a/crates/core/wal/src/storage.rs
+++ b/crates/core/wal/src/storage.rs
@@ -1,32 +1,32 @@
-//! What a log needs of a directory.
+//! The file operations that a log needs.
 
 use std::fmt;
 use std::io;
 
-/// A directory. Each operation may fail, and what was not made durable may be lost at any step.
+/// A directory of files. Any operation may fail, and a crash may lose data that was not synced.
 pub trait Storage {
-    /// A file's bytes; none where there is no such file.
+    /// Reads a file; `None` if it does not exist.
     fn read(&mut self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// The files there are, in the order of their names.
+    /// Lists the file names, sorted.
     fn list(&mut self) -> io::Result<Vec<String>>;
-    /// Appends bytes to a file, creating it where it is not there. Durable only after `sync`.
+    /// Appends bytes to a file, creating it if it does not exist. The bytes are durable only after [`Storage::sync`].
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Makes a file durable, its name included.
+    /// Makes a file's content and its directory entry durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Puts a whole file in place, durably; after a stop at any step there is the old one or the new one.
+    /// Replaces a file atomically and durably: after a crash the file has its old or its new content.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Shortens a file, durably.
+    /// Truncates a file to `length` bytes, durably.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// The storage failed.
+/// A failed storage operation.
 #[derive(Debug)]
 pub struct StorageError {
-    /// The file.
+    /// The file, or the name of the log if the operation was to list its files.
     pub file: String,
-    /// Why.
+    /// The error of the operation.
     pub source: io::Error,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Names the file of an error.
+/// Adds the name of the file to an I/O error.
 pub(crate) trait OfFile<T> {
     fn of_file(self, file: &str) -> Result<T, StorageError>;
 }
