--- a/crates/core/lease-client/src/client.rs
+++ b/crates/core/lease-client/src/client.rs
@@ -1,8 +1,8 @@
-//! The lease client: what is in force, what is sent when, and what a response changes.
+//! The lease client: decides when to send a request and applies the responses.
 
 use crate::demand::UsageCounts;
 use crate::event::{Event, OutgoingRequest};
-use crate::exchange::{AnsweredRequest, Attempt, Exchange};
+use crate::exchange::{Attempt, Exchange, MatchedRequest};
 use crate::lease::LeasedBudget;
 use crate::reservation::{CurrentReservation, ReservedWallet, WalletUsage};
 use crate::session::SessionState;
@@ -13,16 +13,17 @@
     WalletReport,
 };
 
-/// Leases are renewed after this part of their duration.
+/// Leases are renewed after this fraction of their duration.
 const RENEWAL_FRACTION: f64 = 1.0 / 3.0;
-/// Demand fades over this many renewal periods: one lease duration.
-const FADING_PERIODS: f64 = 1.0 / RENEWAL_FRACTION;
-/// However long leases are, they are renewed after this many times the response timeout, as demand changes meanwhile.
-const MAX_PERIOD_TIMEOUTS: f64 = 3.0;
-/// Regular requests vary by this part, so that a fleet that started together does not stay in step.
+/// The demand period, in renewal periods. It makes one lease duration, unless `MAX_RENEWAL_PERIOD_TIMEOUTS` applies.
+const DEMAND_RENEWAL_PERIODS: f64 = 1.0 / RENEWAL_FRACTION;
+/// The longest renewal period, in response timeouts. Long leases are renewed this often too, because demand changes.
+const MAX_RENEWAL_PERIOD_TIMEOUTS: f64 = 3.0;
+/// Renewals are sent earlier, and retries later, by a random fraction of up to this, so that nodes that started together do
+/// not send in lockstep.
 const JITTER: f64 = 0.25;
 
-/// One node's leases and reservations.
+/// The leases and reservations of one node, and its session with the coordinators.
 pub struct LeaseClient {
     settings: Settings,
     random: Pcg,
@@ -32,22 +33,23 @@
     budgets: Vec<LeasedBudget>,
     wallets: Vec<ReservedWallet>,
     exchange: Exchange,
-    /// The route document that the node applied.
+    /// The route document that the node applied last.
     applied_document: AppliedDocument,
-    /// How long the last reservation lasts.
+    /// The duration of the last reservation that was granted.
     reservation_duration: Option<Span>,
-    /// When the next request is due, unless one is under way.
+    /// When the next request is due if none is pending.
     next_request_at: Instant,
     events: Vec<Event>,
-    /// The node drains: it asks for nothing more.
+    /// Whether the node drains. It then reports no demand beyond what its running requests hold.
     leaving: bool,
 }
 
 impl LeaseClient {
-    /// A process that is no member yet and asks to join at once.
+    /// Creates the client of a process that is not a member yet. Its first request, which joins, is due at `now`. `seed`
+    /// should differ between processes: it determines the join nonce and the jitter.
     pub fn new(settings: Settings, seed: u64, now: Instant) -> Self {
         let mut random = Pcg::new(seed);
-        let nonce = draw_nonce(&mut random);
+        let nonce = random_nonce(&mut random);
         let exchange = Exchange::new(settings.coordinators, random.next_u32() as usize);
         Self {
             budgets: settings.budgets.iter().map(|_| LeasedBudget::default()).collect(),
@@ -65,8 +67,8 @@
         }
     }
 
-    /// Time has passed: leases and reservations that expired are not in force any more. To be called before anything
-    /// is started, with a clock reading of the present pass of the loop; see the safety rule of this package.
+    /// Ends the leases and reservations that have expired. Call it before anything is started, with a clock reading of the
+    /// current iteration of the driver's loop; see the safety rule of this package.
     pub fn advance(&mut self, now: Instant) {
         self.now = self.now.max(now);
         for (budget, leased) in self.budgets.iter_mut().enumerate() {
@@ -81,12 +83,12 @@
         }
     }
 
-    /// How many units of a budget may be in use now.
+    /// The units of a budget that may be in use now.
     pub fn leased_amount(&self, budget: usize) -> u64 {
         self.budgets.get(budget).map_or(0, LeasedBudget::amount)
     }
 
-    /// When the lease of a budget expires, by the clock that is told here.
+    /// When the lease on a budget expires, on the driver's clock.
     pub fn lease_expires_at(&self, budget: usize) -> Option<Instant> {
         self.budgets.get(budget).and_then(LeasedBudget::expires_at)
     }
@@ -96,12 +98,13 @@
         self.wallets.get(wallet).map(ReservedWallet::current)
     }
 
-    /// What is in use of a budget, with what was cancelled and still runs, and what was requested and started so far.
-    /// To be told in the pass in which something was started, before a request is sent.
+    /// Records the units of a budget that are in use, including those of cancelled work that still runs, and the counts of
+    /// requested and started units. Call it in the loop iteration in which something was started, before
+    /// [`Self::next_request`]; otherwise the coordinators are told of less than is in use.
     pub fn report_usage(&mut self, budget: usize, in_use: u64, counts: UsageCounts) {
-        let fading = self.demand_fading();
+        let demand_period = self.demand_period();
         let Some(leased) = self.budgets.get_mut(budget) else { return };
-        if leased.report_usage(self.now, in_use, counts, fading) {
+        if leased.report_usage(self.now, in_use, counts, demand_period) {
             self.request_soon();
         }
         if self.leaving && in_use == 0 {
@@ -109,7 +112,8 @@
         }
     }
 
-    /// What was done with a wallet. To be told in the pass in which it changed, before a request is sent.
+    /// Records the spending from a wallet. Call it in the loop iteration in which it changed, before
+    /// [`Self::next_request`].
     pub fn report_wallet_usage(&mut self, wallet: usize, usage: WalletUsage) {
         let Some(reserved) = self.wallets.get_mut(wallet) else { return };
         if reserved.report_usage(usage) {
@@ -117,7 +121,8 @@
         }
     }
 
-    /// Something is lacked: that is worth a request of its own, but not many.
+    /// Moves the next request forward because units are lacking. At least a third of a renewal period stays between two
+    /// requests, so that a lasting shortage does not cause a flood of them.
     fn request_soon(&mut self) {
         if matches!(self.session, SessionState::Active { .. }) {
             let soon = self.exchange.last_sent() + self.renewal_period() * RENEWAL_FRACTION;
@@ -125,29 +130,29 @@
         }
     }
 
-    /// The node has applied a route document.
+    /// Records that the node applied a route document. The next request reports it.
     pub fn document_applied(&mut self, index: u64, version: u32) {
         self.applied_document = AppliedDocument { index, version };
     }
 
-    /// The node drains: it asks for nothing more, and uses what it has until nothing is in use. Then the session is ended,
-    /// and with the request that says so nothing is in force here any more.
+    /// Starts draining: the node reports no new demand, and keeps its leases and reservations until nothing is in use. The
+    /// next request then ends the session, and all leases and reservations are dropped when that request is built.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.next_request_at = self.next_request_at.min(self.now);
     }
 
-    /// Whether the session has ended: nothing is left to be sent.
+    /// Whether the session has ended. No further requests are sent then.
     pub fn has_ended(&self) -> bool {
         self.session == SessionState::Ended
     }
 
-    /// What happened since the last call.
+    /// Removes and returns the events since the last call.
     pub fn drain_events(&mut self) -> impl Iterator<Item = Event> + '_ {
         self.events.drain(..)
     }
 
-    /// When something is to be done without being asked: a request, or the end of a lease or reservation.
+    /// The time of the next request, or of the next expiry of a lease or reservation, whichever is earlier.
     pub fn next_deadline(&self) -> Option<Instant> {
         let leases = self.budgets.iter().filter_map(LeasedBudget::expires_at);
         let reservations = self.wallets.iter().filter_map(ReservedWallet::expires_at);
@@ -157,14 +162,14 @@
         [next_expiry, next_message].into_iter().flatten().min()
     }
 
-    /// The request that is due now: a new one, or the one under way to another coordinator.
+    /// The request that is due now: a new request, or the next attempt of the pending one.
     pub fn next_request(&mut self, now: Instant) -> Option<OutgoingRequest> {
         self.advance(now);
         let timeout = self.settings.response_timeout;
         if let Some((Attempt { coordinator, token }, request)) = self.exchange.retry(self.now, timeout) {
             return Some(OutgoingRequest { coordinator, token, request });
         }
-        let is_due = !self.exchange.is_under_way() && self.now >= self.next_request_at;
+        let is_due = !self.exchange.has_pending() && self.now >= self.next_request_at;
         if !is_due || self.has_ended() || !self.exchange.has_coordinators() {
             return None;
         }
@@ -195,9 +200,9 @@
                 request.wallets = self.wallet_reports();
                 if request.ends_session {
                     self.session = SessionState::Leaving { incarnation };
-                    // The coordinators grant everything to others as soon as they apply this request, long before its
-                    // response is here. A drain may still start requests: none of them may use what is given back.
-                    self.drop_all();
+                    // The coordinators may grant everything to other nodes as soon as they apply this request, long before
+                    // its response arrives. Requests that a draining node still starts must not use the returned units.
+                    self.drop_all_grants();
                 } else {
                     request.budgets = self.budget_reports();
                 }
@@ -213,41 +218,44 @@
     }
 
     fn wallet_reports(&mut self) -> Vec<WalletReport> {
-        let (now, leaving, period) = (self.now, self.leaving, self.demand_fading());
+        let (now, leaving, demand_period) = (self.now, self.leaving, self.demand_period());
         let wallets = self.wallets.iter_mut().zip(&self.settings.wallets);
-        wallets.map(|(reserved, settings)| reserved.report(now, period, settings, leaving)).collect()
+        wallets.map(|(reserved, settings)| reserved.report(now, demand_period, settings, leaving)).collect()
     }
 
     fn budget_reports(&mut self) -> Vec<BudgetReport> {
-        let (now, leaving, fading) = (self.now, self.leaving, self.demand_fading());
+        let (now, leaving, demand_period) = (self.now, self.leaving, self.demand_period());
         let budgets = self.budgets.iter_mut().zip(&self.settings.budgets);
-        budgets.map(|(leased, settings)| leased.report(now, fading, settings, leaving)).collect()
+        budgets.map(|(leased, settings)| leased.report(now, demand_period, settings, leaving)).collect()
     }
 
-    /// A response came, or surely none will. One that belongs to no request under way is passed over.
+    /// Handles the response to the attempt with this token, or `None` if that attempt will get no response. A response that
+    /// does not belong to the pending request is ignored.
     pub fn on_response(&mut self, now: Instant, token: u64, response: Option<NodeResponse>) {
         self.advance(now);
-        let pause = self.draw_pause();
+        let retry_delay = self.random_retry_delay();
         let Some(response) = response else {
-            self.exchange.attempt_failed(self.now, token, pause);
+            self.exchange.attempt_failed(self.now, token, retry_delay);
+            return;
+        };
+        let Some(MatchedRequest { request, first_sent }) = self.exchange.match_response(token) else {
             return;
         };
-        let Some(AnsweredRequest { request, first_sent }) = self.exchange.answered(token) else { return };
         match response {
             NodeResponse::Accepted(update) if update.sequence == request.sequence => {
                 self.exchange.finish();
-                self.accepted(first_sent, &request, update);
+                self.on_accepted(first_sent, &request, update);
             }
             NodeResponse::Rejected(Rejection::NotLeader { leader }) => {
-                self.exchange.redirected(self.now, leader.and_then(place_of_coordinator), pause);
+                self.exchange.redirected(self.now, leader.and_then(coordinator_index), retry_delay);
             }
-            NodeResponse::Rejected(rejection) => self.rejected(&request, rejection),
-            // A response to something else counts as none.
-            NodeResponse::Accepted(_) => self.exchange.attempt_failed(self.now, token, pause),
+            NodeResponse::Rejected(rejection) => self.on_rejected(&request, rejection),
+            // A sequence number that does not match: the response to an earlier request. It counts as a failed attempt.
+            NodeResponse::Accepted(_) => self.exchange.attempt_failed(self.now, token, retry_delay),
         }
     }
 
-    fn accepted(&mut self, first_sent: Instant, request: &NodeRequest, update: LeaseUpdate) {
+    fn on_accepted(&mut self, first_sent: Instant, request: &NodeRequest, update: LeaseUpdate) {
         if let SessionState::Joining { .. } = self.session {
             let incarnation = update.incarnation;
             self.session = SessionState::Active { incarnation };
@@ -257,7 +265,7 @@
         }
         if request.ends_session {
             self.session = SessionState::Ended;
-            self.drop_all();
+            self.drop_all_grants();
             return;
         }
         for lease in &update.leases {
@@ -274,8 +282,8 @@
     }
 
     fn renew_lease(&mut self, first_sent: Instant, lease: &Lease) {
-        let place = self.settings.budgets.iter().position(|settings| settings.name == lease.budget);
-        let Some(budget) = place else { return };
+        let index = self.settings.budgets.iter().position(|settings| settings.name == lease.budget);
+        let Some(budget) = index else { return };
         let expires_at = first_sent + Span::from_micros(lease.duration_us);
         if self.budgets[budget].renew(self.now, lease, expires_at) {
             let amount = self.budgets[budget].amount();
@@ -284,8 +292,8 @@
     }
 
     fn renew_reservation(&mut self, first_sent: Instant, reservation: &Reservation) {
-        let place = self.settings.wallets.iter().position(|settings| settings.name == reservation.wallet);
-        let Some(wallet) = place else { return };
+        let index = self.settings.wallets.iter().position(|settings| settings.name == reservation.wallet);
+        let Some(wallet) = index else { return };
         let duration = Span::from_micros(reservation.duration_us);
         if self.wallets[wallet].renew(self.now, reservation, first_sent + duration) {
             self.events.push(Event::ReservationChanged { wallet });
@@ -293,29 +301,29 @@
         self.reservation_duration = Some(duration);
     }
 
-    fn rejected(&mut self, request: &NodeRequest, rejection: Rejection) {
+    fn on_rejected(&mut self, request: &NodeRequest, rejection: Rejection) {
         self.exchange.finish();
-        self.next_request_at = self.now + self.draw_pause();
+        self.next_request_at = self.now + self.random_retry_delay();
         match &rejection {
             _ if request.ends_session => self.session = SessionState::Ended,
             Rejection::Replaced => {
-                self.drop_all();
+                self.drop_all_grants();
                 self.session = SessionState::Ended;
                 self.events.push(Event::Replaced);
                 return;
             }
             Rejection::UnknownIncarnation => {
-                // What this process had may be granted to others by now.
-                self.drop_all();
-                self.session = SessionState::Joining { nonce: draw_nonce(&mut self.random) };
+                // The coordinators may have granted this process's units to other nodes by now.
+                self.drop_all_grants();
+                self.session = SessionState::Joining { nonce: random_nonce(&mut self.random) };
             }
             _ => {}
         }
         self.events.push(Event::Rejected(rejection));
     }
 
-    /// Nothing is in force any more.
-    fn drop_all(&mut self) {
+    /// Drops all leases and reservations.
+    fn drop_all_grants(&mut self) {
         for (budget, leased) in self.budgets.iter_mut().enumerate() {
             if leased.drop_lease() {
                 self.events.push(Event::LeaseChanged { budget, amount: 0 });
@@ -328,36 +336,36 @@
         }
     }
 
-    /// How often leases are renewed.
+    /// The time between two regular requests.
     fn renewal_period(&self) -> Span {
         let shortest = self.shortest_duration();
-        (shortest * RENEWAL_FRACTION).min(self.settings.response_timeout * MAX_PERIOD_TIMEOUTS)
+        (shortest * RENEWAL_FRACTION).min(self.settings.response_timeout * MAX_RENEWAL_PERIOD_TIMEOUTS)
     }
 
-    /// The shortest duration of what is in force; the response timeout before there is any.
+    /// The shortest duration of the leases and the last reservation; the response timeout if there are none.
     fn shortest_duration(&self) -> Span {
         let leases = self.budgets.iter().filter_map(LeasedBudget::duration);
         leases.chain(self.reservation_duration).min().unwrap_or(self.settings.response_timeout)
     }
 
-    fn demand_fading(&self) -> Span {
-        self.renewal_period() * FADING_PERIODS
+    fn demand_period(&self) -> Span {
+        self.renewal_period() * DEMAND_RENEWAL_PERIODS
     }
 
-    /// A random pause before another attempt.
-    fn draw_pause(&mut self) -> Span {
+    /// A random delay before the next attempt.
+    fn random_retry_delay(&mut self) -> Span {
         self.settings.response_timeout * (RENEWAL_FRACTION * (1.0 + JITTER * self.random.unit()))
     }
 }
 
-/// A random number that makes a question to join this process's own; never 0.
-fn draw_nonce(random: &mut Pcg) -> u64 {
+/// A random number that tells this process's request to join from those of other processes; never 0.
+fn random_nonce(random: &mut Pcg) -> u64 {
     let high = u64::from(random.next_u32());
     let low = u64::from(random.next_u32());
     (high << 32 | low).max(1)
 }
 
-/// Coordinators are numbered from 1, and their list counts from 0.
-fn place_of_coordinator(number: u64) -> Option<usize> {
+/// Converts a coordinator's number, which counts from 1, to its index in the list, which counts from 0.
+fn coordinator_index(number: u64) -> Option<usize> {
     usize::try_from(number).ok()?.checked_sub(1)
 }
--- a/crates/core/lease-client/src/event.rs
+++ b/crates/core/lease-client/src/event.rs
@@ -1,47 +1,47 @@
-//! What the lease client tells its driver.
+//! The output of the lease client: requests to send and events to handle.
 
 use lynxtally_messages::{Document, NodeRequest, Rejection};
 
-/// A request to be carried to a coordinator.
+/// A request that the driver has to send to a coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutgoingRequest {
-    /// To which, by its place in the list of coordinators.
+    /// The index of the coordinator in the driver's list.
     pub coordinator: usize,
-    /// By this its response is known.
+    /// Identifies this attempt. The driver passes it back to [`LeaseClient::on_response`](crate::LeaseClient::on_response).
     pub token: u64,
     /// The request.
     pub request: NodeRequest,
 }
 
-/// Something that the driver has to hear. Budgets and wallets are named by their places in the settings.
+/// A change that the driver has to act on. Budgets and wallets are identified by their indexes in the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// From now on this amount of a budget may be in use.
+    /// The amount of a budget that may be in use has changed.
     LeaseChanged {
-        /// The budget.
+        /// The index of the budget.
         budget: usize,
-        /// How many units.
+        /// The units that may be in use from now on.
         amount: u64,
     },
-    /// What may be admitted against a wallet has changed.
+    /// The reservation of a wallet has changed; [`LeaseClient::reservation`](crate::LeaseClient::reservation) returns it.
     ReservationChanged {
-        /// The wallet.
+        /// The index of the wallet.
         wallet: usize,
     },
-    /// A route document to apply. What was applied before stays in force until this one is.
+    /// A route document to apply. The document applied before stays in force until then.
     Document(Document),
-    /// There is a route document, but not in a version that the node reads.
+    /// The published route document needs a schema version that the node does not read.
     DocumentUnreadable {
-        /// One line that says why.
+        /// Why the node can't read the document, in one line.
         reason: String,
     },
-    /// This process is a member now.
+    /// The process has joined as a member.
     Joined {
-        /// By this incarnation.
+        /// The incarnation that the coordinators assigned to the process.
         incarnation: u64,
     },
-    /// Another process has taken this node's name: this one is fenced off for good.
+    /// Another process joined under this node's name. This process is fenced off: it never gets a lease again.
     Replaced,
-    /// A coordinator rejected a request; nothing was applied.
+    /// A coordinator rejected a request and applied none of it.
     Rejected(Rejection),
 }
--- a/crates/core/lease-client/src/exchange.rs
+++ b/crates/core/lease-client/src/exchange.rs
@@ -1,47 +1,49 @@
-//! The exchange with the coordinators: one request under way at a time, to one coordinator after another.
+//! Sends one request at a time, retrying it at one coordinator after another until it has a response.
 
 use lynxtally::{Instant, Span};
 use lynxtally_messages::NodeRequest;
 
-/// The request under way.
+/// The request that has no response yet.
 #[derive(Debug)]
-struct RequestUnderWay {
+struct PendingRequest {
     request: NodeRequest,
-    /// The token of its first attempt.
+    /// The token of the first attempt.
     first_token: u64,
-    /// When it was first sent: lease durations count from here.
+    /// When the first attempt was sent. Lease durations count from this time.
     first_sent: Instant,
-    /// When it is sent again, unless a response comes.
+    /// When the next attempt is sent unless a response arrives before.
     retry_at: Instant,
-    /// An attempt was sent and nothing came back yet; else it waits for its time to be sent again.
+    /// Whether the last attempt may still get a response. If not, the request waits for `retry_at`.
     awaits_response: bool,
-    /// Responses in a row that only named another coordinator.
+    /// The number of consecutive responses that named another coordinator as the leader.
     redirects: usize,
 }
 
-/// An attempt of a request, to be sent now.
+/// An attempt to be sent now.
 #[derive(Debug)]
 pub(crate) struct Attempt {
+    /// The index of the coordinator to send it to.
     pub coordinator: usize,
     pub token: u64,
 }
 
-/// The request that a response belongs to.
-pub(crate) struct AnsweredRequest {
+/// The pending request that a response belongs to.
+pub(crate) struct MatchedRequest {
     pub request: NodeRequest,
     pub first_sent: Instant,
 }
 
-/// What was sent, and whom the next attempt goes to.
+/// The pending request, and the coordinator that the next attempt goes to.
 #[derive(Debug)]
 pub(crate) struct Exchange {
+    /// The number of coordinators.
     coordinators: usize,
-    /// Whom the next attempt goes to.
+    /// The index of the coordinator that the next attempt goes to.
     coordinator: usize,
     last_sequence: u64,
     last_token: u64,
-    under_way: Option<RequestUnderWay>,
-    /// When the last new request was sent.
+    pending: Option<PendingRequest>,
+    /// When the latest request had its first attempt.
     last_sent: Instant,
 }
 
@@ -52,7 +54,7 @@
             coordinator: first % coordinators.max(1),
             last_sequence: 0,
             last_token: 0,
-            under_way: None,
+            pending: None,
             last_sent: Instant::default(),
         }
     }
@@ -61,11 +63,11 @@
         self.coordinators > 0
     }
 
-    pub fn is_under_way(&self) -> bool {
-        self.under_way.is_some()
+    pub fn has_pending(&self) -> bool {
+        self.pending.is_some()
     }
 
-    /// When the last new request was sent.
+    /// When the latest request had its first attempt.
     pub fn last_sent(&self) -> Instant {
         self.last_sent
     }
@@ -75,16 +77,16 @@
         self.last_sequence
     }
 
-    /// When the request under way is to be sent again.
+    /// When the next attempt of the pending request is due.
     pub fn retry_at(&self) -> Option<Instant> {
-        self.under_way.as_ref().map(|under_way| under_way.retry_at)
+        self.pending.as_ref().map(|pending| pending.retry_at)
     }
 
-    /// Starts a new request.
+    /// Makes `request` the pending request and returns its first attempt.
     pub fn start(&mut self, now: Instant, request: NodeRequest, response_timeout: Span) -> Attempt {
         self.last_sent = now;
-        let attempt = self.attempt();
-        self.under_way = Some(RequestUnderWay {
+        let attempt = self.new_attempt();
+        self.pending = Some(PendingRequest {
             request,
             first_token: attempt.token,
             first_sent: now,
@@ -95,69 +97,70 @@
         attempt
     }
 
-    /// The request under way, where it has to be sent again by now.
+    /// The next attempt of the pending request, if it is due. After a response timeout the attempt goes to the next
+    /// coordinator.
     pub fn retry(&mut self, now: Instant, response_timeout: Span) -> Option<(Attempt, NodeRequest)> {
-        let under_way = self.under_way.as_mut().filter(|under_way| under_way.retry_at <= now)?;
-        let timed_out = under_way.awaits_response;
-        under_way.retry_at = now + response_timeout;
-        under_way.awaits_response = true;
-        let request = under_way.request.clone();
+        let pending = self.pending.as_mut().filter(|pending| pending.retry_at <= now)?;
+        let timed_out = pending.awaits_response;
+        pending.retry_at = now + response_timeout;
+        pending.awaits_response = true;
+        let request = pending.request.clone();
         if timed_out {
             self.coordinator = self.next_coordinator();
         }
-        Some((self.attempt(), request))
+        Some((self.new_attempt(), request))
     }
 
-    /// The request that a response belongs to. A response to any of its attempts will do: it is one request.
-    pub fn answered(&self, token: u64) -> Option<AnsweredRequest> {
-        let under_way = self.under_way.as_ref()?;
-        let belongs = (under_way.first_token..=self.last_token).contains(&token);
-        let answered =
-            AnsweredRequest { request: under_way.request.clone(), first_sent: under_way.first_sent };
-        belongs.then_some(answered)
+    /// Finds the request that a response belongs to. The token of any attempt matches, because all attempts carry the same
+    /// request.
+    pub fn match_response(&self, token: u64) -> Option<MatchedRequest> {
+        let pending = self.pending.as_ref()?;
+        let is_known_token = (pending.first_token..=self.last_token).contains(&token);
+        let matched = MatchedRequest { request: pending.request.clone(), first_sent: pending.first_sent };
+        is_known_token.then_some(matched)
     }
 
-    /// The last attempt surely has no response: the next coordinator is tried after a pause.
-    pub fn attempt_failed(&mut self, now: Instant, token: u64, pause: Span) {
+    /// Handles an attempt that will get no response. If it is the last attempt, the next one goes to the next coordinator
+    /// after a delay.
+    pub fn attempt_failed(&mut self, now: Instant, token: u64, delay: Span) {
         let is_last = token == self.last_token;
-        let Some(under_way) =
-            self.under_way.as_mut().filter(|under_way| under_way.awaits_response && is_last)
-        else {
+        let Some(pending) = self.pending.as_mut().filter(|pending| pending.awaits_response && is_last) else {
             return;
         };
-        under_way.retry_at = now + pause;
-        under_way.awaits_response = false;
+        pending.retry_at = now + delay;
+        pending.awaits_response = false;
         self.coordinator = self.next_coordinator();
     }
 
-    /// A coordinator does not lead. The one that it named is tried at once, else the next one after a pause. A chain
-    /// of redirects longer than the list is not followed.
-    pub fn redirected(&mut self, now: Instant, leader: Option<usize>, pause: Span) {
+    /// Handles a response from a coordinator that is not the leader. The leader that it named is tried at once; without a
+    /// name, the next coordinator is tried after a delay. A chain of redirects that is longer than the list of coordinators
+    /// is not followed.
+    pub fn redirected(&mut self, now: Instant, leader: Option<usize>, delay: Span) {
         let (current, next) = (self.coordinator, self.next_coordinator());
-        let Some(under_way) = self.under_way.as_mut() else { return };
-        under_way.redirects += 1;
-        under_way.awaits_response = false;
-        let may_follow = under_way.redirects <= self.coordinators;
+        let Some(pending) = self.pending.as_mut() else { return };
+        pending.redirects += 1;
+        pending.awaits_response = false;
+        let may_follow = pending.redirects <= self.coordinators;
         let leader = leader.filter(|leader| *leader != current && *leader < self.coordinators && may_follow);
         match leader {
             Some(leader) => {
-                under_way.retry_at = now;
+                pending.retry_at = now;
                 self.coordinator = leader;
             }
             None => {
-                under_way.retry_at = now + pause;
-                under_way.redirects = 0;
+                pending.retry_at = now + delay;
+                pending.redirects = 0;
                 self.coordinator = next;
             }
         }
     }
 
-    /// The request under way has its response.
+    /// Clears the pending request after its response.
     pub fn finish(&mut self) {
-        self.under_way = None;
+        self.pending = None;
     }
 
-    fn attempt(&mut self) -> Attempt {
+    fn new_attempt(&mut self) -> Attempt {
         self.last_token += 1;
         Attempt { coordinator: self.coordinator, token: self.last_token }
     }
--- a/crates/core/lease-client/src/lease.rs
+++ b/crates/core/lease-client/src/lease.rs
@@ -1,24 +1,24 @@
-//! A node's lease of one budget.
+//! A node's lease on one budget.
 
 use crate::demand::{DemandEstimate, UsageCounts};
 use crate::settings::BudgetSettings;
 use lynxtally::{Instant, Span};
 use lynxtally_messages::{BudgetReport, Lease};
 
-/// The lease in force.
+/// A lease that has not expired.
 #[derive(Clone, Copy, Debug)]
-struct LeaseInForce {
+struct ActiveLease {
     version: u64,
     amount: u64,
     duration: Span,
-    /// From then on nothing may be started under it.
+    /// Nothing may be started under the lease from this time on.
     expires_at: Instant,
 }
 
-/// A budget as the node has it: what may be used, and what is.
+/// The node's state for one budget: its lease and how much of it is in use.
 #[derive(Debug, Default)]
 pub(crate) struct LeasedBudget {
-    lease: Option<LeaseInForce>,
+    lease: Option<ActiveLease>,
     demand: DemandEstimate,
 }
 
@@ -39,20 +39,26 @@
         self.demand.in_use()
     }
 
-    /// Notes what is in use from now on; whether more was requested than started since the last time.
-    pub fn report_usage(&mut self, now: Instant, in_use: u64, counts: UsageCounts, fading: Span) -> bool {
-        self.demand.observe(now, in_use, counts, fading)
+    /// Records the units in use from now on. Returns whether more units were requested than started since the last call.
+    pub fn report_usage(
+        &mut self,
+        now: Instant,
+        in_use: u64,
+        counts: UsageCounts,
+        time_constant: Span,
+    ) -> bool {
+        self.demand.observe(now, in_use, counts, time_constant)
     }
 
-    /// The report for the next request.
+    /// Builds the report on this budget for the next request to the coordinators.
     pub fn report(
         &mut self,
         now: Instant,
-        fading: Span,
+        time_constant: Span,
         settings: &BudgetSettings,
         leaving: bool,
     ) -> BudgetReport {
-        let demand_milliunits = self.demand.milliunits(now, fading);
+        let demand_milliunits = self.demand.milliunits(now, time_constant);
         BudgetReport {
             budget: settings.name.clone(),
             lease_version: self.lease.map_or(0, |lease| lease.version),
@@ -62,23 +68,23 @@
         }
     }
 
-    /// Takes a new lease; whether the amount in force changes. A lease that expired before it came leaves nothing in
-    /// force, not even what was there before: the coordinators may already count only the newer one as outstanding.
+    /// Replaces the lease with a new one. Returns whether the amount that may be used changed. If the new lease has already
+    /// expired, the old one is dropped too: the coordinators may count only the newer lease as outstanding.
     pub fn renew(&mut self, now: Instant, lease: &Lease, expires_at: Instant) -> bool {
         let amount_before = self.amount();
         let duration = Span::from_micros(lease.duration_us);
-        let renewed = LeaseInForce { version: lease.version, amount: lease.amount, duration, expires_at };
+        let renewed = ActiveLease { version: lease.version, amount: lease.amount, duration, expires_at };
         self.lease = (now < expires_at).then_some(renewed);
         self.amount() != amount_before
     }
 
-    /// Drops the lease where it expired; whether an amount was in force until now.
+    /// Drops the lease if it has expired. Returns whether units were leased until now.
     pub fn expire(&mut self, now: Instant) -> bool {
         let expired = self.lease.take_if(|lease| lease.expires_at <= now);
         expired.is_some_and(|lease| lease.amount > 0)
     }
 
-    /// Drops the lease; whether an amount was in force until now.
+    /// Drops the lease. Returns whether units were leased until now.
     pub fn drop_lease(&mut self) -> bool {
         self.lease.take().is_some_and(|lease| lease.amount > 0)
     }
--- a/crates/core/lease-client/src/reservation.rs
+++ b/crates/core/lease-client/src/reservation.rs
@@ -1,61 +1,61 @@
-//! A node's reservation of one wallet.
+//! A node's reservation on one wallet.
 
 use crate::settings::WalletSettings;
 use lynxtally::{Instant, Span};
 use lynxtally_messages::{Reservation, WalletReport};
 use std::collections::BTreeMap;
 
-/// A reservation covers this many times the time between two requests, by the recent demand.
-const PERIODS_AHEAD: f64 = 3.0;
-/// The demand rate rises at once and falls by this factor at each report.
-const RATE_DECAY: f64 = 0.7;
-/// Reports closer to each other than this, in seconds, count as this far apart.
-const MIN_REPORT_SECONDS: f64 = 1e-3;
+/// A report asks for the units that the recent demand rate spends in this many demand periods.
+const DEMAND_PERIODS_AHEAD: f64 = 3.0;
+/// The demand rate rises at once, and falls at most to this fraction from one report to the next.
+const RATE_DECAY_PER_REPORT: f64 = 0.7;
+/// Two reports closer together than this count as this far apart, so that the rate stays finite.
+const MIN_REPORT_INTERVAL_SECONDS: f64 = 1e-3;
 
-/// What may be admitted against a wallet now.
+/// What a node may admit against a wallet at present.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CurrentReservation {
-    /// The number of the account.
+    /// The account number. A new number means that the coordinators settled the previous account.
     pub account: u64,
-    /// The units that may be spent in the account, with what was spent in it.
+    /// The units that may be spent in the account in total, including those already spent.
     pub granted: u64,
-    /// Whether requests may be admitted against it now.
+    /// Whether requests may be admitted now. False before the first reservation and after the last one expired.
     pub in_force: bool,
-    /// The price of a request by its class.
+    /// The price of a request in units, by request class.
     pub prices: BTreeMap<String, u64>,
 }
 
-/// What a node did with a wallet.
+/// A node's spending from a wallet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WalletUsage {
-    /// The number of the account that it was done in.
+    /// The number of the account that `spent` and `held` belong to.
     pub account: u64,
-    /// Units that were charged in it.
+    /// Units charged to the account.
     pub spent: u64,
-    /// Units that running requests hold.
+    /// Units held for running requests.
     pub held: u64,
-    /// Units that requests asked for since the start of the process, whether they were admitted or not.
+    /// Units that requests asked for since the process started, whether or not they were admitted.
     pub requested: u64,
 }
 
-/// What was requested up to the last report, and when that was.
+/// The count of requested units at the last report, and the time of that report.
 #[derive(Debug, Default)]
 struct LastReport {
     requested: u64,
     at: Option<Instant>,
 }
 
-/// A wallet as the node has it.
+/// The node's state for one wallet.
 #[derive(Debug, Default)]
 pub(crate) struct ReservedWallet {
-    /// As the node told it last; counts of another account than the current one are not taken over.
+    /// The usage that the driver reported last. Amounts for an account other than the current one are ignored.
     usage: WalletUsage,
     granted: u64,
     returned: u64,
     expires_at: Option<Instant>,
     prices: BTreeMap<String, u64>,
     last_report: LastReport,
-    /// Units a second that requests ask for, fading.
+    /// Requested units per second; see [`RATE_DECAY_PER_REPORT`].
     requested_per_second: f64,
 }
 
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The units of the account that may be spent, with what was spent.
+    /// The units that may be spent in the account in total, including those already spent.
     fn spendable(&self) -> u64 {
         self.granted - self.returned
     }
@@ -86,7 +86,8 @@
         self.usage.held
     }
 
-    /// Notes what the node did; whether more is requested than there is, so that a request of its own is worth it.
+    /// Records the usage. Returns whether units were requested while none is left, which warrants a request to the
+    /// coordinators ahead of schedule.
     pub fn report_usage(&mut self, usage: WalletUsage) -> bool {
         if usage.account == self.usage.account {
             self.usage.spent = usage.spent;
@@ -97,37 +98,39 @@
         requests_more && self.spendable().saturating_sub(self.usage.spent + self.usage.held) == 0
     }
 
-    /// The report for the next request.
+    /// Builds the report on this wallet for the next request to the coordinators.
     pub fn report(
         &mut self,
         now: Instant,
-        period: Span,
+        demand_period: Span,
         settings: &WalletSettings,
         leaving: bool,
     ) -> WalletReport {
-        self.update_rate(now, period);
-        // Less than half a unit is none, so that what nobody requests any more goes back to the last unit.
-        let ahead = (self.requested_per_second * period.secs() * PERIODS_AHEAD).round() as u64;
+        self.update_rate(now, demand_period);
+        // Rounding to the nearest integer lets the demand reach 0 when requests stop, so that every unit is returned.
+        let expected_demand =
+            (self.requested_per_second * demand_period.secs() * DEMAND_PERIODS_AHEAD).round() as u64;
         let held = self.usage.held;
         WalletReport {
             wallet: settings.name.clone(),
             account: self.usage.account,
             spent: self.usage.spent,
             returned: self.returned,
-            demand: if leaving { held } else { held + ahead },
+            demand: if leaving { held } else { held + expected_demand },
             max_in_flight_us: settings.max_in_flight.micros(),
         }
     }
 
-    fn update_rate(&mut self, now: Instant, period: Span) {
+    fn update_rate(&mut self, now: Instant, demand_period: Span) {
         let this_report = LastReport { requested: self.usage.requested, at: Some(now) };
         let last_report = std::mem::replace(&mut self.last_report, this_report);
-        let seconds = last_report.at.map_or(period, |at| now - at).secs().max(MIN_REPORT_SECONDS);
+        let seconds =
+            last_report.at.map_or(demand_period, |at| now - at).secs().max(MIN_REPORT_INTERVAL_SECONDS);
         let rate = self.usage.requested.saturating_sub(last_report.requested) as f64 / seconds;
-        self.requested_per_second = rate.max(self.requested_per_second * RATE_DECAY);
+        self.requested_per_second = rate.max(self.requested_per_second * RATE_DECAY_PER_REPORT);
     }
 
-    /// Takes a new reservation; whether anything changes for the node.
+    /// Replaces the reservation with a new one. Returns whether the account, the spendable units or the validity changed.
     pub fn renew(&mut self, now: Instant, reservation: &Reservation, expires_at: Instant) -> bool {
         let before = (self.usage.account, self.spendable(), self.is_in_force());
         if reservation.account != self.usage.account {
@@ -136,11 +139,11 @@
         self.granted = self.granted.max(reservation.granted);
         self.prices.clone_from(&reservation.prices);
         self.expires_at = (now < expires_at).then_some(expires_at);
-        self.return_idle(reservation.retain);
+        self.return_unspent(reservation.retain);
         (self.usage.account, self.spendable(), self.is_in_force()) != before
     }
 
-    /// Starts a new account. What was held in the one before was settled without this node.
+    /// Starts a new account. The coordinators settled the old account, including the units held in it, without this node.
     fn open_account(&mut self, account: u64) {
         let requested = self.usage.requested;
         self.usage = WalletUsage { account, spent: 0, held: 0, requested };
@@ -148,19 +151,19 @@
         self.returned = 0;
     }
 
-    /// Returns what lies idle: nothing is admitted against it from here on, and the next report says so. What running
-    /// requests hold is never returned.
-    fn return_idle(&mut self, retain: u64) {
-        let left = self.spendable().saturating_sub(self.usage.spent);
-        self.returned += left.saturating_sub(retain.max(self.usage.held));
+    /// Returns unspent units above `retain`: the node admits nothing against them from now on, and its next report tells
+    /// the coordinators. Units held for running requests are never returned.
+    fn return_unspent(&mut self, retain: u64) {
+        let unspent = self.spendable().saturating_sub(self.usage.spent);
+        self.returned += unspent.saturating_sub(retain.max(self.usage.held));
     }
 
-    /// Ends the reservation where it expired; whether it was in force until now.
+    /// Ends the reservation if it has expired. Returns whether it was in force until now.
     pub fn expire(&mut self, now: Instant) -> bool {
         self.expires_at.take_if(|expires_at| *expires_at <= now).is_some()
     }
 
-    /// Ends the reservation; whether it was in force until now.
+    /// Ends the reservation. Returns whether it was in force until now.
     pub fn drop_reservation(&mut self) -> bool {
         self.expires_at.take().is_some()
     }
--- a/crates/core/lease-client/src/session.rs
+++ b/crates/core/lease-client/src/session.rs
@@ -1,15 +1,15 @@
-//! How a process stands with the coordinators.
+//! The state of a process's session with the coordinators.
 
-/// The state of a session. It goes from joining to ended; an incarnation that the coordinators do not know any more
-/// leads back to joining.
+/// The state of a session: `Joining`, `Active`, `Leaving`, then `Ended`. If the coordinators no longer know the incarnation,
+/// the session returns to `Joining`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionState {
-    /// It asks for an incarnation, with a random number that makes the question its own.
+    /// The process requests an incarnation. The random nonce tells its request from those of other processes.
     Joining { nonce: u64 },
-    /// It is a member.
+    /// The process is a member and may be granted leases and reservations.
     Active { incarnation: u64 },
-    /// It has said that it ends, and waits for the response.
+    /// The request that ends the session was built; its response is outstanding.
     Leaving { incarnation: u64 },
-    /// It has no part in anything any more.
+    /// The session is over; the process sends no further requests.
     Ended,
 }
