--- a/crates/testing/fault-injection/src/http_client.rs
+++ b/crates/testing/fault-injection/src/http_client.rs
@@ -1,17 +1,18 @@
-//! Requests to a coordinator over HTTP, by hand.
+//! A minimal HTTP client for requests to a coordinator.
 
 use lynxtally_messages::{decode, encode, Message};
 use std::io::{self, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long `/v1/state` is waited for.
+/// The timeout of a request for `/v1/state`.
 const STATE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Sends a request and returns the body of the response. `method_and_path` is such as `GET /v1/state`.
+/// Sends a request and returns the body of the response, whatever its status. An example of `method_and_path` is
+/// `GET /v1/state`.
 ///
 /// # Errors
-/// Nobody is there, or nothing whole came in time.
+/// The connection failed, or no complete response arrived within the timeout.
 pub fn request(
     address: SocketAddr,
     method_and_path: &str,
@@ -35,7 +36,7 @@
 /// Sends a message and decodes the response.
 ///
 /// # Errors
-/// Nobody is there, or what came back can't be decoded.
+/// The request failed, or the response can't be decoded.
 pub fn post<T: Message, R: Message>(
     address: SocketAddr,
     path: &str,
@@ -46,10 +47,10 @@
     decode(&body).map_err(io::Error::other)
 }
 
-/// The state as a coordinator reports it.
+/// Requests a coordinator's state report.
 ///
 /// # Errors
-/// Nobody is there, or what came back is no JSON.
+/// The request failed, or the response is not JSON.
 pub fn state(address: SocketAddr) -> io::Result<serde_json::Value> {
     let body = request(address, "GET /v1/state", b"", STATE_TIMEOUT)?;
     serde_json::from_slice(&body).map_err(io::Error::other)
--- a/crates/testing/fault-injection/src/lease_audit.rs
+++ b/crates/testing/fault-injection/src/lease_audit.rs
@@ -1,10 +1,11 @@
-//! What nodes had leased, by their own records on the machine's one clock, summed from outside.
+//! An audit of the leases of all nodes. Each node records what it may use, with a reading of the machine's clock that all nodes
+//! share; tests check that the sum never exceeds the capacity of the budget.
 
 use lynxtally::Instant;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// From a moment on a node may use an amount, until its next record or until the lease expires.
+/// From `at` on, a node may use an amount until its next record or until its lease expires.
 #[derive(Clone, Debug)]
 struct Record {
     at: Instant,
@@ -13,17 +14,17 @@
     expires_at: Instant,
 }
 
-/// The records of all nodes.
+/// The lease records of all nodes. Clones share the records.
 #[derive(Clone, Default)]
 pub struct LeaseAudit(Arc<Mutex<Vec<Record>>>);
 
 impl LeaseAudit {
-    /// From `at` on a node may use an amount, until it says otherwise or the lease expires.
+    /// Records that a node may use `amount` from `at` on, until its next record or until its lease expires.
     pub fn record(&self, at: Instant, node: &str, amount: u64, expires_at: Instant) {
         self.records().push(Record { at, node: node.to_owned(), amount, expires_at });
     }
 
-    /// The most that could be used at one moment by all nodes together.
+    /// The largest sum of the amounts that all nodes might use at the same time.
     pub fn max_total(&self) -> u64 {
         let mut records = self.records().clone();
         records.sort_by_key(|record| record.at);
@@ -37,13 +38,13 @@
         max_total
     }
 
-    /// When the lease of a node expires, by its last record.
+    /// When the lease in a node's last record expires.
     pub fn last_expiry(&self, node: &str) -> Option<Instant> {
         let records = self.records();
         records.iter().rev().find(|record| record.node == node).map(|record| record.expires_at)
     }
 
-    /// The least that a node could use from a moment on; 0 where its lease expired once.
+    /// The smallest amount that a node might use at any time from `from` on; 0 if its lease expired in between.
     pub fn min_amount(&self, node: &str, from: Instant) -> u64 {
         let records = self.records();
         let own: Vec<&Record> =
--- a/crates/testing/fault-injection/src/process.rs
+++ b/crates/testing/fault-injection/src/process.rs
@@ -1,18 +1,18 @@
-//! Processes of the programs, ended and stopped by their ids.
+//! Child processes that a test can signal, kill and wait for, and the files that they need.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// A temporary folder that is removed when it is dropped.
+/// A temporary folder. Dropping it removes the folder with its content.
 pub struct TempFolder(pub PathBuf);
 
 impl TempFolder {
-    /// A new one.
+    /// Creates a folder whose path contains `name` and is unique.
     ///
     /// # Panics
-    /// It can't be made.
+    /// The folder can't be created.
     pub fn new(name: &str) -> Self {
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
@@ -28,14 +28,14 @@
     }
 }
 
-/// A process.
+/// A child process. Dropping it kills the process.
 pub struct Process(Option<Child>);
 
 impl Process {
-    /// Starts a program with one argument; its log goes to a file.
+    /// Starts a program with one argument. Its output is appended to the file `log`.
     ///
     /// # Panics
-    /// It can't be started.
+    /// The program can't be started.
     pub fn start(program: &str, argument: &Path, log: &Path) -> Self {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(log).expect("a log");
         let child = Command::new(program)
@@ -48,17 +48,17 @@
         Self(Some(child))
     }
 
-    /// Sends a signal by its name.
+    /// Sends a signal, given by its name such as `STOP`.
     ///
     /// # Panics
-    /// It is over already.
+    /// The process has already ended.
     pub fn signal(&self, name: &str) {
         let id = self.0.as_ref().expect("it runs").id().to_string();
         let sent = Command::new("kill").args(["-s", name, &id]).status().expect("kill is there");
         assert!(sent.success());
     }
 
-    /// Kills it, and waits until it is gone.
+    /// Kills the process and waits until it has ended.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.0.take() {
             let _ = child.kill();
@@ -66,10 +66,10 @@
         }
     }
 
-    /// Waits for its end; whether it ended with success.
+    /// Waits until the process ends by itself. Returns whether its exit status is 0.
     ///
     /// # Panics
-    /// It was waited for before.
+    /// The process was killed or waited for before.
     pub fn wait_for_success(&mut self) -> bool {
         let mut child = self.0.take().expect("it runs");
         child.wait().expect("it ends").success()
@@ -82,8 +82,8 @@
     }
 }
 
-/// The settings of a coordinator. `addresses[a][b]` is where coordinator `a` reaches `b`, so that faults can be put
-/// between them; `extra` is further keys.
+/// The settings of a coordinator as Jsonnet. `addresses[a][b]` is the address at which coordinator `a` reaches coordinator
+/// `b`, such as that of a relay. `extra` is appended to the keys.
 pub fn coordinator_settings(
     addresses: &[Vec<SocketAddr>],
     coordinator: usize,
--- a/crates/testing/fault-injection/src/relay.rs
+++ b/crates/testing/fault-injection/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay between two processes that speak HTTP: whole messages, with faults.
+//! A relay between an HTTP client and a server that forwards complete messages and injects faults.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,28 +6,28 @@
 use std::thread;
 use std::time::Duration;
 
-/// Ports that are tried before a relay gives up.
+/// The number of ports that a new relay tries to listen on.
 const PORT_ATTEMPTS: usize = 100;
 
-/// What goes wrong with messages.
+/// The faults that a relay injects. By default there are none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Requests are lost: the connection is closed.
+    /// Reads requests without forwarding them, then closes the connection.
     pub drop_requests: bool,
-    /// Responses are lost: the request arrives, and the connection is closed.
+    /// Forwards requests, drops the responses, then closes the connection.
     pub drop_responses: bool,
-    /// Requests are read and nothing comes back, nor does the connection end.
+    /// Reads requests without forwarding them, and keeps the connection open.
     pub stall: bool,
-    /// Each request arrives this many times more.
+    /// Forwards each request this many additional times.
     pub duplicates: u32,
-    /// Each message is delayed by this.
+    /// Delays each request by this time.
     pub delay: Duration,
-    /// A copy of each request arrives this much later, behind what was sent after it.
+    /// Forwards a copy of each request after this time, when later requests have already been forwarded.
     pub late_copy: Option<Duration>,
 }
 
 impl Faults {
-    /// Nothing gets through.
+    /// Drops all requests and responses.
     pub const DROP_ALL: Self = Self {
         drop_requests: true,
         drop_responses: true,
@@ -38,10 +38,10 @@
     };
 }
 
-/// A relay.
+/// A running relay. It forwards messages until the process ends. Clones share the faults.
 #[derive(Clone)]
 pub struct Relay {
-    /// Where it listens.
+    /// The address that the relay listens on.
     pub address: SocketAddr,
     faults: Arc<Mutex<Faults>>,
 }
@@ -51,10 +51,10 @@
 }
 
 impl Relay {
-    /// Relays to an address, without faults at first.
+    /// Starts a relay to `target`, without faults at first.
     ///
     /// # Panics
-    /// There is no port.
+    /// No port is free.
     pub fn to(target: SocketAddr) -> Self {
         let bind = |_| TcpListener::bind(crate::free_address()).ok();
         let listener = (0..PORT_ATTEMPTS).find_map(bind).expect("a port");
@@ -64,20 +64,20 @@
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let faults = faults.clone();
-                // How a connection ends is what the test is about: nobody is told.
+                // Errors are ignored: connections end with an error when faults are injected.
                 thread::spawn(move || drop(relay_connection(&stream, target, &faults)));
             }
         });
         relay
     }
 
-    /// Changes what goes wrong from now on.
+    /// Sets the faults for later requests. `drop_responses` also applies to requests that have no response yet.
     pub fn set_faults(&self, faults: Faults) {
         *lock(&self.faults) = faults;
     }
 }
 
-/// Reads one whole message: its head and its body.
+/// Reads one complete HTTP message, head and body.
 pub(crate) fn read_message(reader: &mut BufReader<&TcpStream>) -> io::Result<Vec<u8>> {
     let mut message = Vec::new();
     let mut body_length = 0;
@@ -111,7 +111,7 @@
             return Ok(());
         }
         if now.stall {
-            // Until the other side gives up.
+            // Blocks until the client closes the connection.
             let _ = requests.read(&mut [0]);
             return Ok(());
         }
@@ -137,7 +137,7 @@
     read_message(&mut BufReader::new(&stream))
 }
 
-/// Nobody waits for what comes of the copy.
+/// Sends a copy of a request after `later` and ignores the response.
 fn send_late_copy(request: Vec<u8>, target: SocketAddr, later: Duration) {
     thread::spawn(move || {
         thread::sleep(later);
--- a/crates/testing/fault-injection/src/test_dependency.rs
+++ b/crates/testing/fault-injection/src/test_dependency.rs
@@ -1,5 +1,5 @@
-//! A dependency, shared by the nodes, that counts for itself what is in flight there: also calls whose callers
-//! are gone.
+//! A dependency that several nodes call. It counts the calls that it is working on, including those whose caller has
+//! disconnected, so that a test need not rely on the nodes' own counts.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,38 +8,37 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A call's beginning and end.
+/// The start and end of a call.
 #[derive(Clone, Copy)]
 struct FinishedCall {
     started: Instant,
     ended: Instant,
 }
 
-/// The counts.
 #[derive(Default)]
 struct Counts {
     in_flight: AtomicU64,
     max_in_flight: AtomicU64,
     calls: AtomicU64,
     call_duration_ms: AtomicU64,
-    /// For how long a call whose caller is gone still runs, at most; `u64::MAX` where it runs to its end.
+    /// The longest time that a call keeps running after its caller disconnected; `u64::MAX` if it always completes.
     cancellation_lag_ms: AtomicU64,
     finished: Mutex<Vec<FinishedCall>>,
 }
 
-/// The dependency.
+/// A running dependency. It serves calls until the process ends. Clones share the counts.
 #[derive(Clone)]
 pub struct TestDependency {
-    /// Where it listens.
+    /// The address that the dependency listens on.
     pub address: SocketAddr,
     counts: Arc<Counts>,
 }
 
 impl TestDependency {
-    /// A dependency whose calls take this long.
+    /// Starts a dependency whose calls take `call_duration`. At first, calls run to completion when their callers disconnect.
     ///
     /// # Panics
-    /// There is no port.
+    /// No port is free.
     pub fn start(call_duration: Duration) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -56,18 +55,18 @@
         dependency
     }
 
-    /// Calls that come from now on take this long.
+    /// Sets how long later calls take.
     pub fn set_call_duration(&self, duration: Duration) {
         self.counts.call_duration_ms.store(duration.as_millis() as u64, Ordering::Relaxed);
     }
 
-    /// Calls whose callers are gone still run for this long at most.
+    /// Sets how long a call keeps running after its caller disconnected.
     pub fn set_cancellation_lag(&self, lag: Duration) {
         let millis = u64::try_from(lag.as_millis()).unwrap_or(u64::MAX);
         self.counts.cancellation_lag_ms.store(millis, Ordering::Relaxed);
     }
 
-    /// The largest mean of calls in flight over any window of this length, of those that have ended by now.
+    /// The largest mean number of calls in flight over any window of this length. Counts only calls that have ended.
     pub fn max_mean_in_flight(&self, window: Duration) -> f64 {
         let finished = self.counts.finished.lock().unwrap_or_else(PoisonError::into_inner);
         let mean_from = |from: Instant| {
@@ -76,29 +75,29 @@
             };
             finished.iter().map(in_window).sum::<f64>() / window.as_secs_f64()
         };
-        // The largest is over a window that begins as a call comes, or ends as one goes.
+        // The mean is largest over a window that starts at the start of a call, or ends at the end of one.
         let starts = finished.iter().map(|call| call.started);
         let ends = finished.iter().filter_map(|call| call.ended.checked_sub(window));
         starts.chain(ends).map(mean_from).fold(0.0, f64::max)
     }
 
-    /// How many calls were in flight at most at one moment.
+    /// The largest number of calls that were in flight at the same time.
     pub fn max_in_flight(&self) -> u64 {
         self.counts.max_in_flight.load(Ordering::Relaxed)
     }
 
-    /// How many are now.
+    /// The number of calls in flight now.
     pub fn in_flight(&self) -> u64 {
         self.counts.in_flight.load(Ordering::Relaxed)
     }
 
-    /// How many calls came.
+    /// The number of calls received.
     pub fn calls(&self) -> u64 {
         self.counts.calls.load(Ordering::Relaxed)
     }
 }
 
-/// Serves the calls of one connection, one after another.
+/// Serves the calls on one connection, one after another.
 fn serve(stream: &TcpStream, counts: &Counts) {
     let mut reader = BufReader::new(stream);
     while let Some(body) = read_call(&mut reader) {
@@ -118,7 +117,7 @@
     }
 }
 
-/// The body of the next call; none where the connection ended.
+/// Reads the body of the next call; `None` if the connection ended.
 fn read_call(reader: &mut BufReader<&TcpStream>) -> Option<Vec<u8>> {
     let mut line = String::new();
     let mut length = 0;
@@ -136,7 +135,7 @@
     Some(body)
 }
 
-/// Runs a call until it is done, or until its cancellation lag is over where its caller went.
+/// Waits until a call is complete or, after its caller disconnected, until the cancellation lag is over.
 fn run_call(stream: &TcpStream, counts: &Counts, started: Instant) {
     const PEEK_INTERVAL: Duration = Duration::from_millis(5);
     let mut end = started + Duration::from_millis(counts.call_duration_ms.load(Ordering::Relaxed));
@@ -151,7 +150,7 @@
             thread::sleep(end - now);
             continue;
         }
-        // A look that waits: the caller's end is seen at once, anything else after a moment.
+        // `peek` returns at once when the caller disconnects, and otherwise after the read timeout.
         let wait = PEEK_INTERVAL.min(end - now).max(Duration::from_micros(1));
         let _ = stream.set_read_timeout(Some(wait));
         caller_gone = matches!(stream.peek(&mut [0]), Ok(0));
