--- a/crates/lynxtally-coordinator/src/clock.rs
+++ b/crates/lynxtally-coordinator/src/clock.rs
@@ -1,11 +1,11 @@
-//! A clock that counts up while the machine sleeps, too.
+//! A monotonic clock that keeps counting while the machine sleeps.
 
 use lynxtally::Instant;
 use rustix::time::{clock_gettime, ClockId};
 
-/// Microseconds since the machine was started.
+/// The time since the machine booted, in microseconds.
 pub fn now() -> Instant {
-    let at = clock_gettime(ClockId::Boottime);
-    let micros = i128::from(at.tv_sec) * 1_000_000 + i128::from(at.tv_nsec) / 1000;
+    let uptime = clock_gettime(ClockId::Boottime);
+    let micros = i128::from(uptime.tv_sec) * 1_000_000 + i128::from(uptime.tv_nsec) / 1000;
     Instant::from_micros(u64::try_from(micros).unwrap_or_default())
 }
--- a/crates/lynxtally-coordinator/src/coordinator.rs
+++ b/crates/lynxtally-coordinator/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! One coordinator, from its start to its end.
+//! Runs a coordinator: opens its folder, serves requests, starts the replication, and shuts down.
 
 use crate::leader::Leader;
 use crate::net::{self, Peers, RunningReplica, ServerState};
@@ -17,64 +17,72 @@
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-/// Heartbeats in an election timeout.
-const HEARTBEATS_PER_ELECTION: u32 = 5;
-/// The election timeout is drawn from the one that is set to this many times it, so that two candidates rarely stand
-/// against each other.
-const ELECTION_SPREAD: f64 = 2.0;
-/// Election timeouts in which a snapshot has to be installed.
-const SNAPSHOT_ELECTION_TIMEOUTS: u64 = 10;
-/// After a snapshot one in this many of the entries that led to it is kept, for replicas that are a little behind.
-const KEPT_ENTRIES_PART: u64 = 10;
-/// Snapshots are sent in pieces of this size, in bytes.
+/// The number of heartbeats that the leader sends in one election timeout.
+const HEARTBEATS_PER_ELECTION_TIMEOUT: u32 = 5;
+/// Each election timeout is drawn at random between the configured one and this many times it, which makes split votes rare.
+const MAX_ELECTION_TIMEOUT_FACTOR: f64 = 2.0;
+/// The timeout for installing a snapshot, in election timeouts.
+const INSTALL_SNAPSHOT_ELECTION_TIMEOUTS: u64 = 10;
+/// The fraction of the entries per snapshot that stays in the log after a snapshot is one in this many. A replica that is
+/// only a little behind catches up from them and needs no snapshot.
+const RETAINED_ENTRIES_DIVISOR: u64 = 10;
+/// The size of the chunks in which a snapshot is sent, in bytes.
 const SNAPSHOT_CHUNK_BYTES: u64 = 1 << 20;
 
-/// Runs a coordinator until `end` is ready.
+/// Runs a coordinator until `shutdown` completes.
 ///
 /// # Errors
-/// Why it can't go on.
-pub async fn run(settings: Settings, end: impl Future<Output = ()> + Send) -> Result<(), CoordinatorError> {
+/// The coordinator can't start, or it must stop because the replication ended or its state diverged.
+pub async fn run(
+    settings: Settings,
+    shutdown: impl Future<Output = ()> + Send,
+) -> Result<(), CoordinatorError> {
     let (log, state_machine) = open_store(&settings)?;
     let mut state = state_machine.shared();
     let listener = listen(&settings).await?;
-    let (announce_replica, replica) = watch::channel(None);
-    let (close_server, server_closed) = watch::channel(false);
+    let (replica_sender, replica) = watch::channel(None);
+    let (server_shutdown, server_shutdown_receiver) = watch::channel(false);
     let server_state = ServerState { state: state.clone(), replica };
-    let server = tokio::spawn(net::serve(listener, server_state, is_set(server_closed)));
-    tokio::pin!(end);
+    let server = tokio::spawn(net::serve(listener, server_state, wait_until_set(server_shutdown_receiver)));
+    tokio::pin!(shutdown);
     let replica = tokio::select! {
-        () = &mut end => return Ok(()),
+        () = &mut shutdown => return Ok(()),
         started = start_replica(&settings, log, state_machine) => started?,
     };
-    info!(id = settings.id, coordinators = settings.coordinators.len(), listen = %settings.own_address(), "taking part");
-    announce_replica.send_replace(Some(replica.clone()));
+    info!(
+        id = settings.id,
+        coordinators = settings.coordinators.len(),
+        listen = %settings.own_address(),
+        "coordinator joined the replication"
+    );
+    replica_sender.send_replace(Some(replica.clone()));
     let ticks = tokio::spawn(replica.leader.tick_while_leading(settings.tick_interval));
-    let ended = tokio::select! {
-        () = &mut end => Ok(()),
+    let result = tokio::select! {
+        () = &mut shutdown => Ok(()),
         () = state.diverged() => Err(CoordinatorError::Diverged),
         reason = replication_ended(&replica.raft) => Err(CoordinatorError::Replication(reason)),
     };
     ticks.abort();
-    close_server.send_replace(true);
-    // Requests under way are answered; a connection that stays open is not waited for.
+    server_shutdown.send_replace(true);
+    // Waits for the responses to pending requests, but not for idle connections that clients keep open.
     let _ = tokio::time::timeout(settings.election_timeout, server).await;
     if let Err(error) = replica.raft.shutdown().await {
-        warn!(%error, "the replication did not shut down cleanly");
+        warn!(%error, "openraft did not shut down cleanly");
     }
-    ended
+    result
 }
 
 fn open_store(settings: &Settings) -> Result<(RaftLog, StateMachine), CoordinatorError> {
-    let in_folder = |error: &dyn fmt::Display| {
+    let folder_error = |error: &dyn fmt::Display| {
         CoordinatorError::Folder(format!("{}: {error}", settings.folder.display()))
     };
-    let folder = DirectoryStorage::new(&settings.folder).map_err(|error| in_folder(&error))?;
-    let failed = |error: StoreError| in_folder(&error);
-    let opened = store::open(folder).map_err(failed)?;
-    if let Some(cut) = &opened.truncated_tail {
-        warn!(cut, "an entry that was never acknowledged was cut off");
+    let folder = DirectoryStorage::new(&settings.folder).map_err(|error| folder_error(&error))?;
+    let store_error = |error: StoreError| folder_error(&error);
+    let opened = store::open(folder).map_err(store_error)?;
+    if let Some(tail) = &opened.truncated_tail {
+        warn!(tail, "truncated an incomplete write at the end of the log; it was never acknowledged");
     }
-    let state_machine = StateMachine::new(&opened).map_err(failed)?;
+    let state_machine = StateMachine::new(&opened).map_err(store_error)?;
     Ok((RaftLog::new(&opened), state_machine))
 }
 
@@ -82,15 +90,15 @@
     let address = settings.own_address();
     TcpListener::bind(address)
         .await
-        .map_err(|error| CoordinatorError::Listen(format!("{address} can't be listened on: {error}")))
+        .map_err(|error| CoordinatorError::Listen(format!("can't listen on {address}: {error}")))
 }
 
-async fn is_set(mut flag: watch::Receiver<bool>) {
-    // The sender lives until the end of `run`.
+async fn wait_until_set(mut flag: watch::Receiver<bool>) {
+    // An error would mean that the sender was dropped, but it lives until `run` returns.
     let _ = flag.wait_for(|set| *set).await;
 }
 
-/// Why the replication can't go on, once it can't.
+/// Waits until openraft ends, and returns the reason.
 async fn replication_ended(raft: &Raft) -> String {
     let mut metrics = raft.metrics();
     loop {
@@ -98,7 +106,7 @@
             return error.to_string();
         }
         if metrics.changed().await.is_err() {
-            return "its task is gone".to_owned();
+            return "openraft's task has ended".to_owned();
         }
     }
 }
@@ -117,14 +125,14 @@
         .await
         .map_err(|error| replication_error(&error))?;
     if is_new {
-        // All coordinators start with the same list: whichever of them comes first, it is the same.
-        raft.initialize(members(settings)).await.map_err(|error| replication_error(&error))?;
+        // Several coordinators may initialize the cluster at the same time: all have the same list of members.
+        raft.initialize(cluster_members(settings)).await.map_err(|error| replication_error(&error))?;
     }
     let leader = Leader::new(raft.clone(), state, settings.tick_interval);
     Ok(RunningReplica { raft, leader })
 }
 
-fn members(settings: &Settings) -> BTreeMap<u64, BasicNode> {
+fn cluster_members(settings: &Settings) -> BTreeMap<u64, BasicNode> {
     let addresses = settings.coordinators.iter();
     (1..).zip(addresses).map(|(id, address)| (id, BasicNode::new(address.to_string()))).collect()
 }
@@ -134,16 +142,16 @@
 }
 
 fn raft_config(settings: &Settings) -> Result<Arc<Config>, CoordinatorError> {
-    let millis = |duration: Duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
-    let election_timeout = millis(settings.election_timeout);
+    let to_millis = |duration: Duration| u64::try_from(duration.as_millis()).unwrap_or(u64::MAX);
+    let election_timeout = to_millis(settings.election_timeout);
     let config = Config {
         cluster_name: "lynxtally".to_owned(),
-        heartbeat_interval: millis(settings.election_timeout / HEARTBEATS_PER_ELECTION),
+        heartbeat_interval: to_millis(settings.election_timeout / HEARTBEATS_PER_ELECTION_TIMEOUT),
         election_timeout_min: election_timeout,
-        election_timeout_max: (election_timeout as f64 * ELECTION_SPREAD) as u64,
-        install_snapshot_timeout: election_timeout * SNAPSHOT_ELECTION_TIMEOUTS,
+        election_timeout_max: (election_timeout as f64 * MAX_ELECTION_TIMEOUT_FACTOR) as u64,
+        install_snapshot_timeout: election_timeout * INSTALL_SNAPSHOT_ELECTION_TIMEOUTS,
         snapshot_policy: SnapshotPolicy::LogsSinceLast(settings.entries_per_snapshot),
-        max_in_snapshot_log_to_keep: settings.entries_per_snapshot / KEPT_ENTRIES_PART,
+        max_in_snapshot_log_to_keep: settings.entries_per_snapshot / RETAINED_ENTRIES_DIVISOR,
         snapshot_max_chunk_size: SNAPSHOT_CHUNK_BYTES,
         ..Config::default()
     };
--- a/crates/lynxtally-coordinator/src/error.rs
+++ b/crates/lynxtally-coordinator/src/error.rs
@@ -1,25 +1,25 @@
-//! Why a coordinator ended.
+//! The errors that end a coordinator.
 
 use std::fmt;
 
-/// Why a coordinator ended. Its text is one line.
+/// Why a coordinator stopped or did not start. Displayed as one line.
 #[derive(Debug)]
 pub enum CoordinatorError {
-    /// Its folder can't be used.
+    /// The folder for the log and the snapshots can't be used.
     Folder(String),
-    /// It can't listen.
+    /// The coordinator can't listen on its address.
     Listen(String),
-    /// The replication does not go on.
+    /// openraft failed or could not be started.
     Replication(String),
-    /// Other coordinators know that it acknowledged more of the log than it has: its folder is an older copy, or not
-    /// its own. Its vote could take back what was agreed on.
+    /// The log is shorter than what this coordinator acknowledged, as other coordinators report: the folder is an older
+    /// copy, or another coordinator's. The coordinator's vote could undo committed entries.
     StaleLog {
-        /// The index of its last entry.
+        /// The index of the last entry in the log.
         last_index: u64,
-        /// The index that it acknowledged.
+        /// The highest index that this coordinator acknowledged, as another coordinator reports.
         acknowledged_index: u64,
     },
-    /// Its state is not the leader's.
+    /// The replicated state differs from the leader's.
     Diverged,
 }
 
@@ -31,12 +31,15 @@
             Self::Replication(reason) => write!(f, "the replication ended: {reason}"),
             Self::StaleLog { last_index, acknowledged_index } => write!(
                 f,
-                "`folder` has the log up to index {last_index}, and other coordinators know that it acknowledged \
-                 {acknowledged_index}: this is an older copy, and its vote could take back what was agreed on; bring \
-                 back the folder that it had"
+                "`folder` has the log up to index {last_index}, but other coordinators report that this \
+                 coordinator acknowledged index {acknowledged_index}: this is an older copy, and the \
+                 coordinator's vote could undo committed entries; restore the latest content of the folder"
             ),
             Self::Diverged => {
-                f.write_str("the state here is not the leader's; the log line before this has the index and the digest")
+                f.write_str(
+                    "this replica's state differs from the leader's; the previous log line has the index and \
+                     the digest",
+                )
             }
         }
     }
--- a/crates/lynxtally-coordinator/src/leader.rs
+++ b/crates/lynxtally-coordinator/src/leader.rs
@@ -1,5 +1,5 @@
-//! What only the leader does: it timestamps commands and writes them to the log, writes ticks, tells the state machine
-//! whom it hears nothing of, and has the states of all replicas compared.
+//! The leader's tasks: it timestamps commands and writes them to the log, writes ticks at a regular interval, records in
+//! the state machine which members it suspects, and has the replicas compare their states.
 
 use crate::clock;
 use crate::store::SharedState;
@@ -19,12 +19,12 @@
 /// Why a command was not written.
 #[derive(Debug)]
 pub enum WriteError {
-    /// This replica does not lead.
+    /// This replica is not the leader.
     NotLeader {
-        /// The number of the coordinator that may, where it is known.
+        /// The number of the coordinator that leads, if known.
         leader: Option<u64>,
     },
-    /// The replication ended.
+    /// openraft has stopped.
     Replication(String),
 }
 
@@ -40,41 +40,42 @@
 
 impl std::error::Error for WriteError {}
 
-/// A command is timestamped anew this many times at most, where the term changes under it.
+/// A command is written at most this often. It needs a new timestamp if the term changes before it is written.
 const MAX_WRITE_ATTEMPTS: usize = 5;
-/// The states of all replicas are compared once in as many ticks.
+/// The replicas compare their states once in this many ticks.
 const TICKS_PER_CHECKPOINT: u64 = 40;
 
-/// Writes commands where this replica leads.
+/// Writes commands to the log while this replica leads. Every replica has one; on a follower, writes fail with
+/// [`WriteError::NotLeader`].
 #[derive(Clone)]
 pub struct Leader {
     raft: Raft,
     state: SharedState,
-    /// Whom this replica hears, while it leads: only the leader hears anybody.
+    /// The failure detector; `None` while this replica does not lead, because only the leader receives requests of nodes.
     suspicion: Arc<Mutex<Option<SuspicionTracker>>>,
     tick_interval: Span,
 }
 
 impl Leader {
-    /// The writer of a replica's commands.
+    /// Creates the writer for a replica.
     pub fn new(raft: Raft, state: SharedState, tick_interval: Duration) -> Self {
         let micros = u64::try_from(tick_interval.as_micros()).unwrap_or(u64::MAX);
         Self { raft, state, suspicion: Arc::default(), tick_interval: Span::from_micros(micros) }
     }
 
-    /// Which coordinator leads, as far as it is known here.
+    /// The number of the coordinator that leads, if this replica knows it.
     pub fn current_leader(&self) -> Option<u64> {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
         metrics.current_leader
     }
 
-    /// Up to which log index another coordinator acknowledged the log to this one, as the leader.
+    /// The highest log index that another coordinator acknowledged to this one while this one leads; 0 if unknown.
     pub fn acknowledged_index(&self, coordinator: u64) -> u64 {
         self.acknowledged_indexes().get(&coordinator).copied().unwrap_or(0)
     }
 
-    /// The same of all other coordinators.
+    /// The highest log index that each other coordinator acknowledged; empty while this replica does not lead.
     fn acknowledged_indexes(&self) -> BTreeMap<u64, u64> {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
@@ -82,18 +83,19 @@
         replication.iter().map(|(id, acknowledged)| (*id, acknowledged.map_or(0, |log| log.index))).collect()
     }
 
-    /// The term in which this replica leads, while it does.
+    /// The term in which this replica leads; `None` if it does not.
     fn leading_term(&self) -> Option<u64> {
         let metrics = self.raft.metrics();
         let metrics = metrics.borrow();
         (metrics.state == ServerState::Leader).then_some(metrics.current_term)
     }
 
-    /// Writes a command. The output comes once it is applied here, and so durable on most replicas.
+    /// Writes a command to the log. Returns its output once it is applied here, when it is durable on a majority of
+    /// replicas.
     async fn write(&self, command: Command) -> Result<Output, WriteError> {
         for _ in 0..MAX_WRITE_ATTEMPTS {
-            // The term before the clock: then a timestamp and an entry of one term mean that this replica led in it
-            // from the clock reading on, which the clock of the state relies on.
+            // Safety: the term is read before the clock. If the entry is written in the same term, this replica led in
+            // that term from the clock reading on. The clock of the replicated state relies on this.
             let Some(term) = self.leading_term() else {
                 return Err(WriteError::NotLeader { leader: self.current_leader() });
             };
@@ -112,17 +114,17 @@
         Err(WriteError::NotLeader { leader: None })
     }
 
-    /// Applies a node's request.
+    /// Applies a node's request and returns the response.
     ///
     /// # Errors
-    /// Another coordinator leads, or none, or the replication ended.
+    /// This replica does not lead, or openraft has stopped.
     pub async fn node_request(&self, request: NodeRequest) -> Result<NodeResponse, WriteError> {
         let name = request.name.clone();
         let ends_session = request.ends_session;
         match self.write(Command::Node(request)).await? {
             Output::Node(response) => {
                 if matches!(response, NodeResponse::Accepted(_)) {
-                    self.heard(name, ends_session);
+                    self.record_heartbeat(name, ends_session);
                 }
                 Ok(response)
             }
@@ -130,10 +132,10 @@
         }
     }
 
-    /// Applies an operator's request.
+    /// Applies an operator's request and returns the response.
     ///
     /// # Errors
-    /// Another coordinator leads, or none.
+    /// This replica does not lead, or openraft has stopped.
     pub async fn admin_request(&self, request: AdminRequest) -> Result<AdminResponse, WriteError> {
         match self.write(Command::Admin(request)).await? {
             Output::Admin(response) => Ok(response),
@@ -142,30 +144,30 @@
     }
 
     fn with_suspicion<T>(&self, with: impl FnOnce(&mut Option<SuspicionTracker>) -> T) -> T {
-        // What a panicking thread left is still a whole tracker.
+        // A panic can't leave the tracker in an inconsistent state, so a poisoned lock is usable.
         with(&mut self.suspicion.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn heard(&self, name: String, ends_session: bool) {
+    fn record_heartbeat(&self, name: String, ends_session: bool) {
         self.with_suspicion(|suspicion| {
             if let Some(suspicion) = suspicion {
-                suspicion.heard(clock::now(), name, ends_session);
+                suspicion.record_heartbeat(clock::now(), name, ends_session);
             }
         });
     }
 
-    /// Writes ticks for as long as the program runs, while this replica leads.
+    /// Writes a tick at each interval while this replica leads. Never returns.
     pub async fn tick_while_leading(self, tick_interval: Duration) {
         let mut interval = tokio::time::interval(tick_interval);
         interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut led = false;
+        let mut was_leading = false;
         let mut ticks = 0_u64;
         loop {
             interval.tick().await;
             let leads = self.leading_term().is_some();
-            if leads != led {
-                led = leads;
-                info!(leads, "leadership of this coordinator has changed");
+            if leads != was_leading {
+                was_leading = leads;
+                info!(leads, "this coordinator gained or lost the leadership");
                 self.reset_suspicion(leads);
             }
             if !leads || !self.state.read(|state| state.needs_ticks()) {
@@ -173,12 +175,13 @@
             }
             ticks += 1;
             if let Err(error) = self.tick(ticks).await {
-                warn!(%error, "a tick was not written");
+                warn!(%error, "leader failed to write a tick, a suspicion or a checkpoint to the log");
             }
         }
     }
 
-    /// A new leader has heard nobody yet, and suspects nobody for that.
+    /// Starts a new failure detector when this replica becomes the leader. A new leader has received no requests yet and
+    /// must not suspect anybody for that.
     fn reset_suspicion(&self, leads: bool) {
         let shortest_lease =
             self.state.read(|state| state.budgets().map(|(_, budget)| budget.terms.lease_duration_us).min());
@@ -207,7 +210,7 @@
         Ok(())
     }
 
-    /// The incarnations of which the state says other than what is heard here, with what is heard.
+    /// The incarnations whose suspicion in the state differs from the failure detector's, with the detector's value.
     fn changed_suspicions(&self) -> BTreeMap<u64, bool> {
         let members = self.state.read(|state| {
             let members = state.members();
--- a/crates/lynxtally-coordinator/src/lib.rs
+++ b/crates/lynxtally-coordinator/src/lib.rs
@@ -1,9 +1,9 @@
-//! A coordinator: one of 1, 3 or 5 Raft replicas that agree on one log of commands.
+//! A coordinator: one of 1, 3 or 5 Raft replicas that grant leases and reservations to nodes.
 //!
-//! The replication is openraft's. Its log and snapshots stand on the project's write-ahead log ([`store`]); what is
-//! agreed on is the state machine of `lynxtally-coordination`; nodes and operators speak to it over HTTP with the
-//! messages of `lynxtally-messages` ([`net`]). What only the leader does is in [`leader`], and what a replica checks before
-//! it takes part in [`startup`].
+//! openraft replicates the commands. [`store`] keeps its log in the project's write-ahead log and its snapshots in a
+//! checksummed file. The replicated state machine is that of `lynxtally-coordination`. Nodes and operators send the
+//! messages of `lynxtally-messages` over HTTP ([`net`]). [`leader`] has the tasks of the leader, and [`startup`] the check
+//! that a replica passes before it takes part in the replication.
 
 #![forbid(unsafe_code)]
 
@@ -23,11 +23,11 @@
 use std::io::Cursor;
 
 openraft::declare_raft_types!(
-    /// What the library replicates.
+    /// The types that openraft replicates.
     pub Types:
         D = TimestampedCommand,
         R = Output,
 );
 
-/// The library's replica, with our types.
+/// openraft's handle of a replica, for [`Types`].
 pub type Raft = openraft::Raft<Types>;
--- a/crates/lynxtally-coordinator/src/main.rs
+++ b/crates/lynxtally-coordinator/src/main.rs
@@ -1,4 +1,4 @@
-//! `lynxtally-coordinator`: one replica of the coordination state.
+//! The program `lynxtally-coordinator`, which runs one coordinator.
 
 use lynxtally_coordinator::{coordinator, settings};
 use std::path::Path;
@@ -11,9 +11,10 @@
 
 const USAGE: &str = "usage: lynxtally-coordinator SETTINGS
 
-Agrees with the other coordinators that SETTINGS names on leases and quotas. SETTINGS is a Jsonnet template such as
-deploy/shares/coordinator.jsonnet. LYNXTALLY_LOG sets what is logged: error, warn, info (the default), debug, trace
-or off. SIGTERM ends it; it may be started again at any time.";
+Runs one coordinator. Together with the other coordinators in SETTINGS it grants leases and reservations to
+nodes. SETTINGS is a Jsonnet template such as deploy/shares/coordinator.jsonnet. LYNXTALLY_LOG sets the log
+level: error, warn, info (the default), debug, trace or off. SIGTERM stops the coordinator; it can be started
+again at any time.";
 
 fn main() -> ExitCode {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
@@ -34,8 +35,8 @@
     };
     match start(&path) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("lynxtally-coordinator: {fault}");
+        Err(error) => {
+            eprintln!("lynxtally-coordinator: {error}");
             ExitCode::FAILURE
         }
     }
@@ -43,24 +44,24 @@
 
 fn start(path: &str) -> Result<(), Box<dyn std::error::Error>> {
     let level = match std::env::var("LYNXTALLY_LOG") {
-        Ok(level) => {
-            level.parse::<LevelFilter>().map_err(|_| format!("LYNXTALLY_LOG: {level:?} is no level"))?
-        }
+        Ok(level) => level
+            .parse::<LevelFilter>()
+            .map_err(|_| format!("LYNXTALLY_LOG: {level:?} is not a log level"))?,
         Err(_) => LevelFilter::INFO,
     };
     let settings = settings::read(Path::new(path))?;
-    // The library tells each of its steps at info; they are of use where somebody looks for a fault in it.
-    let library = if level > LevelFilter::INFO { level } else { level.min(LevelFilter::WARN) };
-    let levels = Targets::new().with_default(level).with_target("openraft", library);
-    let lines = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
-    tracing_subscriber::registry().with(lines).with(levels).init();
+    // openraft logs each of its steps at level info. They are logged only if a more verbose level than info is set.
+    let openraft_level = if level > LevelFilter::INFO { level } else { level.min(LevelFilter::WARN) };
+    let levels = Targets::new().with_default(level).with_target("openraft", openraft_level);
+    let log_layer = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
+    tracing_subscriber::registry().with(log_layer).with(levels).init();
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     runtime.block_on(async {
-        let mut leave = signal(SignalKind::terminate())?;
-        let end = async move {
-            leave.recv().await;
+        let mut sigterm = signal(SignalKind::terminate())?;
+        let shutdown = async move {
+            sigterm.recv().await;
         };
-        coordinator::run(settings, end).await?;
+        coordinator::run(settings, shutdown).await?;
         Ok(())
     })
 }
--- a/crates/lynxtally-coordinator/src/net/client.rs
+++ b/crates/lynxtally-coordinator/src/net/client.rs
@@ -1,4 +1,4 @@
-//! Requests to another coordinator.
+//! The HTTP client for requests to other coordinators.
 
 use super::MAX_PEER_MESSAGE_BYTES;
 use http_body_util::{BodyExt, Full, Limited};
@@ -11,18 +11,18 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// Why there was no response.
+/// Why a request failed.
 #[derive(Debug)]
 pub enum RequestError {
-    /// Nobody listens there, or the connection broke.
+    /// The connection was refused, or it ended before the response was complete.
     Unreachable(String),
-    /// Nothing came in time.
+    /// The response did not arrive within the timeout.
     TimedOut,
-    /// The request was rejected.
+    /// The response has a status other than 200.
     Rejected {
-        /// The response's status.
+        /// The status of the response.
         status: StatusCode,
-        /// Its body.
+        /// The body of the response.
         body: String,
     },
 }
@@ -31,7 +31,7 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Unreachable(reason) => f.write_str(reason),
-            Self::TimedOut => f.write_str("no response in time"),
+            Self::TimedOut => f.write_str("no response within the timeout"),
             Self::Rejected { status, body } => write!(f, "{status}: {body}"),
         }
     }
@@ -39,18 +39,18 @@
 
 impl std::error::Error for RequestError {}
 
-/// Posts a body and returns the body of the response.
+/// Sends a POST request and returns the body of the response.
 ///
 /// # Errors
-/// There was no response, or it says that the request was rejected.
+/// No complete response arrived within the timeout, or its status is not 200.
 pub async fn post(
     address: SocketAddr,
     path: &str,
     body: Vec<u8>,
     timeout: Duration,
 ) -> Result<Bytes, RequestError> {
-    let exchange = post_without_timeout(address, path, body);
-    tokio::time::timeout(timeout, exchange).await.unwrap_or(Err(RequestError::TimedOut))
+    let response = post_without_timeout(address, path, body);
+    tokio::time::timeout(timeout, response).await.unwrap_or(Err(RequestError::TimedOut))
 }
 
 async fn post_without_timeout(address: SocketAddr, path: &str, body: Vec<u8>) -> Result<Bytes, RequestError> {
@@ -73,7 +73,7 @@
     RequestError::Unreachable(error.to_string())
 }
 
-/// One client for the program, which keeps connections open.
+/// The HTTP client that all requests share, so that they reuse connections.
 fn client() -> &'static Client<HttpConnector, Full<Bytes>> {
     static CLIENT: OnceLock<Client<HttpConnector, Full<Bytes>>> = OnceLock::new();
     CLIENT.get_or_init(|| {
--- a/crates/lynxtally-coordinator/src/net/mod.rs
+++ b/crates/lynxtally-coordinator/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! How coordinators hear of nodes, operators and each other: HTTP/1.1 with JSON bodies.
+//! The network interface of a coordinator for nodes, operators and other coordinators: HTTP/1.1 with JSON bodies.
 
 mod client;
 mod peers;
@@ -11,22 +11,22 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The longest message between coordinators, in bytes.
+/// The maximum length of a message between coordinators, in bytes.
 pub(crate) const MAX_PEER_MESSAGE_BYTES: usize = 32 << 20;
 
-/// A coordinator that starts asks the others how much of its log it acknowledged.
+/// The request of a coordinator that starts: how much of the log did it acknowledge?
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct StartupCheck {
-    /// Its number.
+    /// The number of the coordinator that starts.
     pub id: u64,
 }
 
-/// What another coordinator knows of it.
+/// The response to [`StartupCheck`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct AcknowledgedIndex {
-    /// It has acknowledged the log to a leader up to this index, at least.
+    /// The highest log index that the coordinator is known to have acknowledged. It may have acknowledged later entries.
     #[serde(rename = "had")]
     pub index: u64,
 }
--- a/crates/lynxtally-coordinator/src/net/peers.rs
+++ b/crates/lynxtally-coordinator/src/net/peers.rs
@@ -1,4 +1,4 @@
-//! The other coordinators, as the Raft library reaches them.
+//! Implements openraft's network: messages to other coordinators.
 
 use super::client::{post, RequestError};
 use crate::Types;
@@ -16,13 +16,13 @@
 
 type PeerError<E = openraft::error::Infallible> = RPCError<u64, BasicNode, RaftError<u64, E>>;
 
-/// Connects to other coordinators by their numbers: their addresses are in this coordinator's settings.
+/// The addresses of all coordinators in the order of their numbers, which count from 1.
 pub struct Peers(pub Vec<SocketAddr>);
 
-/// Another coordinator.
+/// A connection to another coordinator.
 pub struct Peer {
     id: u64,
-    /// None where the settings name no coordinator of this number.
+    /// `None` if the settings have no coordinator with this number.
     address: Option<SocketAddr>,
 }
 
@@ -42,11 +42,12 @@
         R: DeserializeOwned,
         E: std::error::Error + DeserializeOwned,
     {
-        let unknown = || io::Error::other(format!("the settings name no coordinator {}", self.id));
+        let unknown =
+            || io::Error::other(format!("the settings have no coordinator with number {}", self.id));
         let address = self.address.ok_or_else(|| network_error(&unknown()))?;
         let body = serde_json::to_vec(message).map_err(|error| network_error(&error))?;
         let response = post(address, path, body, option.hard_ttl()).await.map_err(|error| match error {
-            // Nobody is there: the library tries again after a while, not at once.
+            // `Unreachable` makes openraft wait before it retries; other errors are retried at once.
             RequestError::Unreachable(_) => PeerError::<E>::Unreachable(Unreachable::new(&error)),
             _ => network_error(&error),
         })?;
--- a/crates/lynxtally-coordinator/src/net/server.rs
+++ b/crates/lynxtally-coordinator/src/net/server.rs
@@ -1,5 +1,5 @@
-//! What a coordinator is asked: by nodes (`/v1/say`), operators (`/v1/order`, `/v1/state`) and other coordinators
-//! (`/v1/check`, `/v1/raft`).
+//! The HTTP server of a coordinator. Nodes use `/v1/say`, operators `/v1/order` and `/v1/state`, and other coordinators
+//! `/v1/check` and the paths below `/v1/raft`.
 
 use super::{state_report, AcknowledgedIndex, StartupCheck, MAX_PEER_MESSAGE_BYTES};
 use crate::leader::{Leader, WriteError};
@@ -21,21 +21,21 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A replica that takes part.
+/// A replica that takes part in the replication.
 #[derive(Clone)]
 pub struct RunningReplica {
-    /// The replication.
+    /// openraft's handle of the replica.
     pub raft: Raft,
-    /// Writes commands where this replica leads.
+    /// Writes commands while this replica leads.
     pub leader: Leader,
 }
 
-/// What the server passes requests on to.
+/// The state shared by all request handlers.
 #[derive(Clone)]
 pub struct ServerState {
-    /// The replicated state as it is here.
+    /// The replicated state of this replica.
     pub state: SharedState,
-    /// The replica; none before it takes part.
+    /// The replica; `None` until the startup check has passed.
     pub replica: watch::Receiver<Option<RunningReplica>>,
 }
 
@@ -49,14 +49,14 @@
     }
 }
 
-/// Serves until `end` is ready.
+/// Serves requests until `shutdown` completes and the pending requests have their responses.
 ///
 /// # Errors
 /// The listener failed.
 pub async fn serve(
     listener: TcpListener,
     state: ServerState,
-    end: impl Future<Output = ()> + Send + 'static,
+    shutdown: impl Future<Output = ()> + Send + 'static,
 ) -> std::io::Result<()> {
     let raft_routes = Router::new()
         .route("/v1/raft/append", post(append_entries))
@@ -71,7 +71,7 @@
         .layer(DefaultBodyLimit::max(MAX_MESSAGE_BYTES))
         .merge(raft_routes)
         .with_state(state);
-    axum::serve(listener, routes).with_graceful_shutdown(end).await
+    axum::serve(listener, routes).with_graceful_shutdown(shutdown).await
 }
 
 impl From<WriteError> for Rejection {
@@ -83,7 +83,7 @@
     }
 }
 
-/// This replica does not take part yet.
+/// The rejection while this replica does not take part in the replication yet.
 const NO_LEADER: Rejection = Rejection::NotLeader { leader: None };
 
 async fn node_request(State(server): State<ServerState>, body: Bytes) -> Response {
@@ -113,33 +113,33 @@
     Json(server.state.read(|state| state_report::report(leader, state))).into_response()
 }
 
-/// Another coordinator starts and asks how much of its log it acknowledged: as the log of this one has it, and as it
-/// told this one since, where this one leads.
+/// Handles the startup check of another coordinator. Returns the larger of two indexes: the one in the replicated state, as of
+/// the last tick, and the one that the other coordinator has acknowledged to this one if this one leads.
 async fn startup_check(State(server): State<ServerState>, body: Bytes) -> Response {
     match serde_json::from_slice::<StartupCheck>(&body) {
         Err(error) => bad_request(&error),
         Ok(StartupCheck { id }) => {
-            let in_state = server.state.read(|state| state.acknowledged_index(id));
-            let since = server.leader().map_or(0, |leader| leader.acknowledged_index(id));
-            Json(AcknowledgedIndex { index: in_state.max(since) }).into_response()
+            let at_last_tick = server.state.read(|state| state.acknowledged_index(id));
+            let at_leader = server.leader().map_or(0, |leader| leader.acknowledged_index(id));
+            Json(AcknowledgedIndex { index: at_last_tick.max(at_leader) }).into_response()
         }
     }
 }
 
 async fn append_entries(State(server): State<ServerState>, body: Bytes) -> Response {
-    pass_to_raft(&server, &body, |raft, message| async move { raft.append_entries(message).await }).await
+    forward_to_raft(&server, &body, |raft, message| async move { raft.append_entries(message).await }).await
 }
 
 async fn vote(State(server): State<ServerState>, body: Bytes) -> Response {
-    pass_to_raft(&server, &body, |raft, message| async move { raft.vote(message).await }).await
+    forward_to_raft(&server, &body, |raft, message| async move { raft.vote(message).await }).await
 }
 
 async fn install_snapshot(State(server): State<ServerState>, body: Bytes) -> Response {
-    pass_to_raft(&server, &body, |raft, message| async move { raft.install_snapshot(message).await }).await
+    forward_to_raft(&server, &body, |raft, message| async move { raft.install_snapshot(message).await }).await
 }
 
-/// Passes another coordinator's message on to the Raft library, and its answer back.
-async fn pass_to_raft<T, A, F>(
+/// Passes another coordinator's message to openraft and returns its response.
+async fn forward_to_raft<T, A, F>(
     server: &ServerState,
     body: &[u8],
     handle: impl FnOnce(Raft, T) -> F,
--- a/crates/lynxtally-coordinator/src/net/state_report.rs
+++ b/crates/lynxtally-coordinator/src/net/state_report.rs
@@ -1,10 +1,10 @@
-//! The state as operators see it at `/v1/state`. Scripts read the keys, which are older than the names in the code.
+//! The JSON report at `/v1/state`. Operators' scripts read its keys, so they stay even though names in the code differ.
 
 use lynxtally_coordination::budgets::BudgetStatus;
 use lynxtally_coordination::{CoordinationState, Member};
 use serde_json::{json, Map, Value};
 
-/// The whole report.
+/// The complete report.
 pub(super) fn report(leader: Option<u64>, state: &CoordinationState) -> Value {
     json!({ "leader": leader, "register": report_state(state) })
 }
--- a/crates/lynxtally-coordinator/src/settings.rs
+++ b/crates/lynxtally-coordinator/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a coordinator: a Jsonnet template, read and checked here and nowhere else.
+//! The settings of a coordinator. They are read from a Jsonnet template and validated only here.
 
 use lynxtally_template::TemplateError;
 use serde::Deserialize;
@@ -10,58 +10,59 @@
 /// The settings of a coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Which of the coordinators it is, counted from 1.
+    /// The number of this coordinator, counted from 1.
     pub id: u64,
-    /// Where all of them listen, in the order of their numbers.
+    /// The addresses of all coordinators, in the order of their numbers.
     pub coordinators: Vec<SocketAddr>,
-    /// Where its log and snapshots are.
+    /// The folder for the log and the snapshots.
     pub folder: PathBuf,
-    /// A leader that is silent for longer is replaced. Heartbeats and other timeouts are ratios to it.
+    /// Followers elect a new leader when they have received no heartbeat for this long. The heartbeat interval and other
+    /// timeouts are multiples or fractions of it.
     pub election_timeout: Duration,
-    /// How often the leader has budgets divided anew.
+    /// How often the leader divides the budgets among the nodes again.
     pub tick_interval: Duration,
-    /// After as many entries a snapshot is made and the log is shortened.
+    /// After this many log entries a snapshot is built and the log is purged.
     pub entries_per_snapshot: u64,
 }
 
 impl Settings {
-    /// Where this coordinator listens.
+    /// The address that this coordinator listens on.
     pub fn own_address(&self) -> SocketAddr {
-        // `read` has checked that the number is one of the list's.
+        // `read` has checked that `id` is between 1 and the length of the list.
         self.coordinators[self.id as usize - 1]
     }
 }
 
-/// Why settings can't be used. Its text is one line, with the file.
+/// Why settings can't be used. Displayed as one line that names the file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SettingsError {
-    /// The template can't be evaluated, or has not the expected form.
+    /// The template can't be evaluated, or its result does not have the expected structure.
     Template(TemplateError),
     /// A value is not allowed.
     Invalid {
-        /// The file.
+        /// The path of the template.
         file: PathBuf,
-        /// The key.
+        /// The settings key.
         key: &'static str,
-        /// What is wrong with its value.
+        /// Why the value is not allowed.
         problem: Problem,
     },
 }
 
-/// What is wrong with a value.
+/// Why a value in the settings is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Problem {
-    /// There are not 1, 3 or 5 addresses.
+    /// The number of addresses is not 1, 3 or 5.
     AddressCount(usize),
-    /// An address stands twice.
+    /// The list has the same address twice.
     DuplicateAddress(SocketAddr),
-    /// A number is out of its range.
+    /// A number is outside its range.
     OutOfRange {
-        /// The number.
+        /// The number in the settings.
         value: u64,
-        /// The smallest that is allowed.
+        /// The smallest allowed number.
         min: u64,
-        /// The largest that is allowed.
+        /// The largest allowed number.
         max: u64,
     },
 }
@@ -87,7 +88,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// The template's form. Its keys are older than the names here.
+/// The keys of the template. They are part of the public interface; `rename` maps them to the names in the code.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -115,13 +116,13 @@
     20_000
 }
 
-/// Reads and checks a template.
+/// Reads and validates a template.
 ///
 /// # Errors
-/// The file, the key and what is wrong with it.
+/// The template can't be read or evaluated, or a value is not allowed.
 pub fn read(path: &Path) -> Result<Settings, SettingsError> {
     let file: File = lynxtally_template::read(path).map_err(SettingsError::Template)?;
-    if let Err((key, problem)) = check(&file) {
+    if let Err((key, problem)) = validate(&file) {
         return Err(SettingsError::Invalid { file: path.to_owned(), key, problem });
     }
     Ok(Settings {
@@ -134,7 +135,7 @@
     })
 }
 
-fn check(file: &File) -> Result<(), (&'static str, Problem)> {
+fn validate(file: &File) -> Result<(), (&'static str, Problem)> {
     let count = file.coordinators.len();
     if !matches!(count, 1 | 3 | 5) {
         return Err(("keepers", Problem::AddressCount(count)));
--- a/crates/lynxtally-coordinator/src/startup.rs
+++ b/crates/lynxtally-coordinator/src/startup.rs
@@ -1,10 +1,12 @@
-//! What a replica checks before it takes part: whether its log is as long as the others know it was.
+//! The check before a replica takes part in the replication: its log must not be shorter than what it acknowledged.
 //!
-//! Safety rule. A replica that is started on an older copy of its folder has forgotten entries and votes that it had
-//! acknowledged, and its vote could bring about a majority that takes back what was agreed on. Each tick therefore
-//! carries how much of the log each replica acknowledged, and a replica that starts asks the others. It shows as a
-//! coordinator that ends with "this is an older copy". What was acknowledged since the last tick, or what only
-//! replicas know that do not answer, is not found out.
+//! Safety rule: a replica must not vote with an older copy of its folder. It has forgotten entries and votes that it
+//! acknowledged, so its vote could form a majority that undoes committed entries. Each tick therefore records in the
+//! replicated state how much of the log each replica acknowledged, and a replica asks the other coordinators for this when
+//! it starts. With an older copy the coordinator ends with the error "this is an older copy".
+//!
+//! The check does not detect the loss of entries that were acknowledged after the last tick, or that only replicas know
+//! of which do not respond.
 
 use crate::net::{self, AcknowledgedIndex, StartupCheck};
 use crate::settings::Settings;
@@ -14,49 +16,53 @@
 use tokio::task::JoinSet;
 use tracing::warn;
 
-/// The others are asked this many times before the start, where not all answer; one round takes up to an election
-/// timeout.
-const ROUNDS: u32 = 10;
-/// Pauses between two rounds in an election timeout.
-const PAUSES_PER_ELECTION: u32 = 5;
+/// After this many rounds of requests, responses from a majority suffice; before, all other coordinators have to respond.
+/// A round takes up to one election timeout.
+const ROUNDS_FOR_ALL_RESPONSES: u32 = 10;
+/// The delay between two rounds is this fraction of an election timeout.
+const ROUND_DELAYS_PER_ELECTION_TIMEOUT: u32 = 5;
 
-/// Checks that the log is as long as any other coordinator knows it was.
+/// Checks that the log reaches the highest index that another coordinator reports for this one. Waits without limit for
+/// responses from a majority.
 ///
 /// # Errors
-/// It is not.
+/// The log is shorter: [`CoordinatorError::StaleLog`].
 pub async fn check_log(settings: &Settings, last_index: u64) -> Result<(), CoordinatorError> {
-    let acknowledged_index = ask_others(settings).await;
+    let acknowledged_index = max_acknowledged_index(settings).await;
     if acknowledged_index > last_index {
         return Err(CoordinatorError::StaleLog { last_index, acknowledged_index });
     }
     Ok(())
 }
 
-/// How much of the log the others know that this replica acknowledged. As many answers are waited for as make a
-/// majority together with this replica.
-async fn ask_others(settings: &Settings) -> u64 {
+/// The highest index that, as the other coordinators report, this replica acknowledged. Waits for so many responses that
+/// the responding coordinators and this one form a majority.
+async fn max_acknowledged_index(settings: &Settings) -> u64 {
     let needed = settings.coordinators.len() / 2;
     let others = settings.coordinators.len() - 1;
-    let mut answers: BTreeMap<SocketAddr, u64> = BTreeMap::new();
+    let mut responses: BTreeMap<SocketAddr, u64> = BTreeMap::new();
     for round in 0_u32.. {
-        ask_missing(settings, &mut answers).await;
-        if answers.len() == others || answers.len() >= needed && round >= ROUNDS {
+        query_missing(settings, &mut responses).await;
+        if responses.len() == others || responses.len() >= needed && round >= ROUNDS_FOR_ALL_RESPONSES {
             break;
         }
-        if round == ROUNDS {
-            warn!(answers = answers.len(), needed, "waiting for other coordinators");
+        if round == ROUNDS_FOR_ALL_RESPONSES {
+            warn!(
+                responses = responses.len(),
+                needed, "startup check waits for responses from other coordinators"
+            );
         }
-        tokio::time::sleep(settings.election_timeout / PAUSES_PER_ELECTION).await;
+        tokio::time::sleep(settings.election_timeout / ROUND_DELAYS_PER_ELECTION_TIMEOUT).await;
     }
-    answers.values().copied().max().unwrap_or(0)
+    responses.values().copied().max().unwrap_or(0)
 }
 
-/// Asks those that have not answered yet, all at once.
-async fn ask_missing(settings: &Settings, answers: &mut BTreeMap<SocketAddr, u64>) {
+/// Sends a request to each coordinator that has not responded yet, all at the same time.
+async fn query_missing(settings: &Settings, responses: &mut BTreeMap<SocketAddr, u64>) {
     let body = serde_json::to_vec(&StartupCheck { id: settings.id }).unwrap_or_default();
     let mut requests = JoinSet::new();
     for (id, address) in (1..).zip(settings.coordinators.iter().copied()) {
-        if id == settings.id || answers.contains_key(&address) {
+        if id == settings.id || responses.contains_key(&address) {
             continue;
         }
         let (body, timeout) = (body.clone(), settings.election_timeout);
@@ -65,7 +71,7 @@
     while let Some(done) = requests.join_next().await {
         let Ok((address, Ok(response))) = done else { continue };
         if let Ok(AcknowledgedIndex { index }) = serde_json::from_slice(&response) {
-            answers.insert(address, index);
+            responses.insert(address, index);
         }
     }
 }
--- a/crates/lynxtally-coordinator/src/store/error.rs
+++ b/crates/lynxtally-coordinator/src/store/error.rs
@@ -1,25 +1,25 @@
-//! Why a folder can't be used.
+//! Errors of the store.
 
 use super::storage_thread::STATE_FILE;
 use std::fmt;
 
-/// Why a folder can't be used, or went out of use. Its text is one line.
+/// Why a folder can't be opened. Displayed as one line.
 #[derive(Debug)]
 pub enum StoreError {
-    /// The folder failed.
+    /// A file operation failed.
     Storage(lynxtally_wal::StorageError),
     /// The write-ahead log is damaged.
     Damaged(lynxtally_wal::DamagedFile),
     /// A record of the log can't be decoded.
     Record {
-        /// Its number.
+        /// The number of the record.
         number: u64,
-        /// What the decoder said.
+        /// The decoder's error.
         reason: String,
     },
-    /// The state can't be read.
+    /// The state file can't be read or decoded.
     State(String),
-    /// The thread that owns the folder can't be started.
+    /// The storage thread can't be started.
     Thread(std::io::Error),
 }
 
@@ -29,30 +29,30 @@
             Self::Storage(error) => write!(f, "{error}"),
             Self::Damaged(damaged) => write!(f, "{damaged}"),
             Self::Record { number, reason } => {
-                write!(f, "record {number} of the log can't be read: {reason}")
+                write!(f, "record {number} of the log can't be decoded: {reason}")
             }
             Self::State(reason) => write!(f, "{STATE_FILE}: {reason}"),
-            Self::Thread(error) => write!(f, "a thread can't be started: {error}"),
+            Self::Thread(error) => write!(f, "the storage thread can't be started: {error}"),
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// The folder failed: after a failed write or sync nobody knows what is on the disk, so nothing more is written.
+/// Why the storage thread writes nothing more. After a failed write or sync the content of the disk is unknown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum StorageFailure {
-    /// What failed first.
+    /// The first write or sync that failed.
     Failed(String),
-    /// The thread that owns the folder is gone.
-    ThreadGone,
+    /// The storage thread has ended.
+    ThreadEnded,
 }
 
 impl fmt::Display for StorageFailure {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Failed(reason) => f.write_str(reason),
-            Self::ThreadGone => f.write_str("the folder's thread is gone"),
+            Self::ThreadEnded => f.write_str("the storage thread has ended"),
         }
     }
 }
--- a/crates/lynxtally-coordinator/src/store/log_record.rs
+++ b/crates/lynxtally-coordinator/src/store/log_record.rs
@@ -5,20 +5,20 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// One change of the Raft log. The names of the variants and of the fields below are those of the stored records.
+/// A change of the Raft log. The variant names, and the field names of [`LogContent`], are part of the stored format.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum LogRecord {
-    /// What this replica voted for.
+    /// Saves this replica's vote.
     Vote(Vote<u64>),
-    /// An entry at its own index.
+    /// Inserts an entry at its index.
     Entry(Entry<Types>),
-    /// Entries from this index on are gone: a leader had others.
+    /// Removes the entries from this index on, which conflict with the leader's log.
     Truncate(u64),
-    /// Entries up to this one are gone: a snapshot has them.
+    /// Removes the entries up to and including this one, which a snapshot covers.
     Purge(LogId<u64>),
 }
 
-/// What the records add up to. It is also what the log is rewritten as.
+/// The result of applying all records. It is also the content of the write-ahead log's snapshots.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub(crate) struct LogContent {
     pub vote: Option<Vote<u64>>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The last entry, or the last one that a snapshot has.
+    /// The ID of the last entry, or of the last purged entry if the log is empty.
     pub fn last_log_id(&self) -> Option<LogId<u64>> {
         self.entries.last_key_value().map(|(_, entry)| entry.log_id).or(self.purged)
     }
--- a/crates/lynxtally-coordinator/src/store/mod.rs
+++ b/crates/lynxtally-coordinator/src/store/mod.rs
@@ -1,8 +1,11 @@
-//! A replica's log and state in a folder that lasts, as the Raft library wants them.
+//! Durable storage of a replica's Raft log and state, with the interfaces that openraft requires.
 //!
-//! Votes and entries are records of one write-ahead log. One thread owns the folder ([`storage_thread`]): all records
-//! that wait are written and made durable once, and then each waiter is told. The state is one sealed file that is
-//! replaced as a whole.
+//! Votes and log entries are records of one write-ahead log. The state is one checksummed file that is replaced atomically.
+//! One thread does all writes to the folder ([`storage_thread`]): it writes all waiting records with one sync, then notifies
+//! each waiting task.
+//!
+//! After a failed write or sync the content of the disk is unknown, so the replica writes and acknowledges nothing more and
+//! the coordinator ends.
 
 mod error;
 mod log_record;
--- a/crates/lynxtally-coordinator/src/store/raft_log.rs
+++ b/crates/lynxtally-coordinator/src/store/raft_log.rs
@@ -1,4 +1,4 @@
-//! The Raft log, as the library wants it.
+//! Implements openraft's log storage.
 
 use super::error::StorageFailure;
 use super::log_record::{LogContent, LogRecord};
@@ -11,7 +11,7 @@
 use std::ops::RangeBounds;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The log: in memory, and durable by the folder's thread.
+/// The Raft log. Reads are served from memory; the storage thread makes changes durable.
 #[derive(Clone)]
 pub struct RaftLog {
     content: Arc<Mutex<LogContent>>,
@@ -19,30 +19,30 @@
 }
 
 impl RaftLog {
-    /// The log of an opened folder.
+    /// Creates the log from an opened folder.
     pub fn new(opened: &OpenedStore) -> Self {
         Self { content: Arc::new(Mutex::new(opened.log.clone())), storage: opened.storage.clone() }
     }
 
-    /// The index of the last entry; 0 where there is none.
+    /// The index of the last entry, or 0 if there is none.
     pub fn last_index(&self) -> u64 {
         self.content().last_log_id().map_or(0, |last| last.index)
     }
 
-    /// Whether nothing was ever written here.
+    /// Whether the folder has neither a vote nor entries: the replica never took part in the replication.
     pub fn is_new(&self) -> bool {
         let content = self.content();
         content.vote.is_none() && content.last_log_id().is_none()
     }
 
     fn content(&self) -> MutexGuard<'_, LogContent> {
-        // Each change is one step, so what a panicking thread left is whole.
+        // A panic can't leave a change half applied, so a poisoned lock is usable.
         self.content.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds a record and waits until it is durable.
-    async fn add(&self, record: LogRecord) -> Result<(), StorageError<u64>> {
-        self.storage.add_records(vec![record]).await.map_err(write_error)
+    /// Appends a record and waits until it is durable.
+    async fn append_record(&self, record: LogRecord) -> Result<(), StorageError<u64>> {
+        self.storage.append_records(vec![record]).await.map_err(write_error)
     }
 }
 
@@ -72,7 +72,7 @@
     }
 
     async fn save_vote(&mut self, vote: &Vote<u64>) -> Result<(), StorageError<u64>> {
-        self.add(LogRecord::Vote(*vote)).await?;
+        self.append_record(LogRecord::Vote(*vote)).await?;
         self.content().vote = Some(*vote);
         Ok(())
     }
@@ -81,7 +81,7 @@
         Ok(self.content().vote)
     }
 
-    /// Entries can be read at once; the library hears later that they are durable.
+    /// Returns when the entries can be read. `flushed` tells openraft later that they are durable.
     async fn append<I>(&mut self, entries: I, flushed: LogFlushed<Types>) -> Result<(), StorageError<u64>>
     where
         I: IntoIterator<Item = Entry<Types>> + OptionalSend,
@@ -98,16 +98,16 @@
         let on_durable = Box::new(move |outcome: Result<(), StorageFailure>| {
             flushed.log_io_completed(outcome.map_err(io::Error::other));
         });
-        self.storage.send(Job::AddRecords { records, on_durable }).map_err(write_error)
+        self.storage.send(Job::AppendRecords { records, on_durable }).map_err(write_error)
     }
 
     async fn truncate(&mut self, from: LogId<u64>) -> Result<(), StorageError<u64>> {
         self.content().apply(LogRecord::Truncate(from.index));
-        self.add(LogRecord::Truncate(from.index)).await
+        self.append_record(LogRecord::Truncate(from.index)).await
     }
 
     async fn purge(&mut self, up_to: LogId<u64>) -> Result<(), StorageError<u64>> {
         self.content().apply(LogRecord::Purge(up_to));
-        self.add(LogRecord::Purge(up_to)).await
+        self.append_record(LogRecord::Purge(up_to)).await
     }
 }
--- a/crates/lynxtally-coordinator/src/store/state_machine.rs
+++ b/crates/lynxtally-coordinator/src/store/state_machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state, as the Raft library wants it.
+//! Implements openraft's state machine and snapshots over the coordination state.
 
 use super::error::StoreError;
 use super::storage_thread::{OpenedStore, StorageHandle};
@@ -17,7 +17,7 @@
 
 type Meta = SnapshotMeta<u64, BasicNode>;
 
-/// The state with what the library wants to know of it.
+/// The coordination state, with the last applied entry and the Raft membership, which openraft requires.
 #[derive(Clone, Default)]
 struct ReplicaState {
     coordination: CoordinationState,
@@ -25,7 +25,7 @@
     membership: StoredMembership<u64, BasicNode>,
 }
 
-/// A snapshot as it is stored.
+/// The stored form of a snapshot.
 #[derive(Clone, Serialize, Deserialize)]
 struct StoredSnapshot {
     meta: Meta,
@@ -39,7 +39,7 @@
     }
 }
 
-/// The replicated state as others may read it.
+/// Read access to the replicated state of this replica.
 #[derive(Clone)]
 pub struct SharedState {
     state: Arc<Mutex<ReplicaState>>,
@@ -47,27 +47,27 @@
 }
 
 impl SharedState {
-    /// Reads the state as it is now.
+    /// Calls `read` with the current state, which stays locked meanwhile.
     pub fn read<T>(&self, read: impl FnOnce(&CoordinationState) -> T) -> T {
         read(&lock(&self.state).coordination)
     }
 
-    /// Waits until this replica's state is found not to be the leader's.
+    /// Waits until this replica's state is found to differ from the leader's.
     pub async fn diverged(&mut self) {
-        // The sender lives as long as the state machine; without it there is nothing to wait for.
+        // The state machine owns the sender. After it is dropped, no divergence can be found: waits forever.
         if self.diverged.wait_for(|diverged| *diverged).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 }
 
-/// A state that a panicking thread left may be half applied, but that thread is the library's, and its end is the
-/// replication's: nothing is acknowledged on such a state any more.
+/// Locks a mutex, also if it is poisoned. A panic may leave a command half applied, but it happens on openraft's task and ends
+/// the replication, so nothing is acknowledged on such a state.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Where snapshots are kept: the last one, in memory, and the storage.
+/// Keeps the last snapshot in memory and writes snapshots to the folder.
 #[derive(Clone)]
 struct SnapshotStore {
     last: Arc<Mutex<Option<StoredSnapshot>>>,
@@ -75,7 +75,7 @@
 }
 
 impl SnapshotStore {
-    /// Stores a snapshot, and waits until it is durable.
+    /// Stores a snapshot and waits until it is durable.
     async fn store(&self, snapshot: StoredSnapshot) -> Result<(), StorageError<u64>> {
         let bytes = serde_json::to_vec(&snapshot)
             .map_err(|error| write_error(&snapshot.meta, io::Error::other(error)))?;
@@ -91,7 +91,7 @@
     StorageIOError::write_snapshot(Some(meta.signature()), &error).into()
 }
 
-/// The state machine.
+/// The state machine that openraft applies committed entries to.
 pub struct StateMachine {
     state: Arc<Mutex<ReplicaState>>,
     snapshots: SnapshotStore,
@@ -99,10 +99,10 @@
 }
 
 impl StateMachine {
-    /// The state of an opened folder.
+    /// Creates the state machine from an opened folder.
     ///
     /// # Errors
-    /// The stored state can't be decoded, or is not what its digest says.
+    /// The stored state can't be decoded, or does not match its digest.
     pub fn new(opened: &OpenedStore) -> Result<Self, StoreError> {
         let mut state = ReplicaState::default();
         let mut last = None;
@@ -118,15 +118,20 @@
         Ok(Self { state: Arc::new(Mutex::new(state)), snapshots, diverged })
     }
 
-    /// The state as others may read it.
+    /// Returns read access to the state.
     pub fn shared(&self) -> SharedState {
         SharedState { state: self.state.clone(), diverged: self.diverged.subscribe() }
     }
 
-    /// A replica whose state is not the leader's must not go on.
+    /// Reports divergence to [`SharedState::diverged`], which stops the coordinator: a replica whose state differs from the
+    /// leader's must not serve requests.
     fn check_diverged(&self, output: &Output) {
         if let Output::Diverged { index, own_digest } = output {
-            error!(index, %own_digest, "the state here is not the leader's: this coordinator does not go on");
+            error!(
+                index,
+                %own_digest,
+                "this replica's state differs from the leader's; stopping the coordinator"
+            );
             self.diverged.send_replace(true);
         }
     }
@@ -154,7 +159,7 @@
     }
 }
 
-/// Makes a snapshot of the state as it was when the builder was asked for.
+/// Builds a snapshot of the state at the time when the builder was created.
 pub struct SnapshotBuilder {
     state: ReplicaState,
     snapshots: SnapshotStore,
--- a/crates/lynxtally-coordinator/src/store/storage_thread.rs
+++ b/crates/lynxtally-coordinator/src/store/storage_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the folder.
+//! The storage thread, which does all writes to the folder.
 
 use super::error::{StorageFailure, StoreError};
 use super::log_record::{LogContent, LogRecord};
@@ -10,70 +10,70 @@
 use std::thread;
 use tokio::sync::oneshot;
 
-/// The write-ahead log's name in the folder.
+/// The name of the write-ahead log in the folder.
 const LOG_NAME: &str = "log";
-/// The file of the state.
+/// The name of the file with the replicated state.
 pub(crate) const STATE_FILE: &str = "state";
-/// The log is rewritten once it has grown by this many bytes.
-const REWRITE_AFTER_BYTES: u64 = 8 << 20;
+/// The write-ahead log is compacted once it has grown by this many bytes.
+const COMPACT_AFTER_BYTES: u64 = 8 << 20;
 
-/// Is told once that something is durable, or why it is not.
+/// Called once, when the data of a job is durable or could not be made durable.
 pub(crate) type OnDurable = Box<dyn FnOnce(Result<(), StorageFailure>) + Send>;
 
-/// What the thread is to write.
+/// A write for the storage thread.
 pub(crate) enum Job {
-    /// Records to be added to the log.
-    AddRecords { records: Vec<LogRecord>, on_durable: OnDurable },
-    /// The state, as of a log index, to be replaced.
+    /// Appends records to the log.
+    AppendRecords { records: Vec<LogRecord>, on_durable: OnDurable },
+    /// Replaces the state file with the state as of a log index.
     ReplaceState { index: u64, state: Vec<u8>, on_durable: OnDurable },
 }
 
-/// Hands jobs to the thread.
+/// Sends jobs to the storage thread.
 #[derive(Clone)]
 pub(crate) struct StorageHandle(Sender<Job>);
 
 impl StorageHandle {
-    /// Adds records, and waits until they are durable.
-    pub async fn add_records(&self, records: Vec<LogRecord>) -> Result<(), StorageFailure> {
-        let (on_durable, durable) = durability();
-        self.send(Job::AddRecords { records, on_durable })?;
-        durable.await.unwrap_or(Err(StorageFailure::ThreadGone))
+    /// Appends records to the log and waits until they are durable.
+    pub async fn append_records(&self, records: Vec<LogRecord>) -> Result<(), StorageFailure> {
+        let (on_durable, durable) = durable_channel();
+        self.send(Job::AppendRecords { records, on_durable })?;
+        durable.await.unwrap_or(Err(StorageFailure::ThreadEnded))
     }
 
-    /// Replaces the state, and waits until it is durable.
+    /// Replaces the state file and waits until it is durable.
     pub async fn replace_state(&self, index: u64, state: Vec<u8>) -> Result<(), StorageFailure> {
-        let (on_durable, durable) = durability();
+        let (on_durable, durable) = durable_channel();
         self.send(Job::ReplaceState { index, state, on_durable })?;
-        durable.await.unwrap_or(Err(StorageFailure::ThreadGone))
+        durable.await.unwrap_or(Err(StorageFailure::ThreadEnded))
     }
 
     pub fn send(&self, job: Job) -> Result<(), StorageFailure> {
-        self.0.send(job).map_err(|_| StorageFailure::ThreadGone)
+        self.0.send(job).map_err(|_| StorageFailure::ThreadEnded)
     }
 }
 
-/// A callback, and what waits for its call.
-fn durability() -> (OnDurable, oneshot::Receiver<Result<(), StorageFailure>>) {
+/// Returns a callback, and a receiver for the result that it is called with.
+fn durable_channel() -> (OnDurable, oneshot::Receiver<Result<(), StorageFailure>>) {
     let (sender, receiver) = oneshot::channel();
-    // Nobody waits any more only where the library gave the operation up.
+    // Sending fails only if openraft dropped the future that waits for the result.
     (Box::new(move |outcome| drop(sender.send(outcome))), receiver)
 }
 
-/// What was found in a folder.
+/// The content of an opened folder.
 pub struct OpenedStore {
     pub(crate) log: LogContent,
-    /// The state, as it was last sealed.
+    /// The content of the state file, if there is one.
     pub(crate) state: Option<Vec<u8>>,
     pub(crate) storage: StorageHandle,
-    /// What was cut off at the end of the log: it was never acknowledged.
+    /// The file, length and offset of the torn tail that was truncated, if any. It was never acknowledged.
     pub truncated_tail: Option<String>,
 }
 
-/// Opens a folder and starts its thread.
+/// Opens a folder and starts its storage thread.
 ///
 /// # Errors
-/// The folder fails, or holds something that can't be trusted: nothing but a torn tail of the log, which is cut off and kept
-/// in a file beside it, is changed then.
+/// A file operation failed, or the log or the state is damaged. The files are left as they are, except that a torn tail of
+/// the log is truncated and saved in a separate file.
 pub fn open(mut folder: impl Storage + Send + 'static) -> Result<OpenedStore, StoreError> {
     let (wal, recovered) = WriteAheadLog::open(&mut folder, LOG_NAME).map_err(StoreError::Storage)?;
     let Recovered { snapshot, entries, torn_tail, damage } = recovered;
@@ -86,24 +86,24 @@
     let truncated_tail =
         torn_tail.map(|tail| format!("{}: {} octets from {} on", tail.file, tail.length, tail.offset));
     let (sender, jobs) = channel();
-    let mut worker = StorageThread { folder, wal, log: log.clone(), failure: None };
+    let mut storage_thread = StorageThread { folder, wal, log: log.clone(), failure: None };
     thread::Builder::new()
         .name("folder".to_owned())
-        .spawn(move || worker.run(&jobs))
+        .spawn(move || storage_thread.run(&jobs))
         .map_err(StoreError::Thread)?;
     Ok(OpenedStore { log, state, storage: StorageHandle(sender), truncated_tail })
 }
 
-/// What a snapshot of the log and the records that follow it add up to.
+/// Applies the records to the log's snapshot. `first` is the number of the first record.
 fn read_log(snapshot: Option<Vec<u8>>, first: u64, records: &[Vec<u8>]) -> Result<LogContent, StoreError> {
-    let malformed =
+    let decode_error =
         |number, error: serde_json::Error| StoreError::Record { number, reason: error.to_string() };
     let mut log: LogContent = match snapshot {
-        Some(bytes) => serde_json::from_slice(&bytes).map_err(|error| malformed(first, error))?,
+        Some(bytes) => serde_json::from_slice(&bytes).map_err(|error| decode_error(first, error))?,
         None => LogContent::default(),
     };
     for (number, bytes) in (first..).zip(records) {
-        let record: LogRecord = serde_json::from_slice(bytes).map_err(|error| malformed(number, error))?;
+        let record: LogRecord = serde_json::from_slice(bytes).map_err(|error| decode_error(number, error))?;
         log.apply(record);
     }
     Ok(log)
@@ -111,10 +111,10 @@
 
 fn read_state(folder: &mut impl Storage) -> Result<Option<Vec<u8>>, StoreError> {
     let file = folder.read(STATE_FILE).map_err(|error| StoreError::State(error.to_string()))?;
-    let Some(sealed) = file else { return Ok(None) };
-    match decode_checksummed_file(&sealed) {
+    let Some(file) = file else { return Ok(None) };
+    match decode_checksummed_file(&file) {
         Some(ChecksummedFile { content, .. }) => Ok(Some(content.to_vec())),
-        None => Err(StoreError::State("it is not whole".to_owned())),
+        None => Err(StoreError::State("the file is incomplete or its checksum does not match".to_owned())),
     }
 }
 
@@ -122,52 +122,53 @@
     folder: F,
     wal: WriteAheadLog,
     log: LogContent,
-    /// After a failed write or sync nobody knows what is on the disk: nothing more is written or acknowledged.
+    /// The first failure. After a failed write or sync the content of the disk is unknown, so nothing more is written or
+    /// acknowledged.
     failure: Option<StorageFailure>,
 }
 
 impl<F: Storage> StorageThread<F> {
     fn run(&mut self, jobs: &Receiver<Job>) {
         while let Ok(first) = jobs.recv() {
-            let mut waiting = vec![first];
-            waiting.extend(jobs.try_iter());
-            self.work_off(waiting);
-            if self.failure.is_none() && self.wal.bytes_since_snapshot() > REWRITE_AFTER_BYTES {
-                self.rewrite_log();
+            let mut batch = vec![first];
+            batch.extend(jobs.try_iter());
+            self.process(batch);
+            if self.failure.is_none() && self.wal.bytes_since_snapshot() > COMPACT_AFTER_BYTES {
+                self.compact_log();
             }
         }
     }
 
-    /// Makes all records durable with one sync, then replaces the state.
-    fn work_off(&mut self, waiting: Vec<Job>) {
-        let mut added = Vec::new();
-        let mut states = Vec::new();
-        for job in waiting {
+    /// Writes all records with one sync, then replaces the state file.
+    fn process(&mut self, batch: Vec<Job>) {
+        let mut record_callbacks = Vec::new();
+        let mut state_jobs = Vec::new();
+        for job in batch {
             match job {
-                Job::AddRecords { records, on_durable } => {
-                    records.into_iter().for_each(|record| self.add(record));
-                    added.push(on_durable);
+                Job::AppendRecords { records, on_durable } => {
+                    records.into_iter().for_each(|record| self.append(record));
+                    record_callbacks.push(on_durable);
                 }
-                Job::ReplaceState { index, state, on_durable } => states.push((index, state, on_durable)),
+                Job::ReplaceState { index, state, on_durable } => state_jobs.push((index, state, on_durable)),
             }
         }
         if self.failure.is_none() {
             let committed = self.wal.commit(&mut self.folder);
-            self.note(committed);
+            self.record_failure(committed);
         }
-        for on_durable in added {
+        for on_durable in record_callbacks {
             on_durable(self.outcome());
         }
-        for (index, state, on_durable) in states {
+        for (index, state, on_durable) in state_jobs {
             self.replace_state(index, &state);
             on_durable(self.outcome());
         }
     }
 
-    fn add(&mut self, record: LogRecord) {
+    fn append(&mut self, record: LogRecord) {
         match serde_json::to_vec(&record) {
             Ok(bytes) => drop(self.wal.append(&bytes)),
-            Err(error) => self.note(Err(error)),
+            Err(error) => self.record_failure(Err(error)),
         }
         self.log.apply(record);
     }
@@ -175,25 +176,25 @@
     fn replace_state(&mut self, index: u64, state: &[u8]) {
         if self.failure.is_none() {
             let replaced = self.folder.replace(STATE_FILE, &encode_checksummed_file(index, state));
-            self.note(replaced.map_err(|error| format!("{STATE_FILE}: {error}")));
+            self.record_failure(replaced.map_err(|error| format!("{STATE_FILE}: {error}")));
         }
     }
 
-    /// Rewrites the log as what its records add up to.
-    fn rewrite_log(&mut self) {
+    /// Replaces the records by a snapshot of the log's content.
+    fn compact_log(&mut self) {
         let rotation = self.wal.rotate();
         match serde_json::to_vec(&self.log) {
             Ok(bytes) => {
                 let written = WriteAheadLog::write_snapshot(&mut self.folder, LOG_NAME, rotation, &bytes);
-                self.note(written);
+                self.record_failure(written);
             }
-            Err(error) => self.note(Err(error)),
+            Err(error) => self.record_failure(Err(error)),
         }
     }
 
-    /// Keeps the first failure.
-    fn note(&mut self, done: Result<(), impl fmt::Display>) {
-        if let (Err(error), None) = (done, &self.failure) {
+    /// Stores the failure if it is the first one.
+    fn record_failure(&mut self, result: Result<(), impl fmt::Display>) {
+        if let (Err(error), None) = (result, &self.failure) {
             self.failure = Some(StorageFailure::Failed(error.to_string()));
         }
     }
--- a/crates/lynxtally-coordinator/src/suspicion.rs
+++ b/crates/lynxtally-coordinator/src/suspicion.rs
@@ -1,5 +1,5 @@
-//! Which members the leader hears nothing of. Suspicion decides only whose demand counts, never who may use what; a member
-//! that is suspected for an hour on end is forgotten, and joins anew when it speaks again.
+//! The leader's failure detector for members. Suspicion determines only whose demand counts when budgets are divided; it
+//! never revokes a lease. A member that is suspected for an hour without interruption is removed, and has to join again.
 
 use lynxtally::{Instant, Span};
 use lynxtally_coordination::Member;
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Nodes speak this often: a part of the shortest lease.
+/// The expected time between two requests of a node, as a fraction of the shortest lease.
 const RENEWAL_FRACTION: f64 = 1.0 / 3.0;
-/// Nodes are taken to speak once in as many ticks while there is no budget.
-const TICKS_WITHOUT_BUDGET: f64 = 4.0;
+/// The expected time between two requests of a node while there is no budget, in ticks.
+const RENEWAL_TICKS_WITHOUT_BUDGET: f64 = 4.0;
 
-/// A member as the state lists it.
+/// A member in the replicated state.
 pub(crate) struct ListedMember {
     incarnation: u64,
     name: String,
@@ -25,14 +25,14 @@
     }
 }
 
-/// The failure detector of a leader: phi accrual over the requests of each name.
+/// A phi accrual failure detector over the arrival times of each node's requests.
 pub(crate) struct SuspicionTracker(Membership);
 
 impl SuspicionTracker {
-    /// A leader that has heard nobody yet.
+    /// Creates a failure detector that has recorded no requests yet.
     pub fn new(now: Instant, shortest_lease: Option<Span>, tick_interval: Span) -> Self {
-        let renewal_period =
-            shortest_lease.map_or(tick_interval * TICKS_WITHOUT_BUDGET, |lease| lease * RENEWAL_FRACTION);
+        let renewal_period = shortest_lease
+            .map_or(tick_interval * RENEWAL_TICKS_WITHOUT_BUDGET, |lease| lease * RENEWAL_FRACTION);
         let limits = MembershipLimits {
             phi_threshold: 8.0,
             min_deviation: renewal_period * 0.5,
@@ -47,15 +47,15 @@
         Self(Membership::new(limits, now))
     }
 
-    /// A request of a name was accepted.
-    pub fn heard(&mut self, now: Instant, name: String, draining: bool) {
-        // Only names and times matter here.
+    /// Records that a request of the node with this name was accepted.
+    pub fn record_heartbeat(&mut self, now: Instant, name: String, draining: bool) {
+        // The failure detector uses only the name and the time; the other fields are placeholders.
         let address = SocketAddr::from(([0, 0, 0, 0], 0));
         let source = Source::Report;
         self.0.observe(now, Observation { name, address, source, capacity: 1.0, zone: 0, draining });
     }
 
-    /// The incarnations of which the state says other than what is heard, with what is heard.
+    /// The incarnations whose suspicion in the state differs from this detector's, with the detector's value.
     pub fn changes(&mut self, now: Instant, members: &[ListedMember]) -> BTreeMap<u64, bool> {
         self.0.tick(now);
         let mut changes = BTreeMap::new();
@@ -73,8 +73,8 @@
             Some((MemberState::Suspect, None) | (MemberState::Removed, _)) => true,
             Some(_) => false,
             None => {
-                // Never heard by this leader: it is listed from now on, and its silence counts.
-                self.heard(now, member.name.clone(), false);
+                // This leader has had no request of the member. Recording one now lets its silence count from here on.
+                self.record_heartbeat(now, member.name.clone(), false);
                 member.suspected
             }
         }
