--- a/crates/core/lease-client/src/client.rs
+++ b/crates/core/lease-client/src/client.rs
@@ -15,7 +15,8 @@
 
 /// Leases are renewed after this fraction of their duration.
 const RENEWAL_FRACTION: f64 = 1.0 / 3.0;
-/// The demand period, in renewal periods. It makes one lease duration, unless `MAX_RENEWAL_PERIOD_TIMEOUTS` applies.
+/// The demand period, in renewal periods. It equals the shortest lease duration, unless `MAX_RENEWAL_PERIOD_TIMEOUTS`
+/// shortens the renewal period.
 const DEMAND_RENEWAL_PERIODS: f64 = 1.0 / RENEWAL_FRACTION;
 /// The longest renewal period, in response timeouts. Long leases are renewed this often too, because demand changes.
 const MAX_RENEWAL_PERIOD_TIMEOUTS: f64 = 3.0;
@@ -93,7 +94,7 @@
         self.budgets.get(budget).and_then(LeasedBudget::expires_at)
     }
 
-    /// What may be admitted against a wallet now.
+    /// The reservation of a wallet: what may be admitted against it now.
     pub fn reservation(&self, wallet: usize) -> Option<CurrentReservation> {
         self.wallets.get(wallet).map(ReservedWallet::current)
     }
@@ -250,7 +251,7 @@
                 self.exchange.redirected(self.now, leader.and_then(coordinator_index), retry_delay);
             }
             NodeResponse::Rejected(rejection) => self.on_rejected(&request, rejection),
-            // A sequence number that does not match: the response to an earlier request. It counts as a failed attempt.
+            // The sequence number is that of another request, so the attempt counts as failed.
             NodeResponse::Accepted(_) => self.exchange.attempt_failed(self.now, token, retry_delay),
         }
     }
@@ -348,6 +349,7 @@
         leases.chain(self.reservation_duration).min().unwrap_or(self.settings.response_timeout)
     }
 
+    /// The time constant of the demand estimates, and the unit of time for the demand in wallet reports.
     fn demand_period(&self) -> Span {
         self.renewal_period() * DEMAND_RENEWAL_PERIODS
     }
--- a/crates/core/lease-client/src/demand.rs
+++ b/crates/core/lease-client/src/demand.rs
@@ -1,9 +1,9 @@
 //! Estimates a node's mean demand for a budget by Little's law: arrival rate times mean time in use. Older observations
-//! decay exponentially, with a time constant of one lease duration.
+//! decay exponentially, with a time constant of about one lease duration.
 
 use lynxtally::{Instant, Span};
 
-/// Lower bound of the decay time constant, in seconds; avoids a division by zero when leases last no time.
+/// Lower bound of the decay time constant, in seconds; avoids a division by zero when the lease duration is 0.
 const MIN_TIME_CONSTANT_SECONDS: f64 = 1e-6;
 const MILLIUNITS_PER_UNIT: f64 = 1000.0;
 
--- a/crates/core/lease-client/src/reservation.rs
+++ b/crates/core/lease-client/src/reservation.rs
@@ -5,7 +5,7 @@
 use lynxtally_messages::{Reservation, WalletReport};
 use std::collections::BTreeMap;
 
-/// A report asks for the units that the recent demand rate spends in this many demand periods.
+/// A report asks for the units that requests at the current demand rate need in this many demand periods.
 const DEMAND_PERIODS_AHEAD: f64 = 3.0;
 /// The demand rate rises at once, and falls at most to this fraction from one report to the next.
 const RATE_DECAY_PER_REPORT: f64 = 0.7;
@@ -32,7 +32,7 @@
     pub account: u64,
     /// Units charged to the account.
     pub spent: u64,
-    /// Units held for running requests.
+    /// Units set aside for running requests, which have not been charged yet.
     pub held: u64,
     /// Units that requests asked for since the process started, whether or not they were admitted.
     pub requested: u64,
--- a/crates/core/wal/src/frame.rs
+++ b/crates/core/wal/src/frame.rs
@@ -7,7 +7,7 @@
 const CHECKSUMMED_MAGIC: &[u8; 8] = b"LXTSNP\x001";
 /// The header of a frame: length (4 bytes), CRC (4 bytes) and number (8 bytes), all little-endian.
 const HEADER_BYTES: usize = 4 + 4 + 8;
-/// A frame with longer content is read as damage. Writers stay far below this limit and do not check it.
+/// A frame with longer content counts as damaged. The limit is checked on reading only; writers stay far below it.
 const MAX_CONTENT_BYTES: usize = 256 << 20;
 /// A number that is this far above the expected one does not belong to the log: the bytes are no frame.
 const MAX_NUMBER_GAP: u64 = 1 << 32;
@@ -43,8 +43,8 @@
     let start = offset + HEADER_BYTES;
     let end = start.checked_add(length)?;
     let content = file.get(start..end)?;
-    let is_whole = length <= MAX_CONTENT_BYTES && crc(number, content) == stored_crc;
-    is_whole.then_some(Frame { number, content, end })
+    let is_valid = length <= MAX_CONTENT_BYTES && crc(number, content) == stored_crc;
+    is_valid.then_some(Frame { number, content, end })
 }
 
 /// Whether a valid frame with a number of at least `min_number` starts at any offset from `from` on. This distinguishes an
--- a/crates/core/wal/src/log.rs
+++ b/crates/core/wal/src/log.rs
@@ -131,8 +131,8 @@
         let previous = snapshots.into_iter().rev().find(|generation| *generation < rotation.generation);
         let Some(previous) = previous else { return Ok(()) };
         for kind in [FileKind::Snapshot, FileKind::Log] {
-            let all = generations(&files, name, kind);
-            for generation in all.into_iter().filter(|generation| *generation < previous) {
+            let existing = generations(&files, name, kind);
+            for generation in existing.into_iter().filter(|generation| *generation < previous) {
                 let file = file_name(name, generation, kind);
                 storage.remove(&file).of_file(&file)?;
             }
--- a/crates/lynxtally-coordinator/src/coordinator.rs
+++ b/crates/lynxtally-coordinator/src/coordinator.rs
@@ -23,8 +23,8 @@
 const MAX_ELECTION_TIMEOUT_FACTOR: f64 = 2.0;
 /// The timeout for installing a snapshot, in election timeouts.
 const INSTALL_SNAPSHOT_ELECTION_TIMEOUTS: u64 = 10;
-/// The fraction of the entries per snapshot that stays in the log after a snapshot is one in this many. A replica that is
-/// only a little behind catches up from them and needs no snapshot.
+/// After a snapshot the log keeps the number of entries per snapshot divided by this. A replica that is only a little behind
+/// catches up from these entries and needs no snapshot.
 const RETAINED_ENTRIES_DIVISOR: u64 = 10;
 /// The size of the chunks in which a snapshot is sent, in bytes.
 const SNAPSHOT_CHUNK_BYTES: u64 = 1 << 20;
--- a/crates/lynxtally-coordinator/src/error.rs
+++ b/crates/lynxtally-coordinator/src/error.rs
@@ -35,12 +35,10 @@
                  coordinator acknowledged index {acknowledged_index}: this is an older copy, and the \
                  coordinator's vote could undo committed entries; restore the latest content of the folder"
             ),
-            Self::Diverged => {
-                f.write_str(
-                    "this replica's state differs from the leader's; the previous log line has the index and \
+            Self::Diverged => f.write_str(
+                "this replica's state differs from the leader's; the previous log line has the index and \
                      the digest",
-                )
-            }
+            ),
         }
     }
 }
--- a/crates/lynxtally-coordinator/src/net/state_report.rs
+++ b/crates/lynxtally-coordinator/src/net/state_report.rs
@@ -1,4 +1,4 @@
-//! The JSON report at `/v1/state`. Operators' scripts read its keys, so they stay even though names in the code differ.
+//! The JSON report at `/v1/state`. Operators' scripts read its keys, which therefore differ from some names in the code.
 
 use lynxtally_coordination::budgets::BudgetStatus;
 use lynxtally_coordination::{CoordinationState, Member};
--- a/crates/lynxtally-coordinator/src/startup.rs
+++ b/crates/lynxtally-coordinator/src/startup.rs
@@ -16,10 +16,10 @@
 use tokio::task::JoinSet;
 use tracing::warn;
 
-/// After this many rounds of requests, responses from a majority suffice; before, all other coordinators have to respond.
+/// After this many rounds of requests, responses from a majority suffice. Until then all other coordinators have to respond.
 /// A round takes up to one election timeout.
 const ROUNDS_FOR_ALL_RESPONSES: u32 = 10;
-/// The delay between two rounds is this fraction of an election timeout.
+/// The number of delays between rounds that make one election timeout.
 const ROUND_DELAYS_PER_ELECTION_TIMEOUT: u32 = 5;
 
 /// Checks that the log reaches the highest index that another coordinator reports for this one. Waits without limit for
--- a/crates/testing/fault-injection/src/test_node.rs
+++ b/crates/testing/fault-injection/src/test_node.rs
@@ -94,7 +94,7 @@
 
     fn join(&mut self) {
         if let Some(thread) = self.thread.take() {
-            // A panic of the thread is ignored here: the missing records show it in the audit.
+            // A panic of the node's thread is ignored here: the test finds its effect in the audit.
             let _ = thread.join();
         }
     }
