--- a/crates/core/lease-client/src/client.rs
+++ b/crates/core/lease-client/src/client.rs
@@ -360,7 +360,7 @@
     }
 }
 
-/// A random number that tells this process's request to join from those of other processes; never 0.
+/// A random number that distinguishes this process's request to join from those of other processes; never 0.
 fn random_nonce(random: &mut Pcg) -> u64 {
     let high = u64::from(random.next_u32());
     let low = u64::from(random.next_u32());
--- a/crates/core/lease-client/src/session.rs
+++ b/crates/core/lease-client/src/session.rs
@@ -4,7 +4,8 @@
 /// the session returns to `Joining`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionState {
-    /// The process requests an incarnation. The random nonce tells its request from those of other processes.
+    /// The process requests an incarnation. The random nonce distinguishes its request from those
+    /// of other processes.
     Joining { nonce: u64 },
     /// The process is a member and may be granted leases and reservations.
     Active { incarnation: u64 },
--- a/crates/core/lease-client/tests/recorded_exchange.rs
+++ b/crates/core/lease-client/tests/recorded_exchange.rs
@@ -24,11 +24,13 @@
     lines: String,
 }
 
+/// A node, and the responses that are on their way to it.
 struct Node {
     name: &'static str,
     client: LeaseClient,
     /// For each outstanding response: its arrival time, the token of its request, and `None` if it is lost.
     responses: Vec<(u64, u64, Option<NodeResponse>)>,
+    /// The calls that the node has started so far.
     started: u64,
     leaving: bool,
 }
@@ -117,6 +119,8 @@
         }
     }
 
+    /// Delivers the responses that are due to a node, reports random usage, and records the node's leases, reservation and
+    /// next request.
     fn step(&mut self, node: &mut Node) {
         let now = Instant::from_micros(self.now_us);
         node.client.advance(now);
--- a/crates/core/wal/src/log.rs
+++ b/crates/core/wal/src/log.rs
@@ -3,7 +3,7 @@
 use crate::files::{file_name, generations, FileKind};
 use crate::frame::{encode_checksummed_file, write_frame, LOG_MAGIC};
 use crate::recovery::{recover, Position, Recovered, TornTail};
-use crate::storage::{OfFile, Storage, StorageError};
+use crate::storage::{FileContext, Storage, StorageError};
 
 /// A write-ahead log that is open for appending.
 #[derive(Debug)]
@@ -125,8 +125,8 @@
         snapshot: &[u8],
     ) -> Result<(), StorageError> {
         let file = file_name(name, rotation.generation, FileKind::Snapshot);
-        storage.replace(&file, &encode_checksummed_file(rotation.first_entry, snapshot)).of_file(&file)?;
-        let files = storage.list().of_file(name)?;
+        storage.replace(&file, &encode_checksummed_file(rotation.first_entry, snapshot)).with_file(&file)?;
+        let files = storage.list().with_file(name)?;
         let snapshots = generations(&files, name, FileKind::Snapshot);
         let previous = snapshots.into_iter().rev().find(|generation| *generation < rotation.generation);
         let Some(previous) = previous else { return Ok(()) };
@@ -134,7 +134,7 @@
             let existing = generations(&files, name, kind);
             for generation in existing.into_iter().filter(|generation| *generation < previous) {
                 let file = file_name(name, generation, kind);
-                storage.remove(&file).of_file(&file)?;
+                storage.remove(&file).with_file(&file)?;
             }
         }
         Ok(())
@@ -147,8 +147,8 @@
     /// A storage operation failed. It is unknown then whether the entries are durable.
     pub fn commit(&mut self, storage: &mut impl Storage) -> Result<(), StorageError> {
         if let Some(batch) = self.take_batch() {
-            storage.append(&batch.file, &batch.bytes).of_file(&batch.file)?;
-            storage.sync(&batch.file).of_file(&batch.file)?;
+            storage.append(&batch.file, &batch.bytes).with_file(&batch.file)?;
+            storage.sync(&batch.file).with_file(&batch.file)?;
         }
         Ok(())
     }
@@ -156,8 +156,8 @@
 
 /// Truncates a torn tail after saving its bytes in a `.cut` file, so that an operator can look at them.
 fn truncate_tail(storage: &mut impl Storage, tail: &TornTail) -> Result<(), StorageError> {
-    let bytes = storage.read(&tail.file).of_file(&tail.file)?.unwrap_or_default();
+    let bytes = storage.read(&tail.file).with_file(&tail.file)?.unwrap_or_default();
     let saved = format!("{}.cut", tail.file);
-    storage.replace(&saved, &bytes[tail.offset as usize..]).of_file(&saved)?;
-    storage.truncate(&tail.file, tail.offset).of_file(&tail.file)
+    storage.replace(&saved, &bytes[tail.offset as usize..]).with_file(&saved)?;
+    storage.truncate(&tail.file, tail.offset).with_file(&tail.file)
 }
--- a/crates/core/wal/src/recovery.rs
+++ b/crates/core/wal/src/recovery.rs
@@ -2,7 +2,7 @@
 //!
 //! An unreadable end of the newest log file that no valid entry follows is treated as a torn tail: the remainder of a write
 //! that was not synced, and therefore never acknowledged. It is truncated. A bit flip in the last synced entry can't be
-//! distinguished from a torn tail, and that entry is lost.
+//! distinguished from a torn tail, so that entry is truncated too.
 //!
 //! Anything else that is unreadable in the log files is damage. Reading ends there, and nothing may be appended until an
 //! operator has examined the files. If a snapshot is damaged, an older one is used, provided that the log files since then
@@ -10,7 +10,7 @@
 
 use crate::files::{file_name, generations, is_snapshot, FileKind};
 use crate::frame::{any_frame, decode_checksummed_file, read_frame, LOG_MAGIC};
-use crate::storage::{OfFile, Storage, StorageError};
+use crate::storage::{FileContext, Storage, StorageError};
 use std::fmt;
 
 /// The incomplete, unacknowledged end of the newest log file.
@@ -97,7 +97,7 @@
 
 /// Reads a log without changing its files.
 pub(crate) fn recover(storage: &mut impl Storage, log: &str) -> Result<(Position, Recovered), StorageError> {
-    let files = storage.list().of_file(log)?;
+    let files = storage.list().with_file(log)?;
     let mut recovery = Recovery { log, position: Position::default(), recovered: Recovered::default() };
     let first_generation = recovery.read_snapshot(storage, &files)?;
     let mut logs = generations(&files, log, FileKind::Log);
@@ -134,7 +134,7 @@
     fn read_snapshot(&mut self, storage: &mut impl Storage, files: &[String]) -> Result<u64, StorageError> {
         for generation in generations(files, self.log, FileKind::Snapshot).into_iter().rev() {
             let file = file_name(self.log, generation, FileKind::Snapshot);
-            let bytes = storage.read(&file).of_file(&file)?.unwrap_or_default();
+            let bytes = storage.read(&file).with_file(&file)?.unwrap_or_default();
             if let Some(snapshot) = decode_checksummed_file(&bytes) {
                 self.position.next_number = snapshot.number;
                 self.recovered.snapshot = Some(snapshot.content.to_vec());
@@ -154,7 +154,7 @@
         is_newest: bool,
     ) -> Result<Progress, StorageError> {
         let file = file_name(self.log, generation, FileKind::Log);
-        let bytes = storage.read(&file).of_file(&file)?.unwrap_or_default();
+        let bytes = storage.read(&file).with_file(&file)?.unwrap_or_default();
         if !bytes.starts_with(LOG_MAGIC) {
             let is_partial_magic = bytes.len() < LOG_MAGIC.len() && LOG_MAGIC.starts_with(&bytes);
             if !is_newest || !is_partial_magic {
--- a/crates/core/wal/src/storage.rs
+++ b/crates/core/wal/src/storage.rs
@@ -43,12 +43,12 @@
 }
 
 /// Adds the name of the file to an I/O error.
-pub(crate) trait OfFile<T> {
-    fn of_file(self, file: &str) -> Result<T, StorageError>;
+pub(crate) trait FileContext<T> {
+    fn with_file(self, file: &str) -> Result<T, StorageError>;
 }
 
-impl<T> OfFile<T> for io::Result<T> {
-    fn of_file(self, file: &str) -> Result<T, StorageError> {
+impl<T> FileContext<T> for io::Result<T> {
+    fn with_file(self, file: &str) -> Result<T, StorageError> {
         self.map_err(|source| StorageError { file: file.to_owned(), source })
     }
 }
--- a/crates/lynxtally-coordinator/src/leader.rs
+++ b/crates/lynxtally-coordinator/src/leader.rs
@@ -33,7 +33,7 @@
         match self {
             Self::NotLeader { leader: Some(leader) } => write!(f, "coordinator {leader} leads"),
             Self::NotLeader { leader: None } => f.write_str("no coordinator leads"),
-            Self::Replication(reason) => f.write_str(reason),
+            Self::Replication(reason) => write!(f, "openraft stopped: {reason}"),
         }
     }
 }
--- a/crates/lynxtally-coordinator/src/net/client.rs
+++ b/crates/lynxtally-coordinator/src/net/client.rs
@@ -30,9 +30,9 @@
 impl fmt::Display for RequestError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Unreachable(reason) => f.write_str(reason),
+            Self::Unreachable(reason) => write!(f, "connection failed: {reason}"),
             Self::TimedOut => f.write_str("no response within the timeout"),
-            Self::Rejected { status, body } => write!(f, "{status}: {body}"),
+            Self::Rejected { status, body } => write!(f, "response with status {status}: {body}"),
         }
     }
 }
--- a/crates/lynxtally-coordinator/src/store/storage_thread.rs
+++ b/crates/lynxtally-coordinator/src/store/storage_thread.rs
@@ -84,7 +84,7 @@
     let log = read_log(snapshot, first, &entries)?;
     let state = read_state(&mut folder)?;
     let truncated_tail =
-        torn_tail.map(|tail| format!("{}: {} octets from {} on", tail.file, tail.length, tail.offset));
+        torn_tail.map(|tail| format!("{}: {} bytes from offset {}", tail.file, tail.length, tail.offset));
     let (sender, jobs) = channel();
     let mut storage_thread = StorageThread { folder, wal, log: log.clone(), failure: None };
     thread::Builder::new()
--- a/crates/lynxtally-coordinator/tests/routes.rs
+++ b/crates/lynxtally-coordinator/tests/routes.rs
@@ -89,6 +89,7 @@
     AdminAction::PublishDocument { version, body }
 }
 
+/// The route documents in the leader's state report.
 fn routes(cluster: &Cluster) -> serde_json::Value {
     let leader = cluster.leader();
     http_client::state(cluster.addresses[leader]).expect("a state report")["register"]["routes"].clone()
--- a/crates/lynxtally-coordinator/tests/support/mod.rs
+++ b/crates/lynxtally-coordinator/tests/support/mod.rs
@@ -61,6 +61,7 @@
             .collect()
     }
 
+    /// The settings file of coordinator `n`.
     pub fn settings(&self, n: usize) -> PathBuf {
         self.folder.0.join(format!("coordinator{n}.jsonnet"))
     }
@@ -94,6 +95,7 @@
         }
     }
 
+    /// The addresses at which nodes reach the coordinators.
     pub fn relay_addresses(&self) -> Vec<SocketAddr> {
         self.node_relays.iter().map(|relay| relay.address).collect()
     }
--- a/crates/testing/fault-injection/src/test_node.rs
+++ b/crates/testing/fault-injection/src/test_node.rs
@@ -142,7 +142,7 @@
     fn run(&mut self) {
         while !self.controls.crash.load(Ordering::Relaxed) {
             self.update();
-            // Checked after the update, which records the state in which the session ended.
+            // Checked after the update, which handles the event that ended the session.
             if self.client.has_ended() {
                 break;
             }
