--- a/crates/core/flow/src/lib.rs
+++ b/crates/core/flow/src/lib.rs
@@ -6,26 +6,26 @@
 #![forbid(unsafe_code)]
 
 pub mod coding;
-mod link;
-mod order;
-mod pool;
-mod progress;
-mod repeats;
+mod copy_budget;
+mod deficit_round_robin;
+mod link_scheduler;
+mod memory_pool;
+mod progress_monitor;
 pub mod resume;
-mod sizes;
-mod spools;
+mod retry_policy;
+mod size_estimator;
 pub mod uploads;
-mod upstreams;
+mod upstream_selector;
 
-pub use link::Link;
+pub use copy_budget::Spools;
+pub use deficit_round_robin::Order;
+pub use link_scheduler::Link;
 pub use lynxtally_retry::OutlierLimits as UpstreamLimits;
-pub use order::Order;
-pub use pool::{Pool, PoolLimits};
-pub use progress::{Progress, ProgressLimits};
-pub use repeats::{Repeats, Sent};
-pub use sizes::Sizes;
-pub use spools::Spools;
-pub use upstreams::Upstreams;
+pub use memory_pool::{Pool, PoolLimits};
+pub use progress_monitor::{Progress, ProgressLimits};
+pub use retry_policy::{Repeats, Sent};
+pub use size_estimator::Sizes;
+pub use upstream_selector::Upstreams;
 
 /// A stream's small index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/frontends/stream/src/proxy/client_connection.rs
+++ b/crates/frontends/stream/src/proxy/client_connection.rs
@@ -4,8 +4,8 @@
 use crate::http::{
     BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, ParsedHead, RequestHead, MAX_HEAD_BYTES,
 };
-use crate::owner::{Entering, Ticket};
 use crate::proxied_request::ProxiedRequest;
+use crate::request_manager::{Entering, Ticket};
 use lynxtally_engine::Scheduler;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::connection_table::Inserted;
--- a/crates/frontends/stream/src/proxy/exchange.rs
+++ b/crates/frontends/stream/src/proxy/exchange.rs
@@ -2,8 +2,8 @@
 
 use super::{AfterRequest, Proxy};
 use crate::http::LocalResponse;
-use crate::owner::{Moved, Ticket};
 use crate::proxied_request::{ProxiedRequest, ProxyError};
+use crate::request_manager::{Moved, Ticket};
 use crate::upload_archive::{PendingOperation, UploadArchive};
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::UploadId;
--- a/crates/frontends/stream/src/proxy/mod.rs
+++ b/crates/frontends/stream/src/proxy/mod.rs
@@ -10,7 +10,7 @@
 
 pub(crate) use exchange::ArchivedBody;
 
-use crate::owner::Owner;
+use crate::request_manager::Owner;
 use crate::settings::Checked;
 use crate::upload_archive::UploadArchive;
 use lynxtally_engine::Scheduler;
--- a/crates/frontends/stream/src/proxy/request_direction.rs
+++ b/crates/frontends/stream/src/proxy/request_direction.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::{Exchange, ExchangeState, Outcome};
 use super::{Proxy, FRAMING_BYTES, MAX_PIPELINED_BYTES};
-use crate::owner::{Moved, Rooms};
+use crate::request_manager::{Moved, Rooms};
 use crate::upload_archive::PendingOperation;
 use lynxtally_engine::Scheduler;
 use lynxtally_net::close_reason::CloseReason;
--- a/crates/frontends/stream/src/proxy/response_direction.rs
+++ b/crates/frontends/stream/src/proxy/response_direction.rs
@@ -2,8 +2,8 @@
 
 use super::exchange::{Exchange, ExchangeState, Outcome};
 use super::{Proxy, FRAMING_BYTES};
-use crate::owner::{Moved, Rooms};
 use crate::proxied_request::ProxyError;
+use crate::request_manager::{Moved, Rooms};
 use lynxtally_engine::Scheduler;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::socket::{ReadOutcome, Socket};
--- a/crates/frontends/stream/src/uploading.rs
+++ b/crates/frontends/stream/src/resumable_upload.rs
@@ -4,9 +4,9 @@
 use crate::body_pipe::BodyPipe;
 use crate::content_coder::ContentCoder;
 use crate::http::{BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, RequestHead, UploadState};
-use crate::owner::{Entering, Moved, Ticket};
 use crate::proxied_request::ProxiedRequest;
 use crate::proxy::{caller, AfterRequest, ArchivedBody, Proxy};
+use crate::request_manager::{Entering, Moved, Ticket};
 use crate::upload_archive::{unix_seconds, ArchiveError, OperationResult, PendingOperation, UploadArchive};
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::{Refused, Upload, UploadId};
--- a/crates/frontends/stream/src/server.rs
+++ b/crates/frontends/stream/src/server.rs
@@ -1,7 +1,7 @@
 //! A server: its listeners, the proxy behind them, and its shutdown.
 
-use crate::owner::Owner;
 use crate::proxy::Proxy;
+use crate::request_manager::Owner;
 use crate::settings::Checked;
 use crate::start_error::StartError;
 use crate::upload_archive::UploadArchive;
