--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -3,7 +3,7 @@
 use crate::Failed;
 use clap::Subcommand;
 use lynxtally_stream::server::{self, ServerCommand};
-use lynxtally_stream::settings::{Checked, File};
+use lynxtally_stream::settings::{SettingsFile, StreamSettings};
 use signal_hook::consts::{SIGINT, SIGTERM, SIGUSR1};
 use std::path::{Path, PathBuf};
 use tracing::info;
@@ -31,8 +31,8 @@
 }
 
 /// Reads and checks the settings of a stream server.
-pub fn settings(path: &Path) -> Result<Checked, String> {
-    let file: File = lynxtally_template::read(path).map_err(|error| error.to_string())?;
+pub fn settings(path: &Path) -> Result<StreamSettings, String> {
+    let file: SettingsFile = lynxtally_template::read(path).map_err(|error| error.to_string())?;
     file.check().map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
@@ -46,9 +46,9 @@
                 println!("{}: well", path.display());
                 return Ok(());
             };
-            match checked.stage_of(&method, &target) {
+            match checked.class_for(&method, &target) {
                 Ok(stage) => {
-                    println!("{method} {target}: {}", checked.stages[stage].name);
+                    println!("{method} {target}: {}", checked.classes[stage].name);
                     Ok(())
                 }
                 Err(bad) => {
--- a/crates/core/flow/src/copy_budget.rs
+++ b/crates/core/flow/src/copy_budget.rs
@@ -1,42 +1,44 @@
-//! How much is kept of what was sent up, so that it can be sent again: a part for each stream and a bound for all. What
-//! finds no room is not kept at all, since a part of a body can't be repeated.
+//! Budget for the copies of request bodies that are kept so that a body can be sent again. It limits the copy of each
+//! stream and the sum of all copies. A copy that would exceed a limit must be dropped completely, because a part of a
+//! body cannot be sent again.
 
 use crate::StreamId;
 use std::collections::BTreeMap;
 
-/// The bound, and what each stream keeps.
+/// The limits, and the bytes that each stream has reserved.
 #[derive(Clone, Debug)]
-pub struct Spools {
-    total: u64,
-    each: u64,
-    kept: BTreeMap<StreamId, u64>,
-    sum: u64,
+pub struct CopyBudget {
+    max_total_bytes: u64,
+    max_stream_bytes: u64,
+    reserved: BTreeMap<StreamId, u64>,
+    total_reserved: u64,
 }
 
-impl Spools {
-    /// All together keep so many octets at most, one stream so many.
-    pub fn new(total: u64, each: u64) -> Self {
-        Self { total, each, kept: BTreeMap::new(), sum: 0 }
+impl CopyBudget {
+    /// Creates a budget of `max_total_bytes` for all streams together and `max_stream_bytes` for each.
+    pub fn new(max_total_bytes: u64, max_stream_bytes: u64) -> Self {
+        Self { max_total_bytes, max_stream_bytes, reserved: BTreeMap::new(), total_reserved: 0 }
     }
 
-    /// Whether a stream may keep so many more octets; they count from now on.
-    pub fn keep(&mut self, stream: StreamId, more: u64) -> bool {
-        let own = self.kept.get(&stream).copied().unwrap_or(0) + more;
-        let may = own <= self.each && self.sum + more <= self.total;
-        if may {
-            self.kept.insert(stream, own);
-            self.sum += more;
+    /// Reserves `bytes` more for a stream. Returns false, and reserves nothing, if a limit would be exceeded.
+    pub fn try_reserve(&mut self, stream: StreamId, bytes: u64) -> bool {
+        let stream_bytes = self.reserved.get(&stream).copied().unwrap_or(0) + bytes;
+        let fits =
+            stream_bytes <= self.max_stream_bytes && self.total_reserved + bytes <= self.max_total_bytes;
+        if fits {
+            self.reserved.insert(stream, stream_bytes);
+            self.total_reserved += bytes;
         }
-        may
+        fits
     }
 
-    /// A stream keeps nothing any more.
-    pub fn drop(&mut self, stream: StreamId) {
-        self.sum -= self.kept.remove(&stream).unwrap_or(0);
+    /// Releases all that a stream has reserved.
+    pub fn release(&mut self, stream: StreamId) {
+        self.total_reserved -= self.reserved.remove(&stream).unwrap_or(0);
     }
 
-    /// What all keep.
-    pub fn sum(&self) -> u64 {
-        self.sum
+    /// Bytes reserved by all streams together.
+    pub fn total_reserved(&self) -> u64 {
+        self.total_reserved
     }
 }
--- a/crates/core/flow/src/deficit_round_robin.rs
+++ b/crates/core/flow/src/deficit_round_robin.rs
@@ -1,88 +1,97 @@
-//! Whose octets go next on a scarce link: deficit round robin. Source: M. Shreedhar, G. Varghese, "Efficient Fair
-//! Queuing Using Deficit Round-Robin" (1996); a stream's quantum is its weight times the common one.
+//! Deficit round robin: decides which stream sends next and how many bytes. Source: M. Shreedhar, G. Varghese,
+//! "Efficient Fair Queuing Using Deficit Round-Robin" (1996). The quantum of a stream is the common quantum times the
+//! stream's weight.
 
 use crate::StreamId;
 use std::collections::{BTreeMap, VecDeque};
 
 #[derive(Clone, Debug)]
-struct Turn {
+struct StreamQueue {
     weight: f64,
+    /// Bytes that the stream may still send in its turn.
     deficit: f64,
-    ready: bool,
+    /// Whether the stream has bytes to send and is in the active list.
+    active: bool,
 }
 
-/// The order.
+/// The scheduler's state: the weight and deficit of each stream, and the active list.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct DeficitRoundRobin {
     quantum: f64,
-    turns: BTreeMap<StreamId, Turn>,
-    line: VecDeque<StreamId>,
-    /// Whether the first in line had its quantum added in this turn.
-    begun: bool,
+    queues: BTreeMap<StreamId, StreamQueue>,
+    active_list: VecDeque<StreamId>,
+    /// Whether the stream at the front of the active list has received its quantum for this turn.
+    turn_started: bool,
 }
 
-impl Order {
-    /// An order in which a stream of weight 1 sends so many octets a turn.
+impl DeficitRoundRobin {
+    /// Creates a scheduler in which a stream of weight 1 may send `quantum` bytes per turn.
     pub fn new(quantum: u64) -> Self {
-        Self { quantum: quantum.max(1) as f64, turns: BTreeMap::new(), line: VecDeque::new(), begun: false }
+        Self {
+            quantum: quantum.max(1) as f64,
+            queues: BTreeMap::new(),
+            active_list: VecDeque::new(),
+            turn_started: false,
+        }
     }
 
-    /// A stream takes part from now on.
-    pub fn enter(&mut self, stream: StreamId, weight: f64) {
-        self.turns.insert(stream, Turn { weight: weight.max(1e-6), deficit: 0.0, ready: false });
+    /// Adds a stream, which has nothing to send yet.
+    pub fn add(&mut self, stream: StreamId, weight: f64) {
+        self.queues.insert(stream, StreamQueue { weight: weight.max(1e-6), deficit: 0.0, active: false });
     }
 
-    /// A stream is over.
-    pub fn leave(&mut self, stream: StreamId) {
-        if self.line.front() == Some(&stream) {
-            self.begun = false;
+    /// Removes a stream.
+    pub fn remove(&mut self, stream: StreamId) {
+        if self.active_list.front() == Some(&stream) {
+            self.turn_started = false;
         }
-        self.turns.remove(&stream);
-        self.line.retain(|own| *own != stream);
+        self.queues.remove(&stream);
+        self.active_list.retain(|listed| *listed != stream);
     }
 
-    /// A stream has octets to send.
-    pub fn ready(&mut self, stream: StreamId) {
-        if let Some(turn) = self.turns.get_mut(&stream) {
-            if !std::mem::replace(&mut turn.ready, true) {
-                self.line.push_back(stream);
+    /// Marks a stream as having bytes to send.
+    pub fn mark_ready(&mut self, stream: StreamId) {
+        if let Some(queue) = self.queues.get_mut(&stream) {
+            if !std::mem::replace(&mut queue.active, true) {
+                self.active_list.push_back(stream);
             }
         }
     }
 
-    /// The stream that sends next and how many octets at most; none where nobody has any.
-    pub fn turn(&mut self) -> Option<(StreamId, u64)> {
+    /// The stream that sends next, and the most bytes that it may send. Returns `None` if no stream has bytes to send.
+    pub fn next_turn(&mut self) -> Option<(StreamId, u64)> {
         loop {
-            let stream = *self.line.front()?;
-            let Some(turn) = self.turns.get_mut(&stream) else {
-                self.line.pop_front();
+            let stream = *self.active_list.front()?;
+            let Some(queue) = self.queues.get_mut(&stream) else {
+                self.active_list.pop_front();
                 continue;
             };
-            if !std::mem::replace(&mut self.begun, true) {
-                turn.deficit += self.quantum * turn.weight;
+            if !std::mem::replace(&mut self.turn_started, true) {
+                queue.deficit += self.quantum * queue.weight;
             }
-            if turn.deficit >= 1.0 {
-                return Some((stream, turn.deficit as u64));
+            if queue.deficit >= 1.0 {
+                return Some((stream, queue.deficit as u64));
             }
-            self.line.rotate_left(1);
-            self.begun = false;
+            self.active_list.rotate_left(1);
+            self.turn_started = false;
         }
     }
 
-    /// The one that was next sent so many octets; `more` tells whether it has others.
-    pub fn sent(&mut self, stream: StreamId, octets: u64, more: bool) {
-        let Some(turn) = self.turns.get_mut(&stream) else { return };
-        turn.deficit -= octets as f64;
-        let first = self.line.front() == Some(&stream);
-        if !more {
-            // Who has nothing to send saves nothing up.
-            (turn.deficit, turn.ready) = (0.0, false);
-            self.line.retain(|own| *own != stream);
-        } else if turn.deficit < 1.0 && first {
-            self.line.rotate_left(1);
+    /// Records that the stream returned by [`next_turn`](Self::next_turn) sent `bytes`; `has_more` says whether it has
+    /// more to send.
+    pub fn record_sent(&mut self, stream: StreamId, bytes: u64, has_more: bool) {
+        let Some(queue) = self.queues.get_mut(&stream) else { return };
+        queue.deficit -= bytes as f64;
+        let is_first = self.active_list.front() == Some(&stream);
+        if !has_more {
+            // A stream without bytes to send must not carry a deficit over to a later turn.
+            (queue.deficit, queue.active) = (0.0, false);
+            self.active_list.retain(|listed| *listed != stream);
+        } else if queue.deficit < 1.0 && is_first {
+            self.active_list.rotate_left(1);
         } else {
             return;
         }
-        self.begun &= !first;
+        self.turn_started &= !is_first;
     }
 }
--- a/crates/core/flow/src/link_scheduler.rs
+++ b/crates/core/flow/src/link_scheduler.rs
@@ -1,95 +1,107 @@
-//! A scarce link: octets go out no faster than it carries, in the order of [`Order`]. A sender asks, is granted so many
-//! octets, and asks again.
+//! Schedules a link of limited rate: a token bucket limits the bytes that go out, and [`DeficitRoundRobin`] decides
+//! which stream gets them. A sender asks for a turn, is granted a number of bytes, and asks again once they are sent.
 
-use crate::{Order, StreamId};
+use crate::{DeficitRoundRobin, StreamId};
 use lynxtally::{Instant, Span};
 use std::collections::BTreeMap;
 
-/// The link.
+/// The token bucket of the link, and the bytes granted to each stream.
 #[derive(Clone, Debug)]
-pub struct Link {
-    order: Order,
-    /// Octets a second.
+pub struct LinkScheduler {
+    turns: DeficitRoundRobin,
+    /// Bytes per second.
     rate: f64,
+    /// Capacity of the token bucket, in bytes.
     burst: f64,
     tokens: f64,
-    last: Instant,
+    last_refill: Instant,
     granted: BTreeMap<StreamId, u64>,
-    /// Octets granted since this was last asked, and since when.
+    /// Bytes granted since `utilization_start`.
     used: f64,
-    since: Instant,
+    utilization_start: Instant,
 }
 
-/// What may go out at once after a pause, as time.
+/// Capacity of the token bucket, as the time that the link takes to send it.
 const BURST: Span = Span::from_millis(20);
-/// A turn's octets, as a part of what goes out in that time.
-const QUANTUM: f64 = 1.0 / 16.0;
+/// The quantum of a stream of weight 1, as a fraction of the bucket's capacity.
+const QUANTUM_FRACTION: f64 = 1.0 / 16.0;
 
-impl Link {
-    /// A link that carries so many octets a second.
+impl LinkScheduler {
+    /// Creates a scheduler for a link of `rate` bytes per second.
     pub fn new(rate: f64, now: Instant) -> Self {
         let burst = (rate * BURST.secs()).max(2.0);
-        let order = Order::new((burst * QUANTUM) as u64);
-        Self { order, rate, burst, tokens: burst, last: now, granted: BTreeMap::new(), used: 0.0, since: now }
+        let turns = DeficitRoundRobin::new((burst * QUANTUM_FRACTION) as u64);
+        Self {
+            turns,
+            rate,
+            burst,
+            tokens: burst,
+            last_refill: now,
+            granted: BTreeMap::new(),
+            used: 0.0,
+            utilization_start: now,
+        }
     }
 
-    /// A stream takes part from now on.
-    pub fn enter(&mut self, stream: StreamId, weight: f64) {
-        self.order.enter(stream, weight);
+    /// Adds a stream.
+    pub fn add(&mut self, stream: StreamId, weight: f64) {
+        self.turns.add(stream, weight);
     }
 
-    /// A stream is over; what it was granted and did not use goes to others.
-    pub fn leave(&mut self, stream: StreamId) {
-        self.order.leave(stream);
-        let back = self.granted.remove(&stream).unwrap_or(0) as f64;
-        (self.tokens, self.used) = (self.tokens + back, self.used - back);
+    /// Removes a stream; bytes granted to it and not sent return to the bucket.
+    pub fn remove(&mut self, stream: StreamId) {
+        self.turns.remove(stream);
+        let unused = self.granted.remove(&stream).unwrap_or(0) as f64;
+        (self.tokens, self.used) = (self.tokens + unused, self.used - unused);
     }
 
-    /// How many octets a stream may send now.
-    pub fn granted(&self, stream: StreamId) -> u64 {
+    /// How many bytes a stream may send now.
+    pub fn granted_bytes(&self, stream: StreamId) -> u64 {
         self.granted.get(&stream).copied().unwrap_or(0)
     }
 
-    /// A stream sent so many of them; `more` tells whether it has others.
-    pub fn sent(&mut self, stream: StreamId, octets: u64, more: bool) {
-        let left = self.granted(stream).saturating_sub(octets);
+    /// Records that a stream sent `bytes` of its grant; `has_more` says whether it waits for another turn.
+    pub fn record_sent(&mut self, stream: StreamId, bytes: u64, has_more: bool) {
+        let left = self.granted_bytes(stream).saturating_sub(bytes);
         if left > 0 {
-            // Its receiver takes no more now: what is left is kept for it, or is others' where it has none to send.
+            // The receiver takes no more for now: the stream keeps the rest of its grant until it ends.
             self.granted.insert(stream, left);
         } else {
             self.granted.remove(&stream);
         }
-        if more && left == 0 {
-            self.order.ready(stream);
+        if has_more && left == 0 {
+            self.turns.mark_ready(stream);
         }
     }
 
-    /// Grants what the link has carried meanwhile; tells who may send.
-    pub fn grant(&mut self, now: Instant) -> Vec<StreamId> {
-        self.tokens = (self.tokens + (now - self.last).secs() * self.rate).min(self.burst);
-        self.last = self.last.max(now);
-        let mut woken = Vec::new();
+    /// Refills the bucket for the time since the last call, grants turns while it has tokens, and returns the streams
+    /// that were granted bytes.
+    pub fn grant_turns(&mut self, now: Instant) -> Vec<StreamId> {
+        self.tokens = (self.tokens + (now - self.last_refill).secs() * self.rate).min(self.burst);
+        self.last_refill = self.last_refill.max(now);
+        let mut granted_streams = Vec::new();
         while self.tokens >= 1.0 {
-            let Some((stream, most)) = self.order.turn() else { break };
-            // Whole turns are granted, and paid for afterwards: weights would not count for pieces of turns.
-            self.order.sent(stream, most, false);
-            *self.granted.entry(stream).or_default() += most;
-            (self.tokens, self.used) = (self.tokens - most as f64, self.used + most as f64);
-            woken.push(stream);
+            let Some((stream, bytes)) = self.turns.next_turn() else { break };
+            // A turn is granted whole, and the tokens may go below zero for it: cut turns would ignore the weights.
+            self.turns.record_sent(stream, bytes, false);
+            *self.granted.entry(stream).or_default() += bytes;
+            (self.tokens, self.used) = (self.tokens - bytes as f64, self.used + bytes as f64);
+            granted_streams.push(stream);
         }
-        woken
+        granted_streams
     }
 
-    /// The part of the link that was granted since this was last asked.
-    pub fn busy(&mut self, now: Instant) -> f64 {
-        let past = (now - self.since).secs().max(1e-6);
-        let busy = self.used / (self.rate * past);
-        (self.used, self.since) = (0.0, now);
-        busy.clamp(0.0, 1.0)
+    /// The fraction of the link's rate that was granted since the last call.
+    pub fn take_utilization(&mut self, now: Instant) -> f64 {
+        let elapsed = (now - self.utilization_start).secs().max(1e-6);
+        let utilization = self.used / (self.rate * elapsed);
+        (self.used, self.utilization_start) = (0.0, now);
+        utilization.clamp(0.0, 1.0)
     }
 
-    /// How long a stream that asks waits at most until the next look, so that a turn is never late by much.
-    pub fn period(&self) -> Span {
+    /// How often [`grant_turns`](Self::grant_turns) has to be called while streams wait. It is a quarter of the time that
+    /// the bucket holds, so the bucket never fills up in between.
+    pub fn grant_interval(&self) -> Span {
         BURST * 0.25
     }
 }
--- a/crates/core/flow/src/memory_pool.rs
+++ b/crates/core/flow/src/memory_pool.rs
@@ -1,182 +1,201 @@
-//! One budget of memory for all streams. Each has its floor reserved before it is let in, so none can be starved and
-//! no order of stalls can lock them all; what is left is shared by utility and by use.
+//! Shares one memory budget among all streams. Each stream reserves a minimum window, its floor, before it is admitted,
+//! so no stream is starved and stalled streams cannot block all others. The rest of the budget is shared by weight and
+//! by how fast each receiver takes bytes.
 
 use crate::StreamId;
 use lynxtally::{Instant, Span};
 use std::collections::BTreeMap;
 
-/// What the pool is held to; octets.
+/// Limits of the pool, in bytes where no other unit is given.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PoolLimits {
-    /// The budget, which is never passed.
+pub struct MemoryLimits {
+    /// The whole budget, which is never exceeded.
     pub total: u64,
-    /// The part of it that is kept for floors alone. What is above the floors comes from the rest: what stalled streams
-    /// hold can't be had back from them, so it must never be in the way of one that comes.
+    /// The part of the budget that only floors are taken from. Windows above their floors come from the rest. Bytes that
+    /// a stalled stream holds cannot be taken back, so they must never use memory that a new stream's floor needs.
     pub reserved: u64,
-    /// What every stream has in any case.
+    /// The least window of each stream.
     pub floor: u64,
-    /// The most that one may have.
-    pub most: u64,
-    /// A window holds what a receiver takes in this time.
-    pub ahead: Span,
+    /// The largest window of a stream.
+    pub max_window: u64,
+    /// A window holds what its receiver takes in this time.
+    pub lookahead: Span,
 }
 
 #[derive(Clone, Debug)]
-struct Share {
+struct StreamWindow {
     weight: f64,
-    /// What it may hold from now on.
+    /// The bytes that the stream may hold.
     window: u64,
-    /// What it holds.
+    /// The bytes that the stream holds.
     held: u64,
-    /// What its receiver lately took, in octets a second.
+    /// The smoothed rate at which the receiver takes bytes, in bytes per second.
     rate: f64,
+    /// Bytes that the receiver has taken since the last call of `rebalance`.
     taken: u64,
 }
 
-/// The pool.
+/// The window of each stream, and what it holds.
 #[derive(Clone, Debug)]
-pub struct Pool {
-    limits: PoolLimits,
-    streams: BTreeMap<StreamId, Share>,
-    last: Instant,
+pub struct MemoryPool {
+    limits: MemoryLimits,
+    streams: BTreeMap<StreamId, StreamWindow>,
+    last_rebalance: Instant,
 }
 
-/// What one look moves a learned rate that falls; one that rises is followed at once, so that a receiver that goes on
-/// after a stall is not kept slow.
-const FALL: f64 = 0.25;
-/// From this part on, what is used of the budget is nearly all of it.
-const SCARCE: f64 = 0.8;
-/// A window that its receiver emptied between two looks is the bound, not the receiver: it doubles.
-const GROWTH: f64 = 2.0;
-
-impl Pool {
-    /// An empty pool.
-    pub fn new(limits: PoolLimits, now: Instant) -> Self {
-        Self { limits, streams: BTreeMap::new(), last: now }
+/// Weight of a new sample in a learned rate that falls. A rate that rises is followed at once, so that a receiver is not
+/// kept slow after a stall.
+const FALLING_RATE_GAIN: f64 = 0.25;
+/// The used fraction of a part of the budget from which on memory counts as scarce.
+const SCARCE_FRACTION: f64 = 0.8;
+/// The factor by which a window grows when its receiver emptied it between two rebalances: then the window limits the
+/// stream, not the receiver.
+const WINDOW_GROWTH: f64 = 2.0;
+
+impl MemoryPool {
+    /// Creates a pool without streams.
+    pub fn new(limits: MemoryLimits, now: Instant) -> Self {
+        Self { limits, streams: BTreeMap::new(), last_rebalance: now }
     }
 
-    /// Lets a stream in with its floor; false where no more floors are reserved.
-    pub fn enter(&mut self, stream: StreamId, weight: f64) -> bool {
+    /// Admits a stream and reserves its floor. Returns false if the reserved part has no room for another floor.
+    pub fn admit(&mut self, stream: StreamId, weight: f64) -> bool {
         if (self.streams.len() as u64 + 1) * self.limits.floor > self.limits.reserved {
             return false;
         }
-        let share =
-            Share { weight: weight.max(1e-9), window: self.limits.floor, held: 0, rate: 0.0, taken: 0 };
-        self.streams.insert(stream, share);
+        let window = StreamWindow {
+            weight: weight.max(1e-9),
+            window: self.limits.floor,
+            held: 0,
+            rate: 0.0,
+            taken: 0,
+        };
+        self.streams.insert(stream, window);
         true
     }
 
-    /// A stream is over; what it held is free.
-    pub fn leave(&mut self, stream: StreamId) {
+    /// Removes a stream, and frees what it held.
+    pub fn remove(&mut self, stream: StreamId) {
         self.streams.remove(&stream);
     }
 
-    /// What is held or may be held at once, by all.
-    pub fn promised(&self) -> u64 {
-        self.streams.values().map(|share| share.window.max(share.held)).sum()
+    /// The sum over all streams of the larger of window and held bytes.
+    pub fn committed_bytes(&self) -> u64 {
+        self.streams.values().map(|stream| stream.window.max(stream.held)).sum()
     }
 
-    /// What all hold.
-    pub fn held(&self) -> u64 {
-        self.streams.values().map(|share| share.held).sum()
+    /// The bytes that all streams hold.
+    pub fn held_bytes(&self) -> u64 {
+        self.streams.values().map(|stream| stream.held).sum()
     }
 
-    /// What every stream has in any case.
-    pub fn floor(&self) -> u64 {
+    /// The least window of each stream, in bytes.
+    pub fn floor_bytes(&self) -> u64 {
         self.limits.floor
     }
 
-    /// Whether nearly all is held or promised: of what is above the floors, or of the floors.
-    pub fn scarce(&self) -> bool {
-        let PoolLimits { total, reserved, floor, .. } = self.limits;
-        let nearly = |used: u64, of: u64| used as f64 >= of as f64 * SCARCE;
-        nearly(self.above(), total - reserved) || nearly(self.streams.len() as u64 * floor, reserved)
+    /// Whether most of the part above the floors, or most of the part reserved for floors, is in use.
+    pub fn is_scarce(&self) -> bool {
+        let MemoryLimits { total, reserved, floor, .. } = self.limits;
+        let is_nearly_full = |used: u64, limit: u64| used as f64 >= limit as f64 * SCARCE_FRACTION;
+        is_nearly_full(self.committed_above_floors(), total - reserved)
+            || is_nearly_full(self.streams.len() as u64 * floor, reserved)
     }
 
-    /// What is held or promised above the floors.
-    fn above(&self) -> u64 {
+    /// The part of the committed bytes that exceeds the floors.
+    fn committed_above_floors(&self) -> u64 {
         let floor = self.limits.floor;
-        self.streams.values().map(|share| share.window.max(share.held).saturating_sub(floor)).sum()
+        self.streams.values().map(|stream| stream.window.max(stream.held).saturating_sub(floor)).sum()
     }
 
-    /// What a stream holds now, and what its receiver took since this was last told.
-    pub fn hold(&mut self, stream: StreamId, held: u64, took: u64) {
-        if let Some(share) = self.streams.get_mut(&stream) {
-            share.held = held;
-            share.taken += took;
+    /// Sets the bytes that a stream holds, and adds the bytes that its receiver took since the last report.
+    pub fn record_held(&mut self, stream: StreamId, held: u64, taken: u64) {
+        if let Some(window) = self.streams.get_mut(&stream) {
+            window.held = held;
+            window.taken += taken;
         }
     }
 
-    /// How much a stream may hold.
+    /// The bytes that a stream may hold.
     pub fn window(&self, stream: StreamId) -> u64 {
-        self.streams.get(&stream).map_or(0, |share| share.window)
+        self.streams.get(&stream).map_or(0, |stream| stream.window)
     }
 
-    /// How many octets may be read for a stream now.
+    /// The bytes that may be read for a stream now.
     pub fn room(&self, stream: StreamId) -> u64 {
-        self.streams.get(&stream).map_or(0, |share| share.window.saturating_sub(share.held))
+        self.streams.get(&stream).map_or(0, |stream| stream.window.saturating_sub(stream.held))
     }
 
-    /// So many octets were read for a stream; never more than its room.
-    pub fn read(&mut self, stream: StreamId, octets: u64) {
-        if let Some(share) = self.streams.get_mut(&stream) {
+    /// Records bytes that were read for a stream; they must not exceed its room.
+    pub fn record_read(&mut self, stream: StreamId, bytes: u64) {
+        if let Some(window) = self.streams.get_mut(&stream) {
             debug_assert!(
-                octets <= share.window.saturating_sub(share.held),
-                "more was read than there was room for"
+                bytes <= window.window.saturating_sub(window.held),
+                "a stream read more bytes than its window has room for"
             );
-            share.held += octets;
+            window.held += bytes;
         }
     }
 
-    /// So many octets went on to its receiver.
-    pub fn wrote(&mut self, stream: StreamId, octets: u64) {
-        if let Some(share) = self.streams.get_mut(&stream) {
-            share.held = share.held.saturating_sub(octets);
-            share.taken += octets;
+    /// Records bytes that were written to a stream's receiver.
+    pub fn record_written(&mut self, stream: StreamId, bytes: u64) {
+        if let Some(window) = self.streams.get_mut(&stream) {
+            window.held = window.held.saturating_sub(bytes);
+            window.taken += bytes;
         }
     }
 
-    /// Shares the budget anew by what receivers took since the last look. A stalled one falls to its floor; a window
-    /// that shrinks under what it holds gives back only as that goes on, and nobody is promised it before.
-    pub fn share(&mut self, now: Instant) {
-        let past = (now - self.last).secs();
-        if past <= 0.0 {
+    /// Sets the windows anew from what the receivers have taken since the last call. The window of a stalled stream
+    /// shrinks to its floor. If a window shrinks below what its stream holds, the excess goes to other streams only once
+    /// it has been written out.
+    pub fn rebalance(&mut self, now: Instant) {
+        let elapsed = (now - self.last_rebalance).secs();
+        if elapsed <= 0.0 {
             return;
         }
-        self.last = now;
-        let PoolLimits { total, reserved, floor, most, ahead } = self.limits;
+        self.last_rebalance = now;
+        let MemoryLimits { total, reserved, floor, max_window, lookahead } = self.limits;
         let mut wanted = Vec::with_capacity(self.streams.len());
-        for (id, share) in &mut self.streams {
-            let rate = share.taken as f64 / past;
-            share.rate = if rate > share.rate { rate } else { share.rate + (rate - share.rate) * FALL };
-            let bound = share.taken >= share.window;
-            let ahead = if bound { share.window as f64 * GROWTH } else { share.rate * ahead.secs() };
-            wanted.push((*id, share.weight, (ahead as u64).clamp(floor, most.max(floor)) - floor));
-            share.taken = 0;
+        for (id, stream) in &mut self.streams {
+            let rate = stream.taken as f64 / elapsed;
+            stream.rate = if rate > stream.rate {
+                rate
+            } else {
+                stream.rate + (rate - stream.rate) * FALLING_RATE_GAIN
+            };
+            let is_window_limited = stream.taken >= stream.window;
+            let wanted_window = if is_window_limited {
+                stream.window as f64 * WINDOW_GROWTH
+            } else {
+                stream.rate * lookahead.secs()
+            };
+            let above_floor = (wanted_window as u64).clamp(floor, max_window.max(floor)) - floor;
+            wanted.push((*id, stream.weight, above_floor));
+            stream.taken = 0;
         }
         let mut left = total.saturating_sub(reserved) as f64;
-        // Weighted filling: who wants less than its share leaves the rest to the others.
+        // Weighted water-filling, smallest demand per weight first: what a stream does not want is left to the others.
         wanted.sort_by(|a, b| (a.2 as f64 / a.1).total_cmp(&(b.2 as f64 / b.1)).then(a.0.cmp(&b.0)));
         let mut weights: f64 = wanted.iter().map(|(_, weight, _)| weight).sum();
         let mut targets = Vec::with_capacity(wanted.len());
-        for (id, weight, extra) in wanted {
-            let given = (left * weight / weights).min(extra as f64).floor();
+        for (id, weight, above_floor) in wanted {
+            let given = (left * weight / weights).min(above_floor as f64).floor();
             (left, weights) = (left - given, weights - weight);
             targets.push((id, floor + given as u64));
         }
-        // Shrink first; what is still held is no one else's yet.
+        // Windows shrink before any grows. Bytes that are still held above a shrunk window are not free yet.
         for (id, target) in &targets {
-            let Some(share) = self.streams.get_mut(id) else { continue };
-            share.window = share.window.min(*target);
+            let Some(stream) = self.streams.get_mut(id) else { continue };
+            stream.window = stream.window.min(*target);
         }
-        let mut free = total.saturating_sub(reserved).saturating_sub(self.above());
+        let mut free = total.saturating_sub(reserved).saturating_sub(self.committed_above_floors());
         for (id, target) in targets {
-            let Some(share) = self.streams.get_mut(&id) else { continue };
-            let now = share.window.max(share.held);
-            let grown = target.max(now) - now;
-            let given = grown.min(free);
-            if target > share.window {
-                share.window = target.min(now + given);
+            let Some(stream) = self.streams.get_mut(&id) else { continue };
+            let committed = stream.window.max(stream.held);
+            let missing = target.max(committed) - committed;
+            let given = missing.min(free);
+            if target > stream.window {
+                stream.window = target.min(committed + given);
             }
             free -= given;
         }
--- a/crates/core/flow/src/progress_monitor.rs
+++ b/crates/core/flow/src/progress_monitor.rs
@@ -1,91 +1,96 @@
-//! What progress a stream owes: octets over a span, learned from what the others move, not a fixed time of silence. A
-//! slow link that moves is well; one that moves next to nothing while it holds memory that others want is not.
+//! Finds streams that make too little progress: they transfer fewer bytes per interval than a fraction of the learned
+//! median of all streams. The fraction is small, so a slow receiver that keeps moving passes; a fixed timeout without
+//! data would not catch a receiver that takes one byte at a time while it holds memory that other streams need.
 
 use crate::StreamId;
 use lynxtally::{Instant, Span};
 use std::collections::BTreeMap;
 
-/// What is owed.
+/// The progress that a stream has to make.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProgressLimits {
-    /// Over this span progress is looked at.
-    pub span: Span,
-    /// A stream owes this part of what streams move in the middle of them all.
-    pub part: f64,
-    /// And so many octets a span in any case.
-    pub least: u64,
-    /// So many spans in a row may fall short.
-    pub patience: u32,
+    /// The interval over which progress is measured.
+    pub interval: Span,
+    /// The fraction of the median bytes per interval that a stream has to transfer.
+    pub median_fraction: f64,
+    /// The least bytes per interval that a stream has to transfer, whatever the median.
+    pub min_bytes: u64,
+    /// The number of consecutive short intervals after which a stream is reported.
+    pub max_short_intervals: u32,
 }
 
 #[derive(Clone, Debug)]
-struct Mover {
-    since: Instant,
-    moved: u64,
-    /// Whether it could have moved: one that waits for its sender owes nothing.
-    could: bool,
-    short: u32,
+struct StreamProgress {
+    interval_start: Instant,
+    bytes: u64,
+    /// Whether the stream had bytes to transfer in this interval. One that waits for its sender has no progress to make.
+    could_transfer: bool,
+    short_intervals: u32,
 }
 
 /// The progress of all streams.
 #[derive(Clone, Debug)]
-pub struct Progress {
+pub struct ProgressMonitor {
     limits: ProgressLimits,
-    movers: BTreeMap<StreamId, Mover>,
-    /// What a stream moved in a span, in the middle; learned.
-    middle: f64,
+    streams: BTreeMap<StreamId, StreamProgress>,
+    /// Learned median of the bytes that a stream transfers per interval.
+    median: f64,
 }
 
-/// What one stream's span moves the learned middle, up or down.
-const STEP: f64 = 0.05;
+/// The fraction by which one interval of one stream moves the learned median up or down.
+const MEDIAN_STEP: f64 = 0.05;
 
-impl Progress {
-    /// Nothing is known of what is usual yet.
+impl ProgressMonitor {
+    /// Creates a monitor whose learned median starts at the least required bytes.
     pub fn new(limits: ProgressLimits) -> Self {
-        Self { limits, movers: BTreeMap::new(), middle: limits.least as f64 }
+        Self { limits, streams: BTreeMap::new(), median: limits.min_bytes as f64 }
     }
 
-    /// A stream begins.
-    pub fn enter(&mut self, now: Instant, stream: StreamId) {
-        self.movers.insert(stream, Mover { since: now, moved: 0, could: false, short: 0 });
+    /// Adds a stream, whose first interval starts now.
+    pub fn add(&mut self, now: Instant, stream: StreamId) {
+        let progress =
+            StreamProgress { interval_start: now, bytes: 0, could_transfer: false, short_intervals: 0 };
+        self.streams.insert(stream, progress);
     }
 
-    /// A stream is over.
-    pub fn leave(&mut self, stream: StreamId) {
-        self.movers.remove(&stream);
+    /// Removes a stream.
+    pub fn remove(&mut self, stream: StreamId) {
+        self.streams.remove(&stream);
     }
 
-    /// A stream had octets to give, and its receiver took so many of them, maybe none.
-    pub fn moved(&mut self, stream: StreamId, octets: u64) {
-        if let Some(mover) = self.movers.get_mut(&stream) {
-            mover.moved += octets;
-            mover.could = true;
+    /// Records that a stream had bytes to transfer and that its receiver took `bytes` of them, possibly none.
+    pub fn record(&mut self, stream: StreamId, bytes: u64) {
+        if let Some(progress) = self.streams.get_mut(&stream) {
+            progress.bytes += bytes;
+            progress.could_transfer = true;
         }
     }
 
-    /// What is owed over one span.
-    pub fn owed(&self) -> u64 {
-        (self.middle * self.limits.part).max(self.limits.least as f64) as u64
+    /// The bytes that a stream has to transfer per interval.
+    pub fn required_bytes(&self) -> u64 {
+        (self.median * self.limits.median_fraction).max(self.limits.min_bytes as f64) as u64
     }
 
-    /// The streams that owed progress for too long; each is told once.
-    pub fn late(&mut self, now: Instant) -> Vec<StreamId> {
-        let (owed, mut late) = (self.owed(), Vec::new());
-        for (id, mover) in &mut self.movers {
-            if now - mover.since < self.limits.span {
+    /// Ends the intervals that are over, and returns the streams that have just reached the number of consecutive short
+    /// intervals. Each is returned once per run of short intervals.
+    pub fn newly_late(&mut self, now: Instant) -> Vec<StreamId> {
+        let (required, mut late) = (self.required_bytes(), Vec::new());
+        for (id, progress) in &mut self.streams {
+            if now - progress.interval_start < self.limits.interval {
                 continue;
             }
-            if mover.could {
-                // A median learned by steps: as many pull it up as down.
-                let step = self.middle.max(1.0) * STEP;
-                self.middle += if mover.moved as f64 > self.middle { step } else { -step };
-                self.middle = self.middle.max(self.limits.least as f64);
-                mover.short = if mover.moved < owed { mover.short + 1 } else { 0 };
-                if mover.short == self.limits.patience {
+            if progress.could_transfer {
+                // Steps of equal size up and down make the estimate converge to the median.
+                let step = self.median.max(1.0) * MEDIAN_STEP;
+                self.median += if progress.bytes as f64 > self.median { step } else { -step };
+                self.median = self.median.max(self.limits.min_bytes as f64);
+                progress.short_intervals =
+                    if progress.bytes < required { progress.short_intervals + 1 } else { 0 };
+                if progress.short_intervals == self.limits.max_short_intervals {
                     late.push(*id);
                 }
             }
-            (mover.since, mover.moved, mover.could) = (now, 0, false);
+            (progress.interval_start, progress.bytes, progress.could_transfer) = (now, 0, false);
         }
         late
     }
--- a/crates/core/flow/src/resume.rs
+++ b/crates/core/flow/src/resume.rs
@@ -1,73 +1,84 @@
-//! When a download that broke off is gone on with from another upstream: only where the object is known to be the very
-//! same one, octet by octet (RFC 9110 sections 8.8.1 and 13.1.5).
+//! Decides whether a download that broke off may be resumed from another upstream. It may only if the other upstream
+//! has exactly the same object, byte for byte, as a strong validator shows (RFC 9110 sections 8.8.1 and 13.1.5).
 
-/// What is known of an object and of the part that was passed on.
+/// A download of an object, or of a part of one, that may be resumed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Piece {
-    /// Its strong validator, as it stands in the field.
+pub struct PartialDownload {
+    /// The strong validator of the object, as given in the `ETag` field.
     pub validator: String,
-    /// The first octet of the part, in the object.
+    /// Position of the first requested byte in the object.
     pub first: u64,
-    /// The octet past the part's last.
+    /// Position behind the last requested byte.
     pub end: u64,
-    /// The object's length, where told.
-    pub whole: Option<u64>,
+    /// Length of the whole object, if known.
+    pub complete_length: Option<u64>,
 }
 
-/// Why a download can't be gone on with.
+/// Why a download cannot be resumed with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Changed {
-    /// The upstream gave all of it, not the rest: it has another object, or knows no parts.
+pub enum ResumeMismatch {
+    /// The upstream sent the whole object: its object is another one, or it does not support ranges.
     Whole,
-    /// Another validator.
+    /// The response has another validator.
     Validator,
-    /// Another part than was asked for, or of another length.
+    /// The response is another range than was asked for, or its object has another length.
     Part,
 }
 
-/// A validator that tells objects apart octet by octet; a weak one does not.
-pub fn strong(validator: &str) -> Option<&str> {
+/// The validator without surrounding whitespace, or `None` if it is weak: weak validators do not distinguish objects
+/// byte for byte.
+pub fn strong_validator(validator: &str) -> Option<&str> {
     let text = validator.trim();
-    let quoted = text.len() >= 2 && text.starts_with('"') && text.ends_with('"');
-    quoted.then_some(text)
+    let is_quoted = text.len() >= 2 && text.starts_with('"') && text.ends_with('"');
+    is_quoted.then_some(text)
 }
 
-/// A part as a field tells it: first and last octet, and the object's length (RFC 9110 section 14.4).
-pub fn part(field: &str) -> Option<(u64, u64, Option<u64>)> {
-    fn number(text: &str) -> Option<u64> {
-        (!text.is_empty() && text.bytes().all(|b| b.is_ascii_digit())).then(|| text.parse().ok())?
+/// Parses a `Content-Range` field (RFC 9110 section 14.4). Returns the first and last position and the length of the
+/// whole object, if given.
+pub fn parse_content_range(field: &str) -> Option<(u64, u64, Option<u64>)> {
+    fn parse_number(text: &str) -> Option<u64> {
+        (!text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit())).then(|| text.parse().ok())?
     }
-    let (range, whole) = field.trim().strip_prefix("bytes ")?.split_once('/')?;
+    let (range, complete_length) = field.trim().strip_prefix("bytes ")?.split_once('/')?;
     let (first, last) = range.split_once('-')?;
-    let (first, last) = (number(first)?, number(last)?);
-    let whole = if whole == "*" { None } else { Some(number(whole)?) };
-    (first <= last && whole.is_none_or(|whole| last < whole)).then_some((first, last, whole))
+    let (first, last) = (parse_number(first)?, parse_number(last)?);
+    let complete_length = if complete_length == "*" { None } else { Some(parse_number(complete_length)?) };
+    let is_valid = first <= last && complete_length.is_none_or(|length| last < length);
+    is_valid.then_some((first, last, complete_length))
 }
 
-impl Piece {
-    /// The part that is still to come after so many octets; none where there is nothing left.
-    pub fn rest(&self, passed: u64) -> Option<(u64, u64)> {
-        let first = self.first.checked_add(passed)?;
+impl PartialDownload {
+    /// The range that is missing after `received` bytes: its first position and the position behind its end. Returns
+    /// `None` if nothing is missing.
+    pub fn remaining(&self, received: u64) -> Option<(u64, u64)> {
+        let first = self.first.checked_add(received)?;
         (first < self.end).then_some((first, self.end))
     }
 
-    /// Whether an answer is the rest of this very object after so many octets.
-    pub fn goes_on(
+    /// Checks that a response carries exactly what is missing of this object after `received` bytes. `validator` and
+    /// `content_range` are the values of the response's fields.
+    ///
+    /// # Errors
+    /// How the response differs from what is missing.
+    pub fn check_continuation(
         &self,
-        passed: u64,
+        received: u64,
         status: u16,
         validator: Option<&str>,
-        told: Option<&str>,
-    ) -> Result<(), Changed> {
+        content_range: Option<&str>,
+    ) -> Result<(), ResumeMismatch> {
         if status != 206 {
-            return Err(Changed::Whole);
+            return Err(ResumeMismatch::Whole);
         }
-        if validator.and_then(strong) != Some(self.validator.as_str()) {
-            return Err(Changed::Validator);
+        if validator.and_then(strong_validator) != Some(self.validator.as_str()) {
+            return Err(ResumeMismatch::Validator);
         }
-        let (first, last, whole) = told.and_then(part).ok_or(Changed::Part)?;
-        let same = self.rest(passed) == Some((first, last + 1));
-        let alike = self.whole.is_none() || whole.is_none() || whole == self.whole;
-        (same && alike).then_some(()).ok_or(Changed::Part)
+        let (first, last, complete_length) =
+            content_range.and_then(parse_content_range).ok_or(ResumeMismatch::Part)?;
+        let is_remaining = self.remaining(received) == Some((first, last + 1));
+        let is_same_length = self.complete_length.is_none()
+            || complete_length.is_none()
+            || complete_length == self.complete_length;
+        (is_remaining && is_same_length).then_some(()).ok_or(ResumeMismatch::Part)
     }
 }
--- a/crates/core/flow/src/retry_policy.rs
+++ b/crates/core/flow/src/retry_policy.rs
@@ -1,41 +1,43 @@
-//! When a stream may be repeated to another upstream: only if nothing of it can have been acted on, or its stage is
-//! restartable and all that was sent is still at hand; and only while the budget, paid by successes, allows it.
+//! Decides whether a request whose upstream failed may be sent to another upstream. It may if the first upstream
+//! cannot have acted on any of it, or if the request is idempotent and a copy of everything sent is still held. In both
+//! cases the retry budget, which successful requests refill, has to allow it.
 
 use lynxtally::Effect;
 use lynxtally_retry::RetryBudget;
 
-/// How far a stream had come when its upstream failed.
+/// How far an attempt had come when its upstream failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Sent {
-    /// Octets of its body that were sent on, or may have been.
-    pub octets: u64,
-    /// Whether its head was sent.
-    pub head: bool,
-    /// Whether all that was sent is still held.
-    pub held: bool,
-    /// Whether any of the answer went to the client.
-    pub answered: bool,
+pub struct AttemptState {
+    /// Bytes of the request body that were sent to the upstream, or may have been.
+    pub sent_bytes: u64,
+    /// Whether the head of the request was sent.
+    pub is_head_sent: bool,
+    /// Whether a copy of everything sent is still held.
+    pub has_copy: bool,
+    /// Whether any of the response went to the client.
+    pub has_response_begun: bool,
 }
 
-/// The budget of all streams.
+/// The retry budget that all requests share.
 #[derive(Clone, Copy, Debug)]
-pub struct Repeats(RetryBudget);
+pub struct RetryPolicy(RetryBudget);
 
-impl Repeats {
-    /// So many successes pay for a repeat; no more than `most` repeats are saved up, and so many there are at first.
-    pub fn new(price: u32, most: u32) -> Self {
-        Self(RetryBudget::new(price, most))
+impl RetryPolicy {
+    /// Creates a budget in which `successes_per_retry` successes pay for one retry. It holds at most `max_retries`, and
+    /// that many at the start.
+    pub fn new(successes_per_retry: u32, max_retries: u32) -> Self {
+        Self(RetryBudget::new(successes_per_retry, max_retries))
     }
 
-    /// A stream ended well.
-    pub fn succeeded(&mut self) {
+    /// Records a request that succeeded.
+    pub fn record_success(&mut self) {
         self.0.record_success();
     }
 
-    /// Whether a stream may be repeated; it is paid for then.
-    pub fn may(&mut self, effect: Effect, sent: Sent) -> bool {
-        let untouched = !sent.head && sent.octets == 0;
-        let again = effect == Effect::Idempotent && sent.held;
-        !sent.answered && (untouched || again) && self.0.try_spend()
+    /// Returns whether the attempt may be retried; if so, the retry is taken out of the budget.
+    pub fn try_retry(&mut self, effect: Effect, attempt: AttemptState) -> bool {
+        let is_untouched = !attempt.is_head_sent && attempt.sent_bytes == 0;
+        let is_repeatable = effect == Effect::Idempotent && attempt.has_copy;
+        !attempt.has_response_begun && (is_untouched || is_repeatable) && self.0.try_spend()
     }
 }
--- a/crates/core/flow/src/size_estimator.rs
+++ b/crates/core/flow/src/size_estimator.rs
@@ -1,33 +1,34 @@
-//! How much a stream of a stage will move: as its head tells, else what such streams moved so far, in the mean. The
-//! module takes it as the expected work, so that a short stream is not thought as dear as a long one.
+//! Estimates how many bytes a request will transfer: the length that its head announces, otherwise the moving average
+//! of its request class. The scheduler uses the estimate as the expected work, so that a short request does not count
+//! as much as a long one.
 
-/// What streams of each stage move.
+/// The moving average of each request class.
 #[derive(Clone, Debug)]
-pub struct Sizes {
+pub struct SizeEstimator {
     means: Vec<Option<f64>>,
 }
 
-/// What one stream that ended moves the mean.
-const GAIN: f64 = 1.0 / 16.0;
-/// What is taken for a stream's size where nothing is known yet.
-const UNSEEN: f64 = 64.0 * 1024.0;
+/// Weight of one completed request in the moving average.
+const MEAN_GAIN: f64 = 1.0 / 16.0;
+/// The estimate in bytes for a class that has not completed a request yet.
+const INITIAL_ESTIMATE_BYTES: f64 = 64.0 * 1024.0;
 
-impl Sizes {
-    /// Nothing is known of so many stages.
-    pub fn new(stages: usize) -> Self {
-        Self { means: vec![None; stages] }
+impl SizeEstimator {
+    /// Creates an estimator for `classes` request classes, none of which has completed a request.
+    pub fn new(classes: usize) -> Self {
+        Self { means: vec![None; classes] }
     }
 
-    /// What one that comes is expected to move; `told` is what its head says of its own body.
-    pub fn expected(&self, stage: usize, told: Option<u64>) -> u64 {
-        let mean = self.means[stage].unwrap_or(UNSEEN);
-        told.map_or(mean, |told| (told as f64).max(1.0)) as u64
+    /// The bytes that a new request is expected to transfer; `announced` is the body length that its head gives.
+    pub fn expected_bytes(&self, class: usize, announced: Option<u64>) -> u64 {
+        let mean = self.means[class].unwrap_or(INITIAL_ESTIMATE_BYTES);
+        announced.map_or(mean, |announced| (announced as f64).max(1.0)) as u64
     }
 
-    /// One that ended well moved so many octets.
-    pub fn moved(&mut self, stage: usize, octets: u64) {
-        let mean = &mut self.means[stage];
-        let octets = octets as f64;
-        *mean = Some(mean.map_or(octets, |mean| mean + (octets - mean) * GAIN));
+    /// Records the bytes that a completed request transferred.
+    pub fn record_completed(&mut self, class: usize, bytes: u64) {
+        let mean = &mut self.means[class];
+        let bytes = bytes as f64;
+        *mean = Some(mean.map_or(bytes, |mean| mean + (bytes - mean) * MEAN_GAIN));
     }
 }
--- a/crates/core/flow/src/uploads.rs
+++ b/crates/core/flow/src/uploads.rs
@@ -1,273 +1,313 @@
-//! Uploads that are gone on with after their connection dropped (draft-ietf-httpbis-resumable-upload-05): how far each
-//! is, who holds it, what a customer may keep, and when one is forgotten. What is to last comes out as entries for a
-//! log, and goes in again after a restart.
+//! State of resumable uploads (draft-ietf-httpbis-resumable-upload-05): the offset of each upload, which connection may
+//! write to it, the storage quotas, and when an upload expires. Changes that must survive a restart are returned as
+//! [`Entry`] values for a log, and [`Uploads::replay`] restores the state from them.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// An upload's name.
+/// Identifies an upload.
 pub type UploadId = u64;
 
-/// What uploads are held to.
+/// Limits of resumable uploads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UploadLimits {
-    /// Octets that one customer keeps here.
-    pub each: u64,
-    /// And all together.
-    pub all: u64,
-    /// One that nobody goes on with is forgotten after so many seconds.
-    pub keep: u64,
+    /// The most bytes that the uploads of one tenant may have.
+    pub tenant_bytes: u64,
+    /// The most bytes that all uploads together may have.
+    pub total_bytes: u64,
+    /// Seconds after which an upload expires if nobody resumes it.
+    pub expiry_secs: u64,
 }
 
-/// An upload.
+/// A resumable upload.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upload {
-    /// Whose it is, by name; empty where that is not known.
-    pub customer: String,
-    /// What it is, as the front keeps it.
-    pub what: Vec<u8>,
-    /// How long it will be, where told.
+    /// The name of the tenant; empty if the request named none.
+    #[serde(rename = "customer")]
+    pub tenant: String,
+    /// The head of the request that is sent to the upstream once the upload is complete.
+    #[serde(rename = "what")]
+    pub request_head: Vec<u8>,
+    /// The length of the whole upload, if the client has announced it.
     pub length: Option<u64>,
-    /// How far it is, in octets.
+    /// The number of bytes received so far.
     pub offset: u64,
-    /// The checksum of these octets.
-    pub sum: u32,
-    /// When it last moved, in Unix seconds.
-    pub touched: u64,
-    /// Whether all of it is here.
-    pub whole: bool,
+    /// CRC-32C of the bytes received so far.
+    #[serde(rename = "sum")]
+    pub checksum: u32,
+    /// When bytes were last received, in Unix seconds.
+    #[serde(rename = "touched")]
+    pub updated_secs: u64,
+    /// Whether all bytes were received.
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
 }
 
-/// What is to last of a change.
+/// A change that must survive a restart. Stored in the log of uploads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Entry {
-    /// One began.
-    Begun(UploadId, Upload),
-    /// One is this far.
-    Moved {
-        /// Which.
+    /// An upload was created.
+    #[serde(rename = "Begun")]
+    Created(UploadId, Upload),
+    /// An upload received bytes.
+    #[serde(rename = "Moved")]
+    Advanced {
+        /// Identifies the upload.
         id: UploadId,
-        /// How far.
+        /// The number of bytes received so far.
         offset: u64,
-        /// The checksum of these octets.
-        sum: u32,
-        /// When.
-        touched: u64,
-        /// Whether that is all.
-        whole: bool,
+        /// CRC-32C of the bytes received so far.
+        #[serde(rename = "sum")]
+        checksum: u32,
+        /// When bytes were last received, in Unix seconds.
+        #[serde(rename = "touched")]
+        updated_secs: u64,
+        /// Whether all bytes were received.
+        #[serde(rename = "whole")]
+        is_complete: bool,
     },
-    /// One is over.
-    Gone(UploadId),
+    /// An upload was removed.
+    #[serde(rename = "Gone")]
+    Removed(UploadId),
 }
 
-/// Why something can't be done with an upload.
+/// Why an operation on an upload is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// There is none by this name.
+pub enum UploadError {
+    /// No upload has this id.
     Unknown,
-    /// It stands here, not there.
-    Offset(u64),
-    /// Another took it over.
-    Taken,
-    /// It becomes longer than was told.
-    Long,
-    /// The customer, or all together, keep as much as may be.
-    Quota,
+    /// The offset given is not the upload's; the upload has this one.
+    WrongOffset(u64),
+    /// The id is in use, or another connection has taken the upload over.
+    TakenOver,
+    /// The upload would be longer than announced, or its announced length changed.
+    WrongLength,
+    /// A storage quota would be exceeded.
+    QuotaExceeded,
 }
 
 #[derive(Clone, Debug)]
 struct State {
     upload: Upload,
-    /// Who took it last; whoever took it before can't move it any more.
-    holder: u64,
+    /// The number of the connection that took the upload over last. Only this writer may append.
+    writer: u64,
 }
 
-/// All uploads.
+/// All resumable uploads.
 #[derive(Clone, Debug)]
 pub struct Uploads {
     limits: UploadLimits,
-    all: BTreeMap<UploadId, State>,
-    kept: BTreeMap<String, u64>,
-    sum: u64,
-    holders: u64,
+    uploads: BTreeMap<UploadId, State>,
+    bytes_by_tenant: BTreeMap<String, u64>,
+    total_bytes: u64,
+    last_writer: u64,
 }
 
-/// What an upload counts for: what is here, or what was told to come.
-fn weight(upload: &Upload) -> u64 {
+/// The bytes that an upload counts for in the quotas: those received, or the announced length if that is larger.
+fn quota_bytes(upload: &Upload) -> u64 {
     upload.offset.max(upload.length.unwrap_or(0))
 }
 
 impl Uploads {
-    /// None yet.
+    /// Creates the state without uploads.
     pub fn new(limits: UploadLimits) -> Self {
-        Self { limits, all: BTreeMap::new(), kept: BTreeMap::new(), sum: 0, holders: 0 }
+        Self {
+            limits,
+            uploads: BTreeMap::new(),
+            bytes_by_tenant: BTreeMap::new(),
+            total_bytes: 0,
+            last_writer: 0,
+        }
     }
 
-    fn count(&mut self, customer: &str, more: u64, fewer: u64) {
-        self.sum = (self.sum + more).saturating_sub(fewer);
-        let kept = self.kept.entry(customer.to_owned()).or_default();
-        *kept = (*kept + more).saturating_sub(fewer);
-        if *kept == 0 {
-            self.kept.remove(customer);
+    fn adjust_usage(&mut self, tenant: &str, added: u64, removed: u64) {
+        self.total_bytes = (self.total_bytes + added).saturating_sub(removed);
+        let tenant_bytes = self.bytes_by_tenant.entry(tenant.to_owned()).or_default();
+        *tenant_bytes = (*tenant_bytes + added).saturating_sub(removed);
+        if *tenant_bytes == 0 {
+            self.bytes_by_tenant.remove(tenant);
         }
     }
 
-    fn fits(&self, customer: &str, more: u64) -> bool {
-        let own = self.kept.get(customer).copied().unwrap_or(0);
-        own.saturating_add(more) <= self.limits.each && self.sum.saturating_add(more) <= self.limits.all
+    fn fits_quotas(&self, tenant: &str, added: u64) -> bool {
+        let tenant_bytes = self.bytes_by_tenant.get(tenant).copied().unwrap_or(0);
+        tenant_bytes.saturating_add(added) <= self.limits.tenant_bytes
+            && self.total_bytes.saturating_add(added) <= self.limits.total_bytes
     }
 
-    /// One begins; tells what is to last, and by what its holder is known.
-    pub fn begin(&mut self, id: UploadId, upload: Upload) -> Result<(Entry, u64), Refused> {
-        if self.all.contains_key(&id) {
-            return Err(Refused::Taken);
+    /// Creates an upload. Returns the log entry and the number of its writer.
+    ///
+    /// # Errors
+    /// [`UploadError::TakenOver`] if the id is in use, [`UploadError::QuotaExceeded`] if a quota has no room for it.
+    pub fn create(&mut self, id: UploadId, upload: Upload) -> Result<(Entry, u64), UploadError> {
+        if self.uploads.contains_key(&id) {
+            return Err(UploadError::TakenOver);
         }
-        if !self.fits(&upload.customer, weight(&upload)) {
-            return Err(Refused::Quota);
+        if !self.fits_quotas(&upload.tenant, quota_bytes(&upload)) {
+            return Err(UploadError::QuotaExceeded);
         }
-        self.holders += 1;
-        let entry = Entry::Begun(id, upload.clone());
-        self.put(id, upload);
-        Ok((entry, self.holders))
+        self.last_writer += 1;
+        let entry = Entry::Created(id, upload.clone());
+        self.insert(id, upload);
+        Ok((entry, self.last_writer))
     }
 
-    fn put(&mut self, id: UploadId, upload: Upload) {
-        let (customer, more) = (upload.customer.clone(), weight(&upload));
-        self.count(&customer, more, 0);
-        self.all.insert(id, State { upload, holder: self.holders });
+    fn insert(&mut self, id: UploadId, upload: Upload) {
+        let (tenant, added) = (upload.tenant.clone(), quota_bytes(&upload));
+        self.adjust_usage(&tenant, added, 0);
+        self.uploads.insert(id, State { upload, writer: self.last_writer });
     }
 
-    /// How one stands.
+    /// The upload with this id.
     pub fn get(&self, id: UploadId) -> Option<&Upload> {
-        self.all.get(&id).map(|state| &state.upload)
+        self.uploads.get(&id).map(|state| &state.upload)
     }
 
-    /// Takes one over, from whoever had it: a connection that dropped may not be known to have dropped yet, and what it
-    /// still brings must not move what its client was told since. Tells by what the holder is known.
-    pub fn hold(&mut self, id: UploadId) -> Result<u64, Refused> {
-        let state = self.all.get_mut(&id).ok_or(Refused::Unknown)?;
-        self.holders += 1;
-        state.holder = self.holders;
-        Ok(state.holder)
+    /// Takes an upload over from its current writer, and returns the number of the new writer. The server may not have
+    /// noticed yet that the old connection has dropped. Bytes that still arrive on it must not move the offset that the
+    /// client has been told since.
+    ///
+    /// # Errors
+    /// [`UploadError::Unknown`] if no upload has this id.
+    pub fn take_over(&mut self, id: UploadId) -> Result<u64, UploadError> {
+        let state = self.uploads.get_mut(&id).ok_or(UploadError::Unknown)?;
+        self.last_writer += 1;
+        state.writer = self.last_writer;
+        Ok(state.writer)
     }
 
-    /// Takes one over so as to go on with it from this place.
-    pub fn go_on(&mut self, id: UploadId, offset: u64) -> Result<u64, Refused> {
-        let upload = self.get(id).ok_or(Refused::Unknown)?;
+    /// Takes an upload over to append to it from `offset` on, and returns the number of the new writer.
+    ///
+    /// # Errors
+    /// [`UploadError::Unknown`] if no upload has this id, [`UploadError::WrongOffset`] if its offset is another.
+    pub fn resume(&mut self, id: UploadId, offset: u64) -> Result<u64, UploadError> {
+        let upload = self.get(id).ok_or(UploadError::Unknown)?;
         if upload.offset != offset {
-            return Err(Refused::Offset(upload.offset));
+            return Err(UploadError::WrongOffset(upload.offset));
         }
-        self.hold(id)
+        self.take_over(id)
     }
 
-    /// The length that a holder tells of one; it can't be another than was told before.
-    pub fn tell_length(&mut self, id: UploadId, length: u64) -> Result<(), Refused> {
+    /// Sets the length of the whole upload as the client announces it.
+    ///
+    /// # Errors
+    /// [`UploadError::WrongLength`] if another length was announced before or more bytes have been received, and
+    /// [`UploadError::QuotaExceeded`] if the length exceeds the quota of a tenant.
+    pub fn set_length(&mut self, id: UploadId, length: u64) -> Result<(), UploadError> {
         let limits = self.limits;
-        let state = self.all.get_mut(&id).ok_or(Refused::Unknown)?;
+        let state = self.uploads.get_mut(&id).ok_or(UploadError::Unknown)?;
         match state.upload.length {
-            Some(own) if own != length => Err(Refused::Long),
-            _ if length < state.upload.offset => Err(Refused::Long),
+            Some(announced) if announced != length => Err(UploadError::WrongLength),
+            _ if length < state.upload.offset => Err(UploadError::WrongLength),
             Some(_) => Ok(()),
-            None if length > limits.each => Err(Refused::Quota),
+            None if length > limits.tenant_bytes => Err(UploadError::QuotaExceeded),
             None => {
-                let (customer, before) = (state.upload.customer.clone(), weight(&state.upload));
+                let (tenant, before) = (state.upload.tenant.clone(), quota_bytes(&state.upload));
                 state.upload.length = Some(length);
-                let more = weight(&state.upload) - before;
-                self.count(&customer, more, 0);
+                let added = quota_bytes(&state.upload) - before;
+                self.adjust_usage(&tenant, added, 0);
                 Ok(())
             }
         }
     }
 
-    /// Its holder has so many more octets of it; `sum` is the checksum of all.
-    pub fn grow(
+    /// Records that the writer appended `bytes`; `checksum` is that of the whole upload so far.
+    ///
+    /// # Errors
+    /// The upload is unknown or taken over by another writer, or would exceed its announced length or a quota.
+    pub fn append(
         &mut self,
         id: UploadId,
-        holder: u64,
-        octets: u64,
-        sum: u32,
-        now: u64,
-    ) -> Result<(), Refused> {
-        let state = self.all.get(&id).ok_or(Refused::Unknown)?;
-        if state.holder != holder {
-            return Err(Refused::Taken);
+        writer: u64,
+        bytes: u64,
+        checksum: u32,
+        now_secs: u64,
+    ) -> Result<(), UploadError> {
+        let state = self.uploads.get(&id).ok_or(UploadError::Unknown)?;
+        if state.writer != writer {
+            return Err(UploadError::TakenOver);
         }
-        let offset = state.upload.offset + octets;
+        let offset = state.upload.offset + bytes;
         if state.upload.length.is_some_and(|length| offset > length) {
-            return Err(Refused::Long);
+            return Err(UploadError::WrongLength);
         }
-        let (customer, before) = (state.upload.customer.clone(), weight(&state.upload));
-        let more = offset.saturating_sub(before);
-        if !self.fits(&customer, more) {
-            return Err(Refused::Quota);
+        let (tenant, before) = (state.upload.tenant.clone(), quota_bytes(&state.upload));
+        let added = offset.saturating_sub(before);
+        if !self.fits_quotas(&tenant, added) {
+            return Err(UploadError::QuotaExceeded);
         }
-        self.count(&customer, more, 0);
-        let upload = &mut self.all.get_mut(&id).ok_or(Refused::Unknown)?.upload;
-        (upload.offset, upload.sum, upload.touched) = (offset, sum, now);
+        self.adjust_usage(&tenant, added, 0);
+        let upload = &mut self.uploads.get_mut(&id).ok_or(UploadError::Unknown)?.upload;
+        (upload.offset, upload.checksum, upload.updated_secs) = (offset, checksum, now_secs);
         Ok(())
     }
 
-    /// Its holder says that all of it is here; false where fewer octets came than were told.
-    pub fn complete(&mut self, id: UploadId, holder: u64) -> Result<bool, Refused> {
-        let state = self.all.get_mut(&id).ok_or(Refused::Unknown)?;
-        if state.holder != holder {
-            return Err(Refused::Taken);
+    /// Marks an upload as complete. Returns false if fewer bytes were received than announced.
+    ///
+    /// # Errors
+    /// The upload is unknown, or taken over by another writer.
+    pub fn complete(&mut self, id: UploadId, writer: u64) -> Result<bool, UploadError> {
+        let state = self.uploads.get_mut(&id).ok_or(UploadError::Unknown)?;
+        if state.writer != writer {
+            return Err(UploadError::TakenOver);
         }
-        let whole = state.upload.length.is_none_or(|length| length == state.upload.offset);
-        state.upload.whole = whole;
-        Ok(whole)
+        let is_complete = state.upload.length.is_none_or(|length| length == state.upload.offset);
+        state.upload.is_complete = is_complete;
+        Ok(is_complete)
     }
 
-    /// What is to last of how far one is.
-    pub fn moved(&self, id: UploadId) -> Option<Entry> {
-        let Upload { offset, sum, touched, whole, .. } = *self.get(id)?;
-        Some(Entry::Moved { id, offset, sum, touched, whole })
+    /// The log entry for the current offset of an upload.
+    pub fn progress_entry(&self, id: UploadId) -> Option<Entry> {
+        let Upload { offset, checksum, updated_secs, is_complete, .. } = *self.get(id)?;
+        Some(Entry::Advanced { id, offset, checksum, updated_secs, is_complete })
     }
 
-    /// One is over; tells what is to last.
-    pub fn gone(&mut self, id: UploadId) -> Option<Entry> {
-        let state = self.all.remove(&id)?;
-        self.count(&state.upload.customer, 0, weight(&state.upload));
-        Some(Entry::Gone(id))
+    /// Removes an upload, and returns the log entry. Returns `None` if the upload is unknown.
+    pub fn remove(&mut self, id: UploadId) -> Option<Entry> {
+        let state = self.uploads.remove(&id)?;
+        self.adjust_usage(&state.upload.tenant, 0, quota_bytes(&state.upload));
+        Some(Entry::Removed(id))
     }
 
-    /// Those that nobody went on with for too long.
-    pub fn aged(&self, now: u64) -> Vec<UploadId> {
-        let old = |state: &State| state.upload.touched.saturating_add(self.limits.keep) < now;
-        self.all.iter().filter(|(_, state)| old(state)).map(|(id, _)| *id).collect()
+    /// The uploads that nobody has resumed within the expiry time.
+    pub fn expired(&self, now_secs: u64) -> Vec<UploadId> {
+        let is_expired =
+            |state: &State| state.upload.updated_secs.saturating_add(self.limits.expiry_secs) < now_secs;
+        self.uploads.iter().filter(|(_, state)| is_expired(state)).map(|(id, _)| *id).collect()
     }
 
-    /// Takes an entry of the log in.
+    /// Applies an entry of the log.
     pub fn replay(&mut self, entry: Entry) {
         match entry {
-            Entry::Begun(id, upload) => {
-                self.gone(id);
-                self.put(id, upload);
+            Entry::Created(id, upload) => {
+                self.remove(id);
+                self.insert(id, upload);
             }
-            Entry::Moved { id, offset, sum, touched, whole } => {
+            Entry::Advanced { id, offset, checksum, updated_secs, is_complete } => {
                 let Some(mut upload) = self.get(id).cloned() else { return };
-                (upload.offset, upload.sum, upload.touched, upload.whole) = (offset, sum, touched, whole);
-                self.gone(id);
-                self.put(id, upload);
+                (upload.offset, upload.checksum, upload.updated_secs, upload.is_complete) =
+                    (offset, checksum, updated_secs, is_complete);
+                self.remove(id);
+                self.insert(id, upload);
             }
-            Entry::Gone(id) => {
-                self.gone(id);
+            Entry::Removed(id) => {
+                self.remove(id);
             }
         }
     }
 
-    /// All that is to last, as entries.
+    /// Entries from which [`replay`](Self::replay) restores the current uploads.
     pub fn snapshot(&self) -> Vec<Entry> {
-        self.all.iter().map(|(id, state)| Entry::Begun(*id, state.upload.clone())).collect()
+        self.uploads.iter().map(|(id, state)| Entry::Created(*id, state.upload.clone())).collect()
     }
 
-    /// The names of all.
+    /// The ids of all uploads.
     pub fn ids(&self) -> Vec<UploadId> {
-        self.all.keys().copied().collect()
+        self.uploads.keys().copied().collect()
     }
 
-    /// What all keep together.
-    pub fn sum(&self) -> u64 {
-        self.sum
+    /// The bytes that all uploads together count for in the quotas.
+    pub fn total_bytes(&self) -> u64 {
+        self.total_bytes
     }
 }
--- a/crates/core/flow/src/upstream_selector.rs
+++ b/crates/core/flow/src/upstream_selector.rs
@@ -1,99 +1,115 @@
-//! Which upstream takes the next stream: of two picked by chance the one with the least outstanding octets over its
-//! learned rate. Source of the two choices: M. Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing"
-//! (1996). One that fails again and again is left out for a span that grows, but never more than a share of them all,
-//! and comes back with few streams at first.
+//! Selects the upstream for the next request: of two upstreams drawn at random, the one with the shorter expected
+//! drain time, which is its outstanding bytes divided by its learned rate. Source: M. Mitzenmacher, "The Power of Two
+//! Choices in Randomized Load Balancing" (1996).
+//!
+//! An upstream that fails several times in a row is ejected for a time that grows with each ejection, as
+//! [`OutlierDetector`] decides. At most a configured fraction of the upstreams is ejected at once. After its ejection an
+//! upstream gets one request at a time until enough have succeeded.
 
 use lynxtally::{Instant, Pcg, Span};
 use lynxtally_retry::{OutlierDetector, OutlierLimits};
 
 #[derive(Clone, Debug)]
 struct Upstream {
-    outstanding: u64,
-    streams: u32,
-    /// Octets a second, learned; 0 where nothing is known.
+    outstanding_bytes: u64,
+    requests: u32,
+    /// Learned transfer rate in bytes per second; 0 while no request has succeeded.
     rate: f64,
 }
 
-/// The upstreams.
+/// Selects upstreams, and records how the requests that they got have ended.
 #[derive(Clone, Debug)]
-pub struct Upstreams {
+pub struct UpstreamSelector {
     outliers: OutlierDetector,
-    all: Vec<Upstream>,
-    chance: Pcg,
+    upstreams: Vec<Upstream>,
+    random: Pcg,
 }
 
-const GAIN: f64 = 0.125;
+/// Weight of a new sample in the moving average of an upstream's rate.
+const RATE_GAIN: f64 = 0.125;
 
-impl Upstreams {
-    /// So many, all well.
+impl UpstreamSelector {
+    /// Creates a selector for `count` upstreams, none of them ejected.
     pub fn new(count: usize, limits: OutlierLimits, seed: u64) -> Self {
-        let one = Upstream { outstanding: 0, streams: 0, rate: 0.0 };
-        Self { outliers: OutlierDetector::new(count, limits), all: vec![one; count], chance: Pcg::new(seed) }
+        let idle = Upstream { outstanding_bytes: 0, requests: 0, rate: 0.0 };
+        Self {
+            outliers: OutlierDetector::new(count, limits),
+            upstreams: vec![idle; count],
+            random: Pcg::new(seed),
+        }
     }
 
-    fn fit(&self, now: Instant, n: usize) -> bool {
-        !self.outliers.is_ejected(now, n) && (!self.outliers.is_on_probation(n) || self.all[n].streams == 0)
+    fn is_eligible(&self, now: Instant, index: usize) -> bool {
+        !self.outliers.is_ejected(now, index)
+            && (!self.outliers.is_on_probation(index) || self.upstreams[index].requests == 0)
     }
 
-    /// How long an upstream would take for what it has, in seconds; one that is not known is taken for the mean.
-    fn wait(&self, n: usize) -> f64 {
-        let known = self.all.iter().filter(|one| one.rate > 0.0);
-        let (sum, count) = known.fold((0.0, 0.0), |(sum, count), one| (sum + one.rate, count + 1.0));
+    /// The expected time in seconds until an upstream has transferred what is outstanding. An upstream whose rate is
+    /// unknown is taken to have the mean of the known rates.
+    fn drain_seconds(&self, index: usize) -> f64 {
+        let known = self.upstreams.iter().filter(|upstream| upstream.rate > 0.0);
+        let (sum, count) =
+            known.fold((0.0, 0.0), |(sum, count), upstream| (sum + upstream.rate, count + 1.0));
         let mean = if count > 0.0 { sum / count } else { 1.0 };
-        let one = &self.all[n];
-        let rate = if one.rate > 0.0 { one.rate } else { mean };
-        (one.outstanding as f64 + f64::from(one.streams)) / rate
+        let upstream = &self.upstreams[index];
+        let rate = if upstream.rate > 0.0 { upstream.rate } else { mean };
+        (upstream.outstanding_bytes as f64 + f64::from(upstream.requests)) / rate
     }
 
-    /// The one that takes the next stream, but for those in `not`; none where there is no other.
-    pub fn choose(&mut self, now: Instant, not: &[usize]) -> Option<usize> {
-        let fit: Vec<usize> = (0..self.all.len()).filter(|n| !not.contains(n) && self.fit(now, *n)).collect();
-        let pick = |chance: &mut Pcg, from: usize| (chance.unit() * from as f64) as usize;
-        let chosen = match fit.len() {
+    /// Selects an upstream that is not in `excluded`, and counts the request as running there. Returns `None` if no
+    /// upstream is eligible.
+    pub fn choose(&mut self, now: Instant, excluded: &[usize]) -> Option<usize> {
+        let eligible: Vec<usize> = (0..self.upstreams.len())
+            .filter(|index| !excluded.contains(index) && self.is_eligible(now, *index))
+            .collect();
+        let draw_below = |random: &mut Pcg, bound: usize| (random.unit() * bound as f64) as usize;
+        let chosen = match eligible.len() {
             0 => return None,
-            1 => fit[0],
+            1 => eligible[0],
             count => {
-                let a = pick(&mut self.chance, count);
-                let b = (a + 1 + pick(&mut self.chance, count - 1)) % count;
-                let (a, b) = (fit[a], fit[b]);
-                if self.wait(a) <= self.wait(b) {
-                    a
+                let first = draw_below(&mut self.random, count);
+                let second = (first + 1 + draw_below(&mut self.random, count - 1)) % count;
+                let (first, second) = (eligible[first], eligible[second]);
+                if self.drain_seconds(first) <= self.drain_seconds(second) {
+                    first
                 } else {
-                    b
+                    second
                 }
             }
         };
-        self.all[chosen].streams += 1;
+        self.upstreams[chosen].requests += 1;
         Some(chosen)
     }
 
-    /// Whether there is one that could take a stream, but for those in `not`.
-    pub fn any(&self, now: Instant, not: &[usize]) -> bool {
-        (0..self.all.len()).any(|n| !not.contains(&n) && self.fit(now, n))
+    /// Whether any upstream that is not in `excluded` is eligible.
+    pub fn has_eligible(&self, now: Instant, excluded: &[usize]) -> bool {
+        (0..self.upstreams.len()).any(|index| !excluded.contains(&index) && self.is_eligible(now, index))
     }
 
-    /// So many more octets wait for an upstream, or fewer.
-    pub fn outstanding(&mut self, n: usize, more: u64, fewer: u64) {
-        self.all[n].outstanding = (self.all[n].outstanding + more).saturating_sub(fewer);
+    /// Adds `added` bytes to those outstanding at an upstream, and subtracts `removed`.
+    pub fn adjust_outstanding(&mut self, index: usize, added: u64, removed: u64) {
+        let outstanding = &mut self.upstreams[index].outstanding_bytes;
+        *outstanding = (*outstanding + added).saturating_sub(removed);
     }
 
-    /// A stream ended well: so many octets in so long.
-    pub fn succeeded(&mut self, n: usize, octets: u64, took: Span) {
-        let one = &mut self.all[n];
-        one.streams = one.streams.saturating_sub(1);
-        let rate = octets as f64 / took.secs().max(1e-6);
-        one.rate = if one.rate > 0.0 { one.rate + (rate - one.rate) * GAIN } else { rate };
-        self.outliers.record_success(n);
+    /// Records a request that succeeded, with the bytes that it transferred and the time that it took.
+    pub fn record_success(&mut self, index: usize, bytes: u64, elapsed: Span) {
+        let upstream = &mut self.upstreams[index];
+        upstream.requests = upstream.requests.saturating_sub(1);
+        let rate = bytes as f64 / elapsed.secs().max(1e-6);
+        upstream.rate =
+            if upstream.rate > 0.0 { upstream.rate + (rate - upstream.rate) * RATE_GAIN } else { rate };
+        self.outliers.record_success(index);
     }
 
-    /// A stream ended by nobody's fault that is known: its client went, or its time ran out.
-    pub fn ended(&mut self, n: usize) {
-        self.all[n].streams = self.all[n].streams.saturating_sub(1);
+    /// Records a request whose end says nothing about the upstream: its client left, or its deadline passed.
+    pub fn record_neutral_end(&mut self, index: usize) {
+        self.upstreams[index].requests = self.upstreams[index].requests.saturating_sub(1);
     }
 
-    /// A stream failed by the upstream's fault; tells whether it is left out from now on.
-    pub fn failed(&mut self, now: Instant, n: usize) -> bool {
-        self.ended(n);
-        self.outliers.record_failure(now, n)
+    /// Records a request that failed through the upstream's fault, and returns whether the upstream is ejected now.
+    pub fn record_failure(&mut self, now: Instant, index: usize) -> bool {
+        self.record_neutral_end(index);
+        self.outliers.record_failure(now, index)
     }
 }
--- a/crates/frontends/stream/src/body_framing.rs
+++ b/crates/frontends/stream/src/body_framing.rs
@@ -1,5 +1,5 @@
-//! Framing of message bodies (RFC 9112 sections 6 and 7): a decoder that finds the end of a body however its bytes are
-//! split into reads, and an encoder that frames a body anew.
+//! Framing of message bodies (RFC 9112 sections 6 and 7): a decoder that finds the end of a body however its
+//! bytes are split into reads, and an encoder that frames a body for its receiver.
 
 use crate::http::{Field, Framing, MessageError};
 use std::io::Write;
@@ -7,7 +7,8 @@
 /// The longest extension of one chunk.
 const MAX_EXTENSION_BYTES: usize = 256;
 
-/// The most that the extensions of all chunks of a body may have together.
+/// The most that the extensions of all chunks of a body may have together. It is limited so that a body
+/// cannot consist mainly of extensions, which are read and dropped.
 const MAX_TOTAL_EXTENSION_BYTES: usize = 16 * 1024;
 
 /// The largest trailer section.
@@ -16,43 +17,43 @@
 /// The most fields in a trailer section.
 const MAX_TRAILER_FIELDS: usize = 32;
 
-/// The most digits of a chunk size: enough for any size that can be counted, leading zeros included.
+/// The most digits of a chunk size, leading zeros included: enough for any 64-bit size.
 const MAX_SIZE_DIGITS: u8 = 16;
 
-/// The largest chunk size to which one more hexadecimal digit can be added.
+/// The largest chunk size to which one more hexadecimal digit can be added without overflow.
 const MAX_SIZE_BEFORE_DIGIT: u64 = (i64::MAX as u64) >> 4;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// In a body of known length: so many bytes are left.
+    /// Inside a body of known length, with this many bytes left.
     Length(u64),
-    /// In a body that ends when the connection does.
+    /// Inside a body that ends when its connection does.
     UntilClose,
-    /// In the size of a chunk.
+    /// Inside the size of a chunk.
     ChunkSize { value: u64, digits: u8 },
-    /// In the extensions of a chunk, behind its size.
+    /// Inside the extensions of a chunk, after its size.
     Extension { length: usize },
-    /// At the line feed that ends the line of a chunk's size.
+    /// Before the line feed that ends the size line of a chunk.
     SizeLineFeed,
-    /// In a chunk: so many bytes are left.
+    /// Inside the data of a chunk, with this many bytes left.
     ChunkData(u64),
-    /// At the carriage return behind a chunk.
+    /// Before the carriage return after the data of a chunk.
     DataCarriageReturn,
-    /// At the line feed behind a chunk.
+    /// Before the line feed after the data of a chunk.
     DataLineFeed,
-    /// In the trailer section.
+    /// Inside the trailer section.
     Trailers,
-    /// Past the end of the body.
+    /// After the end of the body.
     Done,
 }
 
-/// Finds the end of a body, and tells its bytes from those that frame it.
+/// Finds the end of a body, and separates the bytes of the body from those of its framing.
 ///
 /// Its caller alternates between [`skip_framing`](Self::skip_framing) and [`consume`](Self::consume).
 #[derive(Clone, Debug)]
 pub struct BodyDecoder {
     state: State,
-    /// The size of the chunk whose size line was read last.
+    /// The size of the current chunk.
     chunk_size: u64,
     /// Bytes of the extensions of all chunks so far.
     total_extension_bytes: usize,
@@ -61,7 +62,7 @@
 }
 
 impl BodyDecoder {
-    /// A decoder for a body in this framing.
+    /// Creates a decoder for a body in this framing.
     pub fn new(framing: Framing) -> Self {
         let state = match framing {
             Framing::Empty | Framing::Length(0) => State::Done,
@@ -83,17 +84,18 @@
         self.state == State::Done
     }
 
-    /// Whether the bytes of the body arrive without framing between them.
+    /// Whether the bytes of the body arrive without framing in between.
     pub fn is_unframed(&self) -> bool {
         matches!(self.state, State::Length(_) | State::UntilClose)
     }
 
-    /// Takes the fields of the trailer section.
+    /// Takes the fields of the trailer section out of the decoder.
     pub fn take_trailers(&mut self) -> Vec<Field> {
         std::mem::take(&mut self.trailers)
     }
 
-    /// Reads framing up to the next byte of the body, or up to its end, and returns how many bytes that were.
+    /// Reads framing up to the next byte of the body, or to the end of the body, and returns the number of
+    /// bytes read.
     ///
     /// # Errors
     /// What is wrong with the framing, or which limit it exceeds.
@@ -166,7 +168,7 @@
         Ok(State::Trailers)
     }
 
-    /// How many of the next `length` bytes, behind the framing that was skipped, belong to the body.
+    /// How many of the next `length` bytes after the skipped framing belong to the body.
     pub fn available(&self, length: usize) -> usize {
         match self.state {
             State::Length(left) | State::ChunkData(left) => left.min(length as u64) as usize,
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Counts bytes of the body as read; no more than are [`available`](Self::available).
+    /// Counts bytes of the body as read. They must not exceed what is [`available`](Self::available).
     pub fn consume(&mut self, count: usize) {
         self.state = match self.state {
             State::Length(left) if left == count as u64 => State::Done,
@@ -186,7 +188,7 @@
         };
     }
 
-    /// Notes that the sender sends no more, and returns whether the body is complete.
+    /// Handles the end of the sender's connection, and returns whether the body is complete.
     pub fn end_of_input(&mut self) -> bool {
         if self.state == State::UntilClose {
             self.state = State::Done;
@@ -195,7 +197,8 @@
     }
 }
 
-/// Fields that would change how a message is read are not allowed in its trailer section (RFC 9110 section 6.5.1).
+/// Fields that are dropped from trailer sections, because they would change how the message is read (RFC 9110
+/// section 6.5.1).
 const FORBIDDEN_TRAILERS: [&str; 9] = [
     "content-length",
     "transfer-encoding",
@@ -208,7 +211,7 @@
     "content-range",
 ];
 
-/// The fields of a trailer section, without those that are not allowed there.
+/// Parses a trailer section, and leaves out the forbidden fields.
 fn parse_trailers(section: &[u8]) -> Result<Vec<Field>, MessageError> {
     let mut buffer = [httparse::EMPTY_HEADER; MAX_TRAILER_FIELDS];
     let Ok(httparse::Status::Complete((_, fields))) = httparse::parse_headers(section, &mut buffer) else {
@@ -220,16 +223,16 @@
     Ok(allowed.map(|field| (field.name.to_owned(), field.value.to_vec())).collect())
 }
 
-/// Frames a body.
+/// Frames a body for its receiver.
 #[derive(Clone, Debug)]
 pub struct BodyEncoder {
     framing: Framing,
-    /// Bytes still to be written, where the length of the body was announced; else 0.
+    /// Bytes that still have to be written if the length of the body was announced; otherwise 0.
     announced_bytes_left: u64,
 }
 
 impl BodyEncoder {
-    /// An encoder for this framing.
+    /// Creates an encoder for this framing.
     pub fn new(framing: Framing) -> Self {
         let announced_bytes_left = match framing {
             Framing::Length(length) => length,
@@ -238,17 +241,17 @@
         Self { framing, announced_bytes_left }
     }
 
-    /// Whether the bytes of the body leave without framing between them.
+    /// Whether the bytes of the body leave without framing in between.
     pub fn is_unframed(&self) -> bool {
         matches!(self.framing, Framing::Length(_) | Framing::Close)
     }
 
-    /// Counts bytes of the body that were sent past this encoder.
+    /// Counts bytes of the body that were sent without passing through this encoder.
     pub fn record_passthrough(&mut self, count: usize) {
         self.announced_bytes_left = self.announced_bytes_left.saturating_sub(count as u64);
     }
 
-    /// Appends bytes of the body to `out`, framed.
+    /// Appends bytes of the body to `out`, with their framing.
     pub fn write(&mut self, data: &[u8], out: &mut Vec<u8>) {
         self.record_passthrough(data.len());
         match self.framing {
@@ -265,7 +268,7 @@
         }
     }
 
-    /// Appends the end of the body to `out`. Only after this does the body look complete to its receiver.
+    /// Appends the end of the body to `out`. Without it, the body does not look complete to its receiver.
     ///
     /// # Errors
     /// [`MessageError::InvalidLength`] if fewer bytes were written than announced.
--- a/crates/frontends/stream/src/body_pipe.rs
+++ b/crates/frontends/stream/src/body_pipe.rs
@@ -1,8 +1,8 @@
-//! One direction of a proxied body: bytes arrive in one framing and leave in another, with their content coding changed
-//! between where that is wanted.
+//! One direction of a proxied body: bytes arrive in one framing and leave in another, and their content
+//! coding is changed in between if needed.
 //!
-//! The pipe holds what its receiver has not taken yet. Its caller reads no more from the sender than there is room for,
-//! so a slow receiver slows the sender down.
+//! The pipe holds the bytes that its receiver has not taken yet. Its caller reads from the sender no more
+//! than there is room for, so a slow receiver slows the sender down.
 
 use crate::body_framing::{BodyDecoder, BodyEncoder};
 use crate::content_coder::ContentCoder;
@@ -14,23 +14,23 @@
     decoder: BodyDecoder,
     coder: ContentCoder,
     encoder: BodyEncoder,
-    /// Input that could not be decoded yet for want of room.
+    /// Input that is not decoded yet because there is no room for its output.
     undecoded: Vec<u8>,
-    /// What is to be written to the receiver.
+    /// Framed bytes that wait to be written to the receiver.
     pub out: OutputBuffer,
-    /// A copy of the body as it went into the encoder, for a retry, while it is kept.
+    /// A copy of the body before framing, kept for a retry. `None` if none is kept.
     replay_copy: Option<Vec<u8>>,
     trailers: Vec<Field>,
     /// Bytes of the body received, without framing.
     received_bytes: u64,
-    /// Bytes of the body that went into the encoder.
+    /// Bytes of the body after content coding and before framing.
     encoded_bytes: u64,
-    /// Whether the whole body was received and its end is in `out`.
+    /// Whether the whole body was received and its end was appended to `out`.
     complete: bool,
 }
 
 impl BodyPipe {
-    /// A body that arrives in the framing `from` and leaves in the framing `to`.
+    /// Creates a pipe for a body that arrives in the framing `from` and leaves in the framing `to`.
     pub fn new(from: Framing, to: Framing, coder: ContentCoder) -> Self {
         Self {
             decoder: BodyDecoder::new(from),
@@ -46,17 +46,17 @@
         }
     }
 
-    /// Keeps a copy of the body from now on, so that it can be sent again.
+    /// Starts to keep a copy of the body, so that it can be sent again.
     pub fn keep_copy(&mut self) {
         self.replay_copy = Some(Vec::new());
     }
 
-    /// The copy of the body so far, or none if it is not kept.
+    /// The copy of the body so far, or `None` if none is kept.
     pub fn kept_copy(&self) -> Option<&[u8]> {
         self.replay_copy.as_deref()
     }
 
-    /// Drops the copy: the body cannot be sent again.
+    /// Drops the copy. The body cannot be sent again after this.
     pub fn drop_copy(&mut self) {
         self.replay_copy = None;
     }
@@ -66,7 +66,7 @@
         self.received_bytes
     }
 
-    /// Bytes of the body on their way out, after content coding and before framing.
+    /// Bytes of the body after content coding and before framing.
     pub fn encoded_bytes(&self) -> u64 {
         self.encoded_bytes
     }
@@ -81,17 +81,18 @@
         self.complete && self.out.is_empty()
     }
 
-    /// Bytes held here, decoded or not; the copy for a retry is not among them.
+    /// Bytes held here, decoded or not, without the copy for a retry.
     pub fn buffered_bytes(&self) -> u64 {
         (self.out.len() + self.undecoded.len()) as u64
     }
 
-    /// Whether input waits to be decoded. Until then no more may be received.
+    /// Whether input waits to be decoded. While it does, no more input may be received.
     pub fn has_undecoded(&self) -> bool {
         !self.undecoded.is_empty()
     }
 
-    /// How many of the next `length` bytes of input may go to the receiver as they are, without being copied here.
+    /// How many of the next `length` bytes of input may be written to the receiver unchanged, without passing
+    /// through the pipe.
     pub fn passthrough_length(&self, length: usize) -> usize {
         let unchanged = self.coder.is_identity() && self.replay_copy.is_none();
         let unframed = self.decoder.is_unframed() && self.encoder.is_unframed();
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Counts bytes that went to the receiver as they were.
+    /// Counts bytes that were written to the receiver unchanged.
     ///
     /// # Errors
     /// [`MessageError::InvalidLength`] if the body ends here and is shorter than its framing said.
@@ -115,8 +116,8 @@
         self.finish_at_end()
     }
 
-    /// Receives input while no more than `room` bytes wait, and returns how many bytes of it are used. These are fewer
-    /// than all only past the end of the body: input that cannot be decoded yet is kept.
+    /// Receives input, decodes it until `room` bytes wait, and returns how many bytes of it are used. All are
+    /// used except bytes behind the end of the body: input that cannot be decoded yet is kept.
     ///
     /// # Errors
     /// What is wrong with the framing or the content coding of the body.
@@ -130,7 +131,7 @@
         Ok(used)
     }
 
-    /// Decodes more of the input that waits.
+    /// Decodes more of the waiting input, until `room` bytes wait.
     ///
     /// # Errors
     /// As for [`Self::receive`].
@@ -165,7 +166,8 @@
         Ok(used)
     }
 
-    /// Takes as much of the body as there is room for; all of it where its size does not change.
+    /// Passes data through the content coder until `room` bytes wait, and returns how many bytes were taken.
+    /// Without a content coding all data is taken, because its size does not change.
     fn code(&mut self, data: &[u8], room: usize) -> Result<usize, MessageError> {
         if self.coder.is_identity() {
             self.encode(data);
@@ -188,7 +190,7 @@
         self.encoder.write(data, self.out.append_to());
     }
 
-    /// Ends the outgoing body where the incoming one has ended.
+    /// Ends the outgoing body if the incoming one has ended.
     fn finish_at_end(&mut self) -> Result<(), MessageError> {
         if !self.decoder.is_done() || self.complete {
             return Ok(());
@@ -202,10 +204,10 @@
         Ok(())
     }
 
-    /// Sends out what the content coding holds back, when no input is there for now.
+    /// Sends out what the content coder holds back, so that it does not wait for the next input.
     ///
     /// # Errors
-    /// [`MessageError::CorruptCoding`] if the body so far is not in its coding.
+    /// [`MessageError::CorruptCoding`] if the body so far is not valid in its coding.
     pub fn flush(&mut self) -> Result<(), MessageError> {
         if self.complete || self.coder.is_identity() {
             return Ok(());
@@ -216,7 +218,7 @@
         Ok(())
     }
 
-    /// Notes that the sender sends no more, and returns whether the body is complete.
+    /// Handles the end of the sender's connection, and returns whether the body is complete.
     ///
     /// # Errors
     /// What is wrong with the end of the body.
@@ -227,20 +229,22 @@
         Ok(self.complete)
     }
 
-    /// Starts the body: an empty one is complete at once.
+    /// Starts the body; an empty body is complete at once.
     ///
     /// # Errors
-    /// [`MessageError::InvalidLength`] if the outgoing framing promised bytes that an empty body does not have.
+    /// [`MessageError::InvalidLength`] if the outgoing framing announced bytes that an empty body does not
+    /// have.
     pub fn start(&mut self) -> Result<(), MessageError> {
         self.finish_at_end()
     }
 
-    /// Takes the rest of the body from another sender, in the framing `from`.
+    /// Receives the rest of the body from another sender, in the framing `from`.
     pub fn resume_from(&mut self, from: Framing) {
         self.decoder = BodyDecoder::new(from);
     }
 
-    /// Sends the body again: what waited is dropped, and the copy goes out behind `head`, in the framing `to`.
+    /// Starts the output again, for another receiver: drops waiting output, and appends `head` and then the
+    /// copy of the body in the framing `to`.
     pub fn replay(&mut self, head: &[u8], to: Framing) {
         self.out = OutputBuffer::default();
         self.out.append_to().extend_from_slice(head);
--- a/crates/frontends/stream/src/content_coder.rs
+++ b/crates/frontends/stream/src/content_coder.rs
@@ -1,31 +1,33 @@
-//! Content coding of a body as it passes: gzip (RFC 1952) and zstd (RFC 8878), encoded or decoded a step at a time.
+//! Streaming content coding of a body: gzip (RFC 1952) and zstd (RFC 8878), encoded or decoded step by step.
 //!
-//! Memory is bounded three ways: by the window of the coding, by the most that one step may produce, and by a limit on
-//! how far a body may grow when it is decoded, so that a small body cannot expand without end (a decompression bomb).
+//! Memory is limited in three ways: by the window of the coding, by the output of one step, and by a limit on
+//! how far a body may grow when it is decoded, so that a small body cannot expand without end (a
+//! decompression bomb).
 
 use crate::http::MessageError;
 use flate2::write::{GzDecoder, GzEncoder};
 use flate2::Compression;
-use lynxtally_flow::coding::{Coding, Growth};
+use lynxtally_flow::coding::{Coding, GrowthLimit};
 use std::io::Write;
 use zstd::stream::raw::{DParameter, Decoder as RawZstdDecoder, InBuffer, Operation, OutBuffer};
 use zstd::stream::write::Encoder as ZstdEncoder;
 
-/// The most that one step of zstd decoding produces.
+/// The most bytes that one step of zstd decoding produces.
 const MAX_STEP_BYTES: usize = 32 * 1024;
 
-/// Window of the bodies that are encoded here, as a power of two.
+/// The zstd window for encoding, as a power of two.
 const ENCODE_WINDOW_LOG: u32 = 17;
 
-/// The largest window that is decoded, as a power of two. RFC 9659 section 3 lets encoders use 23; memory is bounded
-/// at a quarter of that.
+/// The largest zstd window that is accepted for decoding, as a power of two. RFC 9659 section 3 allows
+/// encoders 23; a quarter of that bounds the memory of a decoder.
 const MAX_DECODE_WINDOW_LOG: u32 = 21;
 
-/// The fastest level: the time to encode matters more here than the last byte saved.
+/// The fastest level: encoding time matters more to a proxy than the best ratio.
 const ZSTD_LEVEL: i32 = 1;
 
 /// A growth limit that allows everything.
-const UNLIMITED_GROWTH: Growth = Growth { ratio: f64::INFINITY, slack: u64::MAX };
+const UNLIMITED_GROWTH: GrowthLimit =
+    GrowthLimit { max_ratio: f64::INFINITY, always_allowed_bytes: u64::MAX };
 
 enum Transform {
     Identity,
@@ -38,7 +40,7 @@
 /// Encodes or decodes the content coding of one body.
 pub struct ContentCoder {
     transform: Transform,
-    growth_limit: Growth,
+    growth_limit: GrowthLimit,
     input_bytes: u64,
     output_bytes: u64,
     /// Whether input was taken since the last flush.
@@ -46,15 +48,15 @@
 }
 
 impl ContentCoder {
-    /// Passes bytes on unchanged.
+    /// Creates a coder that passes bytes through unchanged.
     pub fn identity() -> Self {
         Self::new(Transform::Identity, UNLIMITED_GROWTH)
     }
 
-    /// Encodes a body.
+    /// Creates a coder that encodes a body.
     ///
     /// # Errors
-    /// [`MessageError::UnsupportedCoding`] if the library refuses its parameters.
+    /// [`MessageError::UnsupportedCoding`] if the library rejects the parameters.
     pub fn encoder(coding: Coding) -> Result<Self, MessageError> {
         let transform = match coding {
             Coding::Identity => Transform::Identity,
@@ -69,11 +71,11 @@
         Ok(Self::new(transform, UNLIMITED_GROWTH))
     }
 
-    /// Decodes a body, which may grow only as far as `growth_limit` allows.
+    /// Creates a coder that decodes a body, which may grow only as far as `growth_limit` allows.
     ///
     /// # Errors
-    /// [`MessageError::UnsupportedCoding`] if the library refuses its parameters.
-    pub fn decoder(coding: Coding, growth_limit: Growth) -> Result<Self, MessageError> {
+    /// [`MessageError::UnsupportedCoding`] if the library rejects the parameters.
+    pub fn decoder(coding: Coding, growth_limit: GrowthLimit) -> Result<Self, MessageError> {
         let transform = match coding {
             Coding::Identity => Transform::Identity,
             Coding::Gzip => Transform::GzipDecode(Box::new(GzDecoder::new(Vec::new()))),
@@ -82,24 +84,25 @@
         Ok(Self::new(transform, growth_limit))
     }
 
-    fn new(transform: Transform, growth_limit: Growth) -> Self {
+    fn new(transform: Transform, growth_limit: GrowthLimit) -> Self {
         Self { transform, growth_limit, input_bytes: 0, output_bytes: 0, needs_flush: false }
     }
 
-    /// Whether bytes pass unchanged.
+    /// Whether bytes pass through unchanged.
     pub fn is_identity(&self) -> bool {
         matches!(self.transform, Transform::Identity)
     }
 
-    /// Takes some of `data`, appends what it becomes to `out`, and returns how many bytes it took.
+    /// Codes some of `data`, appends the result to `out`, and returns how many bytes of `data` were taken.
     ///
     /// # Errors
-    /// [`MessageError::CorruptCoding`] if the data is not in its coding, [`MessageError::ExpandsTooFar`] if the body grows past its limit.
+    /// [`MessageError::CorruptCoding`] if the data is not valid in its coding,
+    /// [`MessageError::ExpandsTooFar`] if the body grows beyond its limit.
     pub fn step(&mut self, data: &[u8], out: &mut Vec<u8>) -> Result<usize, MessageError> {
         let length_before = out.len();
         let taken = self.transform.step(data, out)?;
         let produced = out.len() - length_before;
-        // A decoder that neither takes nor produces anything would be called for ever.
+        // A decoder that neither takes nor produces anything would be called forever.
         if taken == 0 && produced == 0 && !data.is_empty() {
             return Err(MessageError::CorruptCoding);
         }
@@ -113,10 +116,10 @@
         }
     }
 
-    /// Appends what the coding holds back, so that a slow body reaches its receiver without waiting for its end.
+    /// Appends what the coder holds back, so that a slow body reaches its receiver before it ends.
     ///
     /// # Errors
-    /// [`MessageError::CorruptCoding`] if the data so far is not in its coding.
+    /// [`MessageError::CorruptCoding`] if the data so far is not valid in its coding.
     pub fn flush(&mut self, out: &mut Vec<u8>) -> Result<(), MessageError> {
         if !self.needs_flush {
             return Ok(());
@@ -140,10 +143,10 @@
         Ok(())
     }
 
-    /// Appends the rest, at the end of the body.
+    /// Appends the rest of the output at the end of the body.
     ///
     /// # Errors
-    /// [`MessageError::CorruptCoding`] if the coding says that the body is not complete.
+    /// [`MessageError::CorruptCoding`] if the body ends in the middle of its coding.
     pub fn finish(&mut self, out: &mut Vec<u8>) -> Result<(), MessageError> {
         match &mut self.transform {
             Transform::Identity => {}
@@ -196,7 +199,7 @@
     }
 }
 
-/// A zstd decoder whose window and step are bounded.
+/// A zstd decoder with a limited window and limited output per step.
 struct ZstdDecoder {
     decoder: Box<RawZstdDecoder<'static>>,
     /// Whether the input so far ends with a complete frame, or is empty.
--- a/crates/frontends/stream/src/http/error.rs
+++ b/crates/frontends/stream/src/http/error.rs
@@ -1,54 +1,55 @@
-//! Why a message cannot be taken, and the response that says so.
+//! Errors of parsing messages, and the status codes of the responses that report them.
 
 use std::fmt;
 
-/// Why a message cannot be taken. The text goes into the body of the response.
+/// Why a message is refused. The text is sent in the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageError {
     /// The head cannot be parsed.
     InvalidHead,
-    /// The head is larger than is taken.
+    /// The head is larger than [`MAX_HEAD_BYTES`](super::MAX_HEAD_BYTES) or has too many fields.
     HeadTooLarge,
-    /// The length of the body is given twice, in two ways, or not as a number; or the body is shorter or longer.
+    /// The length of the body is given more than once or is not a number, or the body has another length.
     InvalidLength,
-    /// The body has a transfer or content coding that is not taken.
+    /// The transfer or content coding of the body is not supported.
     UnsupportedCoding,
-    /// The content coding of the body is broken, or ends too early.
+    /// The body is not valid in its content coding, or ends in the middle of it.
     CorruptCoding,
-    /// The body grows too far when it is decoded: a decompression bomb.
+    /// The body grows beyond its limit when it is decoded: a decompression bomb.
     ExpandsTooFar,
-    /// The size of a chunk is no number, or too large to be counted.
+    /// The size of a chunk is not a number, or is too large for 64 bits.
     InvalidChunkSize,
-    /// A chunk is not framed as it must be.
+    /// The data of a chunk is not followed by CRLF.
     InvalidChunk,
-    /// The extensions of chunks cannot be parsed, or are too long.
+    /// Chunk extensions cannot be parsed, or exceed their limit.
     InvalidExtension,
     /// The trailer section cannot be parsed, or is too large.
     InvalidTrailer,
-    /// No host is named, or more than one.
+    /// The `Host` field is missing, or is given more than once.
     InvalidHost,
     /// The method is not allowed.
     MethodNotAllowed,
-    /// The target cannot be parsed.
+    /// The request target cannot be parsed.
     InvalidTarget,
-    /// A field that is read here cannot be parsed, or is given twice, or is missing.
+    /// A field that the proxy reads cannot be parsed, is given more than once, or is missing.
     InvalidField(&'static str),
     /// No request class matches the method and path.
     NoMatchingClass,
-    /// The `Expect` field names an expectation that is not met here.
+    /// The `Expect` field names an unknown expectation.
     UnknownExpectation,
-    /// The body is larger than its request class takes.
+    /// The body is larger than its request class allows.
     BodyTooLarge,
-    /// An upload is resumed from another offset than the one it has.
+    /// The offset given is not the current offset of the upload, or another request has taken the upload
+    /// over.
     OffsetMismatch,
-    /// No upload is known by this name.
+    /// No upload has this id.
     UnknownUpload,
-    /// A tenant, or all together, have as many bytes archived as they may.
+    /// The uploads of the tenant, or all uploads together, would exceed their quota.
     QuotaExceeded,
 }
 
 impl MessageError {
-    /// The status of the response.
+    /// The status code of the response.
     pub fn status(self) -> u16 {
         match self {
             Self::NoMatchingClass | Self::UnknownUpload => 404,
@@ -69,7 +70,7 @@
         f.write_str(match self {
             Self::InvalidHead => "the head can't be read",
             Self::HeadTooLarge => "the head is too large",
-            Self::InvalidLength => "the length is told twice, in two ways, or is no number",
+            Self::InvalidLength => "the length is given twice, in two ways, or is not a number",
             Self::UnsupportedCoding => "the body's coding is not taken",
             Self::CorruptCoding => "the body's coding is broken",
             Self::ExpandsTooFar => "the body becomes too large",
@@ -78,15 +79,15 @@
             Self::InvalidExtension => "extensions of chunks take too much room",
             Self::InvalidTrailer => "the fields after the body can't be read",
             Self::InvalidHost => "one host has to be named",
-            Self::MethodNotAllowed => "nothing is done by this method",
+            Self::MethodNotAllowed => "this method is not allowed",
             Self::InvalidTarget => "the target can't be read",
             Self::InvalidField(name) => return write!(f, "`{name}` can't be read"),
             Self::NoMatchingClass => "nothing is found under this path",
             Self::UnknownExpectation => "the expectation can't be met",
             Self::BodyTooLarge => "the body is too large",
-            Self::OffsetMismatch => "the upload stands at another place",
+            Self::OffsetMismatch => "the upload has another offset",
             Self::UnknownUpload => "no upload is known by this name",
-            Self::QuotaExceeded => "as much as may be is kept already",
+            Self::QuotaExceeded => "the storage quota for uploads is used up",
         })
     }
 }
--- a/crates/frontends/stream/src/http/fields.rs
+++ b/crates/frontends/stream/src/http/fields.rs
@@ -1,17 +1,19 @@
-//! The fields of a head: those that are read here, each checked and typed, and those that are forwarded.
+//! The header fields of a message: those that the proxy reads, each checked and typed, and those that it
+//! forwards.
 
 use super::{Field, MessageError};
-use lynxtally_flow::coding::{accepted, Coding};
-use lynxtally_flow::resume::{part, strong};
+use lynxtally_flow::coding::{preferred_coding, Coding};
+use lynxtally_flow::resume::{self, strong_validator};
 
-/// The longest idempotency key.
+/// The longest idempotency key that is accepted.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 128;
 
-/// The most digits of a number in a field: more than any body is long, and sums of such numbers cannot overflow.
+/// The most digits of a number in a field. It allows for any body length, and sums of such numbers cannot
+/// overflow.
 const MAX_NUMBER_DIGITS: usize = 18;
 
-/// Fields that are not forwarded: those of one connection only (RFC 9110 section 7.6.1), and those that the proxy writes
-/// itself.
+/// Fields that are not forwarded: those that apply to one connection only (RFC 9110 section 7.6.1), and those
+/// that the proxy writes itself.
 const NOT_FORWARDED: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -26,36 +28,36 @@
     "proxy-authorization",
 ];
 
-/// The part of an object that a message carries (RFC 9110 section 14.4).
+/// The range of an object that a message carries (RFC 9110 section 14.4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ContentRange {
     /// Position of the first byte.
     pub first: u64,
     /// Position of the last byte.
     pub last: u64,
-    /// Length of the whole object, where it is known.
+    /// Length of the whole object, if known.
     pub complete_length: Option<u64>,
 }
 
-/// What a message says of a resumable upload (draft-ietf-httpbis-resumable-upload-05).
+/// The fields of a resumable upload (draft-ietf-httpbis-resumable-upload-05).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UploadFields {
-    /// Whether the upload ends with this message; none where the message is not about an upload.
+    /// Whether the upload is complete with this message; `None` if the field is missing.
     pub complete: Option<bool>,
-    /// The offset from which the upload is resumed, in bytes.
+    /// The offset at which the upload is resumed, in bytes.
     pub offset: Option<u64>,
     /// The length of the whole upload, in bytes.
     pub length: Option<u64>,
 }
 
-/// The fields of a message that are read here.
+/// The fields that the proxy reads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KnownFields {
     pub(super) content_length: Option<u64>,
     pub(super) is_chunked: bool,
     pub(super) keep_alive: bool,
     pub(super) host_count: usize,
-    /// The sender wants no further message on the connection.
+    /// The sender closes the connection after this message.
     pub closes_connection: bool,
     /// The sender waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
@@ -63,34 +65,34 @@
     pub accepted_coding: Coding,
     /// The content coding of the body.
     pub content_coding: Coding,
-    /// The body has a content coding that is unknown here, or several.
+    /// The body has a content coding that is not supported, or several codings.
     pub has_other_coding: bool,
-    /// The message asks for a part of an object, or carries one.
+    /// The message requests or carries a range of an object.
     pub is_ranged: bool,
-    /// The part of the object that the message carries.
+    /// The range of the object that the message carries.
     pub content_range: Option<ContentRange>,
     /// The strong validator of the object.
     pub strong_validator: Option<String>,
-    /// Parts of the object can be asked for.
+    /// The server supports requests for ranges of the object.
     pub accepts_ranges: bool,
-    /// The body must be forwarded as it is.
+    /// The body must not be transformed.
     pub no_transform: bool,
-    /// The key by which a repeated request is recognized.
+    /// The key by which duplicates of the request are recognized.
     pub idempotency_key: Option<String>,
     /// The media type of the body, in lower case and without its parameters.
     pub media_type: String,
-    /// What is said of a resumable upload.
+    /// The fields of a resumable upload.
     pub upload: UploadFields,
 }
 
-/// What a head's fields come to.
+/// The result of parsing the fields of a head.
 pub(super) struct ParsedFields {
     pub known: KnownFields,
     pub forwarded: Vec<Field>,
 }
 
 impl ParsedFields {
-    /// Reads the fields of a head.
+    /// Parses the fields of a head.
     pub(super) fn parse(headers: &[httparse::Header]) -> Result<Self, MessageError> {
         let mut known = KnownFields::default();
         let mut connection_options = Vec::new();
@@ -109,8 +111,8 @@
         if known.is_chunked && known.content_length.is_some() {
             return Err(MessageError::InvalidLength);
         }
-        // Fields that `Connection` names are meant for this hop only. `Host` is not: a client must not be able to have
-        // it removed.
+        // The fields that `Connection` lists apply to this connection only and are not forwarded. `Host` is
+        // forwarded even if it is listed, because a client must not be able to remove it.
         let is_end_to_end =
             |name: &str| name == "host" || !connection_options.iter().any(|option| option == name);
         forwarded.retain(|(name, _)| is_end_to_end(&name.to_ascii_lowercase()));
@@ -130,21 +132,21 @@
         Ok(())
     }
 
-    /// Reads a field by its name in lower case; one that is not known here is passed over.
+    /// Reads the field with this name, given in lower case. Unknown fields are ignored.
     fn read(&mut self, name: &str, value: &[u8]) -> Result<(), MessageError> {
         match name {
             "content-length" => self.read_content_length(value)?,
             "transfer-encoding" => self.read_transfer_encoding(value)?,
             "host" => self.host_count += 1,
             "expect" => self.read_expect(value)?,
-            "accept-encoding" => self.accepted_coding = accepted(parse_text(value).unwrap_or("")),
+            "accept-encoding" => self.accepted_coding = preferred_coding(parse_text(value).unwrap_or("")),
             "content-encoding" => self.read_content_encoding(value),
             "range" => self.is_ranged = true,
             "content-range" => {
                 self.is_ranged = true;
                 self.content_range = parse_content_range(value);
             }
-            "etag" => self.strong_validator = parse_text(value).and_then(strong).map(str::to_owned),
+            "etag" => self.strong_validator = parse_text(value).and_then(strong_validator).map(str::to_owned),
             "accept-ranges" => self.accepts_ranges = is_token(value, "bytes"),
             "cache-control" => {
                 let directives = parse_text(value).unwrap_or("").to_ascii_lowercase();
@@ -204,7 +206,7 @@
     }
 }
 
-/// Sets a field that may be given once.
+/// Sets a field that may be given only once.
 fn set_once<T>(field: &mut Option<T>, parsed: Option<T>, name: &'static str) -> Result<(), MessageError> {
     if field.is_some() {
         return Err(MessageError::InvalidField(name));
@@ -225,12 +227,12 @@
 fn parse_number(value: &[u8]) -> Option<u64> {
     let text = parse_text(value)?;
     let has_valid_length = !text.is_empty() && text.len() <= MAX_NUMBER_DIGITS;
-    // A sign, which `parse` would take, is no digit.
+    // `parse` would accept a sign, so only digits are let through.
     let is_number = has_valid_length && text.bytes().all(|byte| byte.is_ascii_digit());
     is_number.then(|| text.parse().ok())?
 }
 
-/// A boolean of structured fields (RFC 8941 section 3.3.6).
+/// Parses a boolean of structured fields (RFC 8941 section 3.3.6).
 fn parse_boolean(value: &[u8]) -> Option<bool> {
     match value.trim_ascii() {
         b"?1" => Some(true),
@@ -240,7 +242,7 @@
 }
 
 fn parse_content_range(value: &[u8]) -> Option<ContentRange> {
-    let (first, last, complete_length) = parse_text(value).and_then(part)?;
+    let (first, last, complete_length) = parse_text(value).and_then(resume::parse_content_range)?;
     Some(ContentRange { first, last, complete_length })
 }
 
--- a/crates/frontends/stream/src/http/local_response.rs
+++ b/crates/frontends/stream/src/http/local_response.rs
@@ -1,31 +1,32 @@
-//! Responses that the proxy writes itself, in place of an upstream's.
+//! Responses that the proxy sends itself, instead of forwarding one of an upstream.
 
 use super::{reason_phrase, ConnectionUse, MessageError};
 use std::io::Write;
 
-/// The version of the draft on resumable uploads that is spoken (draft-ietf-httpbis-resumable-upload-05).
+/// The interop version of the draft on resumable uploads that is implemented
+/// (draft-ietf-httpbis-resumable-upload-05).
 const UPLOAD_DRAFT_VERSION: u8 = 6;
 
-/// How far an upload is, as its client is told.
+/// The progress of an upload, as reported to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UploadState {
-    /// How many bytes of it are archived.
+    /// The number of bytes that are archived.
     pub offset: u64,
-    /// Whether these are all.
+    /// Whether all bytes of the upload are archived.
     pub is_complete: bool,
 }
 
 /// Whether a response is written with its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyUse {
-    /// With its body.
+    /// The response is written with its body.
     Included,
-    /// Without, as the request was a `HEAD`.
+    /// The response is written without its body, because the request was a `HEAD` request.
     Omitted,
 }
 
 impl BodyUse {
-    /// The use for a response to a `HEAD` request, or to another.
+    /// Leaves the body out for `HEAD` requests.
     pub fn for_request(is_head: bool) -> Self {
         if is_head {
             Self::Omitted
@@ -35,28 +36,28 @@
     }
 }
 
-/// A response that the proxy writes itself.
+/// A response that the proxy sends itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LocalResponse {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// What is wrong, for people.
+    /// The body: an explanation in plain text.
     pub text: String,
-    /// After how many seconds the client may try again.
+    /// The seconds after which the client may retry.
     pub retry_after_secs: Option<u64>,
-    /// How far the upload is.
+    /// The progress of the upload that the request addressed.
     pub upload_state: Option<UploadState>,
-    /// The path under which the upload can be resumed.
+    /// The path by which the upload can be resumed.
     pub location: Option<String>,
 }
 
 impl LocalResponse {
-    /// A response with a status and a text alone.
+    /// Creates a response with only a status code and a text.
     pub fn new(status: u16, text: impl Into<String>) -> Self {
         Self { status, text: text.into(), retry_after_secs: None, upload_state: None, location: None }
     }
 
-    /// The response to a message that cannot be taken.
+    /// Creates the response to a message that is refused.
     pub fn from_error(error: MessageError) -> Self {
         Self::new(error.status(), error.to_string())
     }
--- a/crates/frontends/stream/src/http/mod.rs
+++ b/crates/frontends/stream/src/http/mod.rs
@@ -1,5 +1,5 @@
-//! Heads of HTTP/1.1 messages (RFC 9110, RFC 9112): bytes are parsed to typed values, and these are written again. No
-//! socket is known here, and the names of the protocol's fields end here.
+//! Heads of HTTP/1.1 messages (RFC 9110, RFC 9112): parsed from bytes into typed values, and written to bytes
+//! again. The module does no I/O, and the rest of the crate needs no field names.
 
 mod error;
 mod fields;
@@ -15,51 +15,51 @@
 
 use std::io::Write;
 
-/// The largest head.
+/// The largest head in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 /// The most fields in a head.
 const MAX_FIELDS: usize = 100;
 
-/// The interim response that asks for the body (RFC 9110 section 15.2.1).
+/// The interim response that tells the client to send the body (RFC 9110 section 15.2.1).
 pub const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// How the end of a body is known (RFC 9112 section 6.3).
+/// How the end of a body is determined (RFC 9112 section 6.3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is no body.
+    /// The message has no body.
     Empty,
-    /// After so many bytes.
+    /// The body ends after this many bytes.
     Length(u64),
-    /// By its last chunk.
+    /// The body ends with its last chunk.
     Chunked,
-    /// When the connection ends.
+    /// The body ends when the connection is closed.
     Close,
 }
 
-/// A field as it was received: its name and its value.
+/// The name and value of a field, as received.
 pub type Field = (String, Vec<u8>);
 
-/// A head that was parsed.
+/// A parsed head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedHead<T> {
-    /// The head.
+    /// The parsed head.
     pub head: T,
-    /// How many bytes it took.
+    /// The length of the head in bytes.
     pub length: usize,
 }
 
-/// Whether a connection is used after a response.
+/// Whether a connection is kept open after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// For the next request.
+    /// The connection is kept open for the next request.
     KeepAlive,
-    /// Not any more, and the response says so.
+    /// The connection is closed, and the response says so.
     Close,
 }
 
 impl ConnectionUse {
-    /// The use of a connection that ends with this response, or does not.
+    /// Closes the connection if `closes`, and keeps it open otherwise.
     pub fn closing_if(closes: bool) -> Self {
         if closes {
             Self::Close
@@ -82,7 +82,8 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Writes the field that says how a body is framed; for no body only where `writes_empty_length`.
+/// Writes the field that gives the framing of a body. If there is no body, a length of 0 is written only if
+/// `writes_empty_length`.
 fn write_framing(out: &mut Vec<u8>, framing: Framing, writes_empty_length: bool) {
     match framing {
         Framing::Empty if writes_empty_length => out.extend_from_slice(b"Content-Length: 0\r\n"),
@@ -95,7 +96,7 @@
     }
 }
 
-/// The length of a head that was parsed from so many bytes, or none while it is not complete.
+/// The length of a head that was parsed from `available` bytes, or `None` if it is not complete yet.
 fn head_length(parsed: httparse::Result<usize>, available: usize) -> Result<Option<usize>, MessageError> {
     match parsed {
         Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => Ok(Some(length)),
--- a/crates/frontends/stream/src/http/request.rs
+++ b/crates/frontends/stream/src/http/request.rs
@@ -1,4 +1,4 @@
-//! Heads of requests: parsed as clients send them, and written for upstreams.
+//! Heads of requests: parsed from what clients send, and written for upstreams.
 
 use super::fields::ParsedFields;
 use super::{
@@ -10,44 +10,44 @@
 /// The head of a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method.
+    /// The request method.
     pub method: String,
-    /// The target, with its leading slash.
+    /// The request target: a path with its query, or `*`.
     pub target: String,
-    /// Whether the client speaks HTTP/1.0.
+    /// Whether the client uses HTTP/1.0.
     pub is_http_10: bool,
-    /// How the end of the body is known.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// The fields that are read here.
+    /// The fields that the proxy reads.
     pub known: KnownFields,
     /// The fields that are forwarded.
     pub fields: Vec<Field>,
 }
 
-/// Asks an upstream for the rest of an object whose first part another one sent.
+/// A request for the rest of an object, of which another upstream has sent the first part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RangeRequest<'a> {
-    /// Position of the first byte wanted.
+    /// Position of the first requested byte.
     pub first: u64,
-    /// Position behind the last byte wanted.
+    /// Position behind the last requested byte.
     pub end: u64,
-    /// The validator of the object that the first part is of.
+    /// The validator of the object.
     pub validator: &'a str,
 }
 
 /// How a request is forwarded to an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ForwardedRequest<'a> {
-    /// The framing in which the body is sent.
+    /// The framing in which the body is sent to the upstream.
     pub framing: Framing,
-    /// Whether the content coding of the body was removed.
+    /// Whether the proxy removes the content coding of the body.
     pub is_decoded: bool,
-    /// The part that is asked for, if not the whole.
+    /// The range to ask for; `None` for the whole object.
     pub range: Option<RangeRequest<'a>>,
 }
 
 impl RequestHead {
-    /// Parses the head at the start of `bytes`, or returns none while it is not complete.
+    /// Parses the head at the start of `bytes`. Returns `None` if the head is not complete yet.
     ///
     /// # Errors
     /// What is wrong with the head.
@@ -79,7 +79,7 @@
         self.known.closes_connection || (self.is_http_10 && !self.known.keep_alive)
     }
 
-    /// Whether the response has no body, whatever its head says.
+    /// Whether this is a `HEAD` request, whose response has no body whatever its fields say.
     pub fn is_head(&self) -> bool {
         self.method == "HEAD"
     }
@@ -94,7 +94,8 @@
         self.fields.iter().find(|(own, _)| own.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
     }
 
-    /// Appends the head for an upstream to `out`, for a connection that carries this request alone.
+    /// Appends the head for an upstream to `out`. It asks the upstream to close the connection after the
+    /// response.
     pub fn write(&self, out: &mut Vec<u8>, forwarded: ForwardedRequest) {
         // Writing to memory cannot fail.
         let _ = write!(out, "{} {} HTTP/1.1\r\n", self.method, self.target);
@@ -123,7 +124,8 @@
     }
 }
 
-/// Whether a field of the client's is left out, as another one takes its place or it is not true any more.
+/// Whether a field of the client is left out, because the proxy replaces it or because it does not apply any
+/// more.
 fn is_replaced(name: &str, forwarded: ForwardedRequest) -> bool {
     let is = |other: &str| name.eq_ignore_ascii_case(other);
     if forwarded.is_decoded && is("Content-Encoding") {
@@ -137,7 +139,7 @@
 
 fn request_framing(known: &KnownFields, is_http_10: bool) -> Result<Framing, MessageError> {
     if known.is_chunked && is_http_10 {
-        // HTTP/1.0 has no chunks (RFC 9112 section 6.1).
+        // HTTP/1.0 has no chunked coding (RFC 9112 section 6.1).
         return Err(MessageError::InvalidLength);
     }
     if known.is_chunked {
--- a/crates/frontends/stream/src/http/response.rs
+++ b/crates/frontends/stream/src/http/response.rs
@@ -1,4 +1,4 @@
-//! Heads of responses: parsed as upstreams send them, and written for clients.
+//! Heads of responses: parsed from what upstreams send, and written for clients.
 
 use super::fields::ParsedFields;
 use super::{
@@ -11,19 +11,19 @@
 /// The head of an upstream's response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status.
+    /// The status code.
     pub status: u16,
-    /// How the end of the body is known.
+    /// How the end of the body is determined.
     pub framing: Framing,
-    /// The fields that are read here.
+    /// The fields that the proxy reads.
     pub known: KnownFields,
     /// The fields that are forwarded.
     pub fields: Vec<Field>,
 }
 
 impl ResponseHead {
-    /// Parses the head at the start of `bytes`, or returns none while it is not complete. The request's method decides
-    /// whether a body follows.
+    /// Parses the head at the start of `bytes`, of a response to a request with this method. Returns `None`
+    /// if the head is not complete yet.
     ///
     /// # Errors
     /// What is wrong with the head.
@@ -45,12 +45,13 @@
         self.fields.iter().find(|(own, _)| own.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
     }
 
-    /// The length of the object, where the response has no body but says how long it would be.
+    /// The length of the object, if the response has no body but gives the length that the body would have.
     fn announced_length(&self) -> Option<u64> {
         self.known.content_length.filter(|_| self.framing == Framing::Empty)
     }
 
-    /// Appends the head for a client to `out`; `added_coding` is the content coding that the proxy gives to the body.
+    /// Appends the head for a client to `out`. `added_coding` is the content coding that the proxy adds to
+    /// the body.
     pub fn write(
         &self,
         out: &mut Vec<u8>,
@@ -90,7 +91,7 @@
 fn write_field_of_encoded(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     let is = |other: &str| name.eq_ignore_ascii_case(other);
     if is("ETag") && value.starts_with(b"\"") {
-        // Encoded here, the object is no longer the same byte for byte: its validator becomes a weak one (RFC 9110
+        // The encoded object is not the same byte for byte, so its validator becomes a weak one (RFC 9110
         // section 8.8.1).
         out.extend_from_slice(b"ETag: W/");
         out.extend_from_slice(value);
--- a/crates/frontends/stream/src/lib.rs
+++ b/crates/frontends/stream/src/lib.rs
@@ -1,8 +1,10 @@
-//! Long bodies both ways: HTTP/1.1 streams between clients and upstreams, behind the decision module, in flat memory,
-//! with one final outcome each.
+//! The stream frontend: a reverse proxy for HTTP/1.1 requests with long bodies in either direction, behind the
+//! scheduling policy. Memory is limited whatever the bodies' lengths, and each request gets exactly one final response.
 //!
-//! The codec ([`http`], [`body_framing`], [`content_coder`]) and the proxy's state ([`body_pipe`], [`proxied_request`]) are state machines
-//! fed bytes; [`proxy`] is the driver; what is chosen is chosen in `lynxtally-flow` and in the module.
+//! The codecs ([`http`], [`body_framing`], [`content_coder`]) and the proxy's state ([`body_pipe`],
+//! [`proxied_request`]) are state machines that are fed bytes and do no I/O. [`proxy`] drives them with sockets,
+//! [`resumable_upload`] and [`upload_archive`] serve resumable uploads, and [`request_manager`] applies the scheduling
+//! policy and the policies of `lynxtally-flow`.
 
 #![forbid(unsafe_code)]
 
--- a/crates/frontends/stream/src/output_buffer.rs
+++ b/crates/frontends/stream/src/output_buffer.rs
@@ -1,6 +1,6 @@
-//! Bytes that wait for their receiver.
+//! A buffer for bytes that wait to be written to a socket.
 
-/// Below this size there is nothing to be gained by giving memory back.
+/// The least capacity that is worth giving back.
 const MIN_RELEASED_BYTES: usize = 4096;
 
 /// A queue of bytes: they are appended at its end and written to a socket from its front.
@@ -12,12 +12,12 @@
 }
 
 impl OutputBuffer {
-    /// The bytes to be written next: all that wait.
+    /// All bytes that wait, the next one to be written first.
     pub fn front(&self) -> &[u8] {
         &self.bytes[self.consumed..]
     }
 
-    /// How many bytes wait.
+    /// The number of bytes that wait.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.consumed
     }
@@ -27,13 +27,14 @@
         self.len() == 0
     }
 
-    /// Removes so many bytes from the front, and gives memory back where enough of it is free.
+    /// Removes `count` bytes from the front, and releases memory once enough of it is unused.
     pub fn consume(&mut self, count: usize) {
         self.consumed += count;
         if self.consumed == self.bytes.len() {
             self.consumed = 0;
             self.bytes.clear();
-            // A body that flows freely keeps no memory of its own.
+            // An empty buffer keeps no memory, so that a body whose receiver keeps up costs none between
+            // writes.
             if self.bytes.capacity() > MIN_RELEASED_BYTES {
                 self.bytes = Vec::new();
             }
@@ -44,12 +45,12 @@
         }
     }
 
-    /// Removes all that waits.
+    /// Removes all bytes.
     pub fn discard(&mut self) {
         self.consume(self.len());
     }
 
-    /// The buffer to append to. Only appending is allowed: the start may be consumed already.
+    /// The vector to append to. Callers may only append: the bytes at its start may be consumed already.
     pub fn append_to(&mut self) -> &mut Vec<u8> {
         &mut self.bytes
     }
--- a/crates/frontends/stream/src/proxied_request/mod.rs
+++ b/crates/frontends/stream/src/proxied_request/mod.rs
@@ -1,8 +1,8 @@
-//! One proxied request: the client's body goes to the upstream and the upstream's response to the client, both as they
-//! arrive. It is fed bytes and holds what is to be written to either side; it knows no socket.
+//! The state of one proxied request, without I/O. It is fed the bytes that the client and the upstream send,
+//! and holds the bytes that are to be written to either side. Both bodies are passed on as they arrive.
 //!
-//! The request's direction is in this file, the response's in `response`, and what is sent again to another upstream in
-//! `resend`.
+//! This file has the request direction, `response` the response direction, and `resend` what is sent to
+//! another upstream after one has failed.
 
 mod resend;
 mod response;
@@ -18,46 +18,47 @@
 };
 use crate::output_buffer::OutputBuffer;
 use lynxtally_flow::coding::Coding;
-use lynxtally_flow::resume::Piece;
+use lynxtally_flow::resume::PartialDownload;
 
 /// One proxied request.
 pub struct ProxiedRequest {
     request: RequestHead,
     settings: ForwardingSettings,
-    /// What goes to the upstream: the head, which is the first in its output, and the body.
+    /// The output to the upstream: first the head of the request, then its body.
     pub request_body: BodyPipe,
     /// The framing in which the body goes to the upstream.
     forwarded_framing: Framing,
-    /// What goes to the client before the upstream's response, or in place of it.
+    /// Output to the client that comes before the upstream's response or replaces it.
     preface: OutputBuffer,
-    /// Bytes of the upstream's response whose head is not complete yet.
+    /// Bytes of the upstream's response up to the end of its head.
     partial_head: Vec<u8>,
     response: Option<ResponseHead>,
-    /// The upstream's response as it goes to the client.
+    /// The upstream's response in the form in which it is sent to the client.
     response_body: Option<BodyPipe>,
-    /// The download that is resumed: the next response is the rest of it, not a new one.
-    resumed_download: Option<Piece>,
-    /// The upstream responded with an error before it had the whole body: the rest of the body is dropped.
+    /// The download that is being resumed. While it is set, the next response is expected to be the rest of
+    /// the download.
+    resumed_download: Option<PartialDownload>,
+    /// The upstream responded with an error before it had the whole body. The rest of the body is discarded.
     is_body_refused: bool,
-    /// A response of the proxy's own is sent in place of the upstream's.
+    /// The proxy sends a response of its own instead of the upstream's.
     is_local_response: bool,
     /// The client's connection ends after the response.
     closes_connection: bool,
-    /// A copy of what went to the client so far, while it is kept.
+    /// A copy of the output to the client, if one is kept.
     response_copy: Option<Vec<u8>>,
 }
 
 impl ProxiedRequest {
-    /// A request whose head has arrived.
+    /// Creates the state for a request whose head has arrived.
     ///
     /// # Errors
-    /// The body is announced to be too large, or cannot be decoded.
+    /// The announced length of the body exceeds the limit, or the body's content coding cannot be decoded.
     pub fn new(request: RequestHead, settings: ForwardingSettings) -> Result<Self, MessageError> {
         if matches!(request.framing, Framing::Length(length) if length > settings.max_body_bytes) {
             return Err(MessageError::BodyTooLarge);
         }
         let coder = request_coder(&request, &settings)?;
-        // The length of a decoded body is not known before its end.
+        // The length of a decoded body is not known until its end.
         let forwarded_framing = if coder.is_identity() { request.framing } else { Framing::Chunked };
         let mut request_body = BodyPipe::new(request.framing, forwarded_framing, coder);
         if settings.keeps_body_copy {
@@ -85,7 +86,7 @@
         })
     }
 
-    /// The request is admitted: a client that waits for `100 Continue` is asked for its body.
+    /// Handles the admission of the request: a client that waits for `100 Continue` is told to send its body.
     pub fn on_admitted(&mut self) {
         let nothing_received = self.request_body.received_bytes() == 0;
         let expects_continue = self.request.known.expects_continue;
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Whether more of the request's body is to come.
+    /// Whether more of the request's body is expected.
     pub fn wants_request_body(&self) -> bool {
         !self.request_body.is_complete()
     }
@@ -104,22 +105,22 @@
         self.is_body_refused
     }
 
-    /// Receives bytes of the request's body while no more than `room` wait, and returns how many are used: fewer than
-    /// all only past the end of the body.
+    /// Receives bytes of the request's body and decodes them until `room` bytes wait. Returns how many bytes
+    /// are used: fewer than all only if some are behind the end of the body.
     ///
     /// # Errors
-    /// The body cannot be taken.
+    /// The body is not valid, or is larger than its class allows.
     pub fn receive_request_body(&mut self, bytes: &[u8], room: usize) -> Result<usize, ProxyError> {
         let used = self.request_body.receive(bytes, room).map_err(ProxyError::Client)?;
         self.check_body_size()?;
         if self.is_body_refused || self.is_local_response {
-            // The body is read only so that its end is found.
+            // The body is read only to find its end.
             self.request_body.out.discard();
         }
         Ok(used)
     }
 
-    /// Decodes more of the request's body that waits for room.
+    /// Decodes more of the request's body, until `room` bytes wait.
     ///
     /// # Errors
     /// As for [`Self::receive_request_body`].
@@ -128,7 +129,7 @@
         self.check_body_size()
     }
 
-    /// Counts bytes of the request's body that went to the upstream as they were.
+    /// Counts bytes of the request's body that were written to the upstream unchanged.
     ///
     /// # Errors
     /// As for [`Self::receive_request_body`].
@@ -153,7 +154,8 @@
         self.closes_connection || !self.request_body.is_complete()
     }
 
-    /// Sends a response of the proxy's own. Returns false where the upstream's has begun, so that it is too late.
+    /// Sends a response of the proxy's own. Returns false if the upstream's response has begun, because it is
+    /// too late then.
     pub fn respond_locally(&mut self, response: &LocalResponse) -> bool {
         if self.has_response_begun() {
             return false;
@@ -167,7 +169,7 @@
         true
     }
 
-    /// Sends the response to the request that this one repeats, as it was sent then.
+    /// Sends the response to an earlier request that this one duplicates, byte for byte.
     pub fn replay_response(&mut self, bytes: &[u8]) {
         self.is_local_response = true;
         self.closes_connection = true;
@@ -175,7 +177,7 @@
     }
 }
 
-/// What decodes the body for upstreams that do not take its content coding.
+/// The coder that decodes the request's body if upstreams do not accept its content coding.
 fn request_coder(request: &RequestHead, settings: &ForwardingSettings) -> Result<ContentCoder, MessageError> {
     let coding = request.known.content_coding;
     let has_body = request.framing != Framing::Empty;
@@ -187,7 +189,8 @@
     }
 }
 
-/// The whole request, with its body in this framing; only a body that was decoded gets another one.
+/// Describes the whole request with its body in this framing. Only a body that is decoded changes its
+/// framing.
 fn forwarded_request(request: &RequestHead, framing: Framing) -> ForwardedRequest<'static> {
     ForwardedRequest { framing, is_decoded: framing != request.framing, range: None }
 }
--- a/crates/frontends/stream/src/proxied_request/response.rs
+++ b/crates/frontends/stream/src/proxied_request/response.rs
@@ -1,13 +1,13 @@
-//! The response's direction: from the upstream to the client.
+//! The response direction of a proxied request: from the upstream to the client.
 
 use super::{ProxiedRequest, ProxyError};
 use crate::body_pipe::BodyPipe;
 use crate::content_coder::ContentCoder;
 use crate::http::{ConnectionUse, Framing, MessageError, ParsedHead, ResponseHead, MAX_HEAD_BYTES};
 use lynxtally_flow::coding::Coding;
-use lynxtally_flow::resume::{Changed, Piece};
+use lynxtally_flow::resume::{PartialDownload, ResumeMismatch};
 
-/// How the media types end that get smaller by encoding, beside texts.
+/// Suffixes of the media types, beside `text/`, whose bodies get smaller when they are encoded.
 const COMPRESSIBLE_SUFFIXES: [&str; 5] = ["json", "xml", "javascript", "csv", "ndjson"];
 
 impl ProxiedRequest {
@@ -16,14 +16,14 @@
         self.response.as_ref()
     }
 
-    /// Receives bytes of the upstream's response while no more than `room` wait.
+    /// Receives bytes of the upstream's response, until `room` bytes wait.
     ///
     /// # Errors
-    /// The response cannot be taken, or is not the rest of the download that was asked for.
+    /// The response is not valid, or is not the rest of the download that was asked for.
     pub fn receive_response(&mut self, bytes: &[u8], room: usize) -> Result<(), ProxyError> {
         if let Some(body) = self.response_body.as_mut().filter(|_| self.resumed_download.is_none()) {
             let used = body.receive(bytes, room).map_err(ProxyError::Upstream)?;
-            // What comes behind the end of the response belongs to nobody.
+            // Bytes behind the end of the response are ignored: the connection carries one response only.
             if used < bytes.len() && !body.is_complete() {
                 return Err(ProxyError::Upstream(MessageError::InvalidLength));
             }
@@ -33,7 +33,7 @@
         self.receive_heads(room)
     }
 
-    /// Reads interim responses, and the final one once its head is complete.
+    /// Parses interim responses, and the final response once its head is complete.
     fn receive_heads(&mut self, room: usize) -> Result<(), ProxyError> {
         loop {
             let parsed = ResponseHead::parse(&self.partial_head, &self.request.method);
@@ -45,7 +45,7 @@
             };
             self.partial_head.drain(..length);
             match head.status {
-                // Behind a change of protocols nothing can be understood here; none is asked for.
+                // The proxy requests no change of protocol, and cannot parse what follows one.
                 101 => return Err(ProxyError::Upstream(MessageError::InvalidHead)),
                 100 | 102 | 104 => {}
                 ..=199 => self.forward_interim(&head),
@@ -58,7 +58,7 @@
     }
 
     fn forward_interim(&mut self, head: &ResponseHead) {
-        // HTTP/1.0 has no interim responses, and behind the first part of a download there is no place for one.
+        // HTTP/1.0 has no interim responses, and none can be inserted into a response that has begun.
         if !self.request.is_http_10 && self.resumed_download.is_none() {
             head.write(self.preface.append_to(), Framing::Empty, None, ConnectionUse::KeepAlive);
         }
@@ -68,8 +68,8 @@
         if let Some(download) = self.resumed_download.take() {
             return self.resume_response(&download, &head, body, room);
         }
-        // An upstream that refuses before it has the whole body: the response goes to the client at once, the rest of
-        // the body is dropped.
+        // The upstream refused the request before it had the whole body. The response goes to the client at
+        // once, and the rest of the body is discarded.
         if head.status >= 400 && !self.request_body.is_complete() {
             self.is_body_refused = true;
             self.closes_connection = true;
@@ -96,10 +96,10 @@
         Ok(())
     }
 
-    /// Goes on with a download from another upstream, if that has the same object.
+    /// Resumes a download with the response of another upstream, if that has the same object.
     fn resume_response(
         &mut self,
-        download: &Piece,
+        download: &PartialDownload,
         head: &ResponseHead,
         body: &[u8],
         room: usize,
@@ -108,7 +108,7 @@
         let content_range = head.field("Content-Range").and_then(|value| std::str::from_utf8(value).ok());
         let received = pipe.received_bytes();
         download
-            .goes_on(received, head.status, head.known.strong_validator.as_deref(), content_range)
+            .check_continuation(received, head.status, head.known.strong_validator.as_deref(), content_range)
             .map_err(ProxyError::ObjectChanged)?;
         let bytes_left = download.end - download.first - received;
         let is_the_rest = match head.framing {
@@ -117,15 +117,15 @@
             Framing::Empty | Framing::Close => false,
         };
         if !is_the_rest {
-            return Err(ProxyError::ObjectChanged(Changed::Part));
+            return Err(ProxyError::ObjectChanged(ResumeMismatch::Part));
         }
         pipe.resume_from(head.framing);
         pipe.receive(body, room).map_err(ProxyError::Upstream)?;
         Ok(())
     }
 
-    /// The content coding that the proxy gives to a response: the one that the client prefers, for a whole and long
-    /// response that is not encoded yet, may be changed, and gets smaller by it.
+    /// The content coding that the proxy adds to a response: the one that the client prefers. It is added
+    /// only to a response that is complete, long, not encoded yet, compressible, and allowed to be changed.
     fn added_coding(&self, head: &ResponseHead) -> Option<Coding> {
         let request = &self.request.known;
         let response = &head.known;
@@ -143,7 +143,7 @@
         (is_candidate && is_compressible(&response.media_type)).then_some(preferred)
     }
 
-    /// How many of the next `length` bytes of the response may go to the client as they are.
+    /// How many of the next `length` bytes of the response may be written to the client unchanged.
     pub fn response_passthrough_length(&self, length: usize) -> usize {
         if !self.preface.is_empty() || self.resumed_download.is_some() || self.response_copy.is_some() {
             return 0;
@@ -151,7 +151,7 @@
         self.response_body.as_ref().map_or(0, |body| body.passthrough_length(length))
     }
 
-    /// Counts bytes of the response that went to the client as they were.
+    /// Counts bytes of the response that were written to the client unchanged.
     ///
     /// # Errors
     /// The response is shorter than its framing said.
@@ -160,7 +160,7 @@
         body.record_passthrough(count).map_err(ProxyError::Upstream)
     }
 
-    /// Sends out what the content coding of the response holds back, when nothing of it is there for now.
+    /// Sends out what the content coder holds back, so that it does not wait for the upstream's next bytes.
     ///
     /// # Errors
     /// The response cannot be encoded.
@@ -169,7 +169,7 @@
         body.flush().map_err(ProxyError::Upstream)
     }
 
-    /// Notes that the upstream sends no more, and returns whether the response is complete.
+    /// Handles the end of the upstream's connection, and returns whether the response is complete.
     ///
     /// # Errors
     /// What is wrong with the end of the response.
@@ -181,7 +181,7 @@
         body.end_of_input().map_err(ProxyError::Upstream)
     }
 
-    /// What is to be written to the client next.
+    /// The output to the client that is to be written next.
     pub fn client_output(&self) -> &[u8] {
         match &self.response_body {
             Some(body) if self.preface.is_empty() => body.out.front(),
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Removes so many bytes, which were written to the client, from what is to be written.
+    /// Removes `count` bytes of output that were written to the client.
     pub fn consume_client_output(&mut self, count: usize) {
         self.copy_output(count);
         match &mut self.response_body {
@@ -198,25 +198,25 @@
         }
     }
 
-    /// Adds output to the copy of the response; one that grows too long is dropped.
+    /// Adds output to the copy of the response. The copy is dropped if it would exceed its limit.
     fn copy_output(&mut self, count: usize) {
         let Some(mut copy) = self.response_copy.take() else { return };
         if copy.len() + count > self.settings.max_response_copy_bytes {
             return;
         }
-        // Interim responses are no part of the response.
+        // Interim responses do not belong to the response.
         if self.preface.is_empty() {
             copy.extend_from_slice(&self.client_output()[..count]);
         }
         self.response_copy = Some(copy);
     }
 
-    /// Takes the copy of the upstream's whole response, where it was kept.
+    /// Takes the copy of the upstream's whole response, if one was kept.
     pub fn take_response_copy(&mut self) -> Option<Vec<u8>> {
         self.response_copy.take().filter(|_| !self.is_local_response)
     }
 
-    /// Bytes held for the client.
+    /// The bytes held for the client.
     pub fn buffered_response_bytes(&self) -> u64 {
         let before_body = self.preface.len() + self.partial_head.len();
         let in_body = self.response_body.as_ref().map_or(0, BodyPipe::buffered_bytes);
@@ -229,12 +229,12 @@
         self.preface.is_empty() && (self.is_local_response || is_body_done)
     }
 
-    /// Whether the whole response was received, though some of it may wait to be written.
+    /// Whether the whole response was received, even if some of it still waits to be written.
     pub fn is_response_complete(&self) -> bool {
         self.is_local_response || self.response_body.as_ref().is_some_and(BodyPipe::is_complete)
     }
 
-    /// Whether the final response has begun.
+    /// Whether the final response to the client has begun.
     pub fn has_response_begun(&self) -> bool {
         self.is_local_response || self.response_body.is_some()
     }
--- a/crates/frontends/stream/src/proxy/client_connection.rs
+++ b/crates/frontends/stream/src/proxy/client_connection.rs
@@ -1,11 +1,12 @@
-//! The client side: connections are accepted, the heads of requests read, and each request handed on.
+//! The client side of the proxy: accepts connections, reads the heads of requests, and starts the exchange of
+//! each request.
 
-use super::{caller, AfterRequest, ConnectionHandle, Proxy, STACK_WORDS};
+use super::{caller_number, AfterRequest, ConnectionHandle, Proxy, STACK_WORDS};
 use crate::http::{
     BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, ParsedHead, RequestHead, MAX_HEAD_BYTES,
 };
 use crate::proxied_request::ProxiedRequest;
-use crate::request_manager::{Entering, Ticket};
+use crate::request_manager::{RequestHandle, RequestInfo};
 use lynxtally_engine::Scheduler;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::connection_table::Inserted;
@@ -19,28 +20,28 @@
 use tracing::{debug, warn};
 
 impl<P: Scheduler + Send + 'static> Proxy<P> {
-    /// Accepts a client's connection. Where the table is full, the connection that is idle for longest is closed; where
-    /// none is idle, the new one.
+    /// Accepts a client's connection. If the connection table is full, the connection that has been idle for
+    /// longest is closed; if none is idle, the new one is closed.
     pub fn accept(self: &Arc<Self>, stream: TcpStream, from: SocketAddr) {
         let Ok(socket) = Socket::new(stream) else { return };
         self.limit_buffers(&socket);
         let handle = Arc::new(ConnectionHandle { close: AtomicBool::new(false), waker: socket.waker() });
-        let Ok(Inserted { number, evicted: goes }) = self.connections.insert(handle.clone()) else {
-            return debug!(%from, "no room for a connection");
+        let Ok(Inserted { number, evicted }) = self.connections.insert(handle.clone()) else {
+            return debug!(%from, "connection refused: the connection table is full and no connection is idle");
         };
-        if let Some(goes) = goes {
-            goes.close.store(true, Ordering::Relaxed);
-            goes.waker.wakeup();
+        if let Some(evicted) = evicted {
+            evicted.close.store(true, Ordering::Relaxed);
+            evicted.waker.wakeup();
         }
         let proxy = self.clone();
         let work = move || {
             let end = proxy.serve_client(&Arc::new(socket), from.ip(), number, &handle);
-            debug!(%from, %end, "connection ended");
+            debug!(%from, %end, "client connection ended");
             proxy.connections.remove(number);
         };
         let proxy = self.clone();
         let failed = move |panic: Panic| {
-            warn!(%panic, "a connection's coroutine failed");
+            warn!(%panic, "the coroutine of a client connection panicked");
             proxy.connections.remove(number);
         };
         if spawn(STACK_WORDS, work, failed).is_err() {
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Serves the requests of a connection, one after the other, and returns why it ended.
+    /// Serves the requests of a connection one after the other, and returns why the connection ended.
     pub(super) fn serve_client(
         self: &Arc<Self>,
         socket: &Arc<Socket>,
@@ -56,22 +57,22 @@
         number: u64,
         handle: &ConnectionHandle,
     ) -> CloseReason {
-        let mut came = Vec::new();
+        let mut received = Vec::new();
         loop {
-            let asked = match self.read_head(socket, &mut came, number, handle) {
-                Ok(asked) => asked,
+            let request = match self.read_head(socket, &mut received, number, handle) {
+                Ok(request) => request,
                 Err(Ok(end)) => return end,
-                Err(Err(bad)) => {
-                    lock(&self.owner).hall.counts.bad += 1;
-                    return self.close_with(socket, &LocalResponse::from_error(bad));
+                Err(Err(error)) => {
+                    lock(&self.manager).resources.counts.invalid_messages += 1;
+                    return self.close_with(socket, &LocalResponse::from_error(error));
                 }
             };
             self.connections.set_idle(number, false);
             let next = match &self.archive {
-                Some(archive) if self.is_upload(&asked) => {
-                    self.upload(archive, socket, from, asked, &mut came)
+                Some(archive) if self.is_upload_request(&request) => {
+                    self.serve_upload_request(archive, socket, from, request, &mut received)
                 }
-                _ => self.proxy_request(socket, from, asked, &mut came),
+                _ => self.proxy_request(socket, from, request, &mut received),
             };
             match next {
                 AfterRequest::NextRequest => {}
@@ -81,49 +82,53 @@
         }
     }
 
-    /// Waits for the head of a request, and returns it, how the connection ended, or what is wrong with the head.
+    /// Waits for the head of a request.
+    ///
+    /// # Errors
+    /// `Ok` with the reason why the connection ended, or `Err` with what is wrong with the head.
     pub(super) fn read_head(
         &self,
         socket: &Arc<Socket>,
-        came: &mut Vec<u8>,
+        received: &mut Vec<u8>,
         number: u64,
         handle: &ConnectionHandle,
     ) -> Result<RequestHead, Result<CloseReason, MessageError>> {
-        let mut begun = None;
+        let mut head_start = None;
         loop {
-            // Empty lines before a message are allowed for (RFC 9112 section 2.2).
-            let blank = came.iter().take_while(|octet| matches!(octet, b'\r' | b'\n')).count();
-            came.drain(..blank);
-            if let Some(ParsedHead { head: asked, length }) = RequestHead::parse(came).map_err(Err)? {
-                came.drain(..length);
-                return Ok(asked);
+            // Empty lines before a request are allowed (RFC 9112 section 2.2).
+            let blank_bytes = received.iter().take_while(|octet| matches!(octet, b'\r' | b'\n')).count();
+            received.drain(..blank_bytes);
+            if let Some(ParsedHead { head: request, length }) = RequestHead::parse(received).map_err(Err)? {
+                received.drain(..length);
+                return Ok(request);
             }
             let mut scratch = lock(&self.scratch);
-            let got = socket.read(&mut scratch[..MAX_HEAD_BYTES + 1]);
-            if let Ok(ReadOutcome::Bytes(octets)) = got {
-                came.extend_from_slice(&scratch[..octets]);
+            let read = socket.read(&mut scratch[..MAX_HEAD_BYTES + 1]);
+            if let Ok(ReadOutcome::Bytes(bytes)) = read {
+                received.extend_from_slice(&scratch[..bytes]);
                 continue;
             }
             drop(scratch);
-            match got {
+            match read {
                 Err(end) => return Err(Ok(end)),
                 Ok(ReadOutcome::EndOfStream) => {
-                    return Err(Ok(if came.is_empty() {
+                    return Err(Ok(if received.is_empty() {
                         CloseReason::ClosedByPeer
                     } else {
                         CloseReason::Truncated
                     }))
                 }
-                Ok(_) if handle.close.load(Ordering::Relaxed) && came.is_empty() => {
+                Ok(_) if handle.close.load(Ordering::Relaxed) && received.is_empty() => {
                     return Err(Ok(CloseReason::IdleTimeout))
                 }
                 Ok(_) => {}
             }
-            // One that sends its head by drips would hold a seat that others want.
-            self.connections.set_idle(number, came.is_empty());
-            if !came.is_empty() {
+            // A connection that sends its head slowly counts as busy, so it is not evicted as idle. The time
+            // limit for heads keeps it from occupying its place in the table for long.
+            self.connections.set_idle(number, received.is_empty());
+            if !received.is_empty() {
                 let limit = Duration::from_millis(self.settings.limits.head_ms);
-                let since = *begun.get_or_insert_with(|| {
+                let since = *head_start.get_or_insert_with(|| {
                     let waker = socket.waker();
                     self.timer.run_after(limit, move || waker.wakeup());
                     Instant::now()
@@ -143,69 +148,73 @@
         self.send_last_response(socket, &out)
     }
 
-    /// Writes the last response of a connection, and reads on for a while: if the connection were closed over unread input,
-    /// the reset would make the client lose the response.
+    /// Writes the last response of a connection, then reads and discards input until the client closes its
+    /// side or a limit is reached. Closing a socket with unread input resets the connection, and the client
+    /// would lose the response.
     pub(crate) fn send_last_response(&self, socket: &Arc<Socket>, out: &[u8]) -> CloseReason {
         let limits = &self.settings.limits;
-        let until = Instant::now() + Duration::from_millis(limits.rest_ms);
+        let deadline = Instant::now() + Duration::from_millis(limits.rest_ms);
         let waker = socket.waker();
         self.timer.run_after(Duration::from_millis(limits.rest_ms), move || waker.wakeup());
-        let (mut written, mut rest, mut shut) = (0, limits.rest_kb << 10, false);
+        let (mut written, mut unread_limit, mut is_write_shut) = (0, limits.rest_kb << 10, false);
         loop {
             if written < out.len() {
                 match socket.write(&out[written..]) {
-                    Ok(octets) => written += octets,
+                    Ok(bytes) => written += bytes,
                     Err(end) => return end,
                 }
             }
-            if written == out.len() && !std::mem::replace(&mut shut, true) && !socket.shutdown_write() {
+            if written == out.len()
+                && !std::mem::replace(&mut is_write_shut, true)
+                && !socket.shutdown_write()
+            {
                 return CloseReason::Reset;
             }
             let mut scratch = lock(&self.scratch);
-            let got = socket.read(&mut scratch);
+            let read = socket.read(&mut scratch);
             drop(scratch);
-            match got {
-                Ok(ReadOutcome::Bytes(octets)) if octets as u64 <= rest => rest -= octets as u64,
-                Ok(ReadOutcome::WouldBlock) if Instant::now() < until => socket.wait(),
+            match read {
+                Ok(ReadOutcome::Bytes(bytes)) if bytes as u64 <= unread_limit => unread_limit -= bytes as u64,
+                Ok(ReadOutcome::WouldBlock) if Instant::now() < deadline => socket.wait(),
                 Err(end) => return end,
                 Ok(_) => return CloseReason::Completed,
             }
         }
     }
 
-    /// Submits a request, and carries out its exchange.
+    /// Submits a request to the scheduler, and runs its exchange.
     pub(super) fn proxy_request(
         self: &Arc<Self>,
         socket: &Arc<Socket>,
         from: IpAddr,
-        asked: RequestHead,
-        came: &mut Vec<u8>,
+        request: RequestHead,
+        received: &mut Vec<u8>,
     ) -> AfterRequest {
-        let told = match asked.framing {
+        let announced_bytes = match request.framing {
             Framing::Length(length) => Some(length),
             _ => None,
         };
-        let customer = self.settings.customer(&asked);
-        let mark = asked.known.idempotency_key.clone();
-        let made = self.settings.stage(&asked).and_then(|stage| {
-            let stage_settings = &self.settings.stages[stage];
-            if stage_settings.effect == lynxtally::Effect::Deduplicated && mark.is_none() {
+        let tenant = self.settings.tenant(&request);
+        let idempotency_key = request.known.idempotency_key.clone();
+        let accepted = self.settings.class(&request).and_then(|class| {
+            let class_settings = &self.settings.classes[class];
+            if class_settings.effect == lynxtally::Effect::Deduplicated && idempotency_key.is_none() {
                 return Err(MessageError::InvalidField("Idempotency-Key"));
             }
-            Ok((stage, ProxiedRequest::new(asked, stage_settings.plan.clone())?))
+            Ok((class, ProxiedRequest::new(request, class_settings.forwarding.clone())?))
         });
-        let (stage, proxied) = match made {
-            Ok(made) => made,
-            Err(bad) => {
-                lock(&self.owner).hall.counts.bad += 1;
-                return AfterRequest::Close(self.close_with(socket, &LocalResponse::from_error(bad)));
+        let (class, proxied) = match accepted {
+            Ok(accepted) => accepted,
+            Err(error) => {
+                lock(&self.manager).resources.counts.invalid_messages += 1;
+                return AfterRequest::Close(self.close_with(socket, &LocalResponse::from_error(error)));
             }
         };
-        let ticket = Arc::new(Ticket::new(stage, socket.waker()));
-        let entering = Entering { customer, mark, told, caller: caller(from) };
-        if !self.with(|owner, now| owner.enter(now, &ticket, entering)) {
+        let handle = Arc::new(RequestHandle::new(class, socket.waker()));
+        let info = RequestInfo { tenant, idempotency_key, announced_bytes, caller: caller_number(from) };
+        if !self.with_manager(|manager, now| manager.submit(now, &handle, info)) {
             return AfterRequest::Close(self.close_with(socket, &LocalResponse::new(503, "not taken")));
         }
-        self.run_exchange(socket, &ticket, proxied, None, told, came)
+        self.run_exchange(socket, &handle, proxied, None, announced_bytes, received)
     }
 }
