--- a/crates/frontends/stream/src/proxy/exchange.rs
+++ b/crates/frontends/stream/src/proxy/exchange.rs
@@ -1,9 +1,10 @@
-//! One request and its response, shared by the coroutines of the client and of the upstream.
+//! One exchange: a request and its response. The coroutine of the client and that of the upstream share its
+//! state, and either of them transfers bytes in both directions.
 
 use super::{AfterRequest, Proxy};
 use crate::http::LocalResponse;
 use crate::proxied_request::{ProxiedRequest, ProxyError};
-use crate::request_manager::{Moved, Ticket};
+use crate::request_manager::{RequestHandle, TransferReport};
 use crate::upload_archive::{PendingOperation, UploadArchive};
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
 use lynxtally_flow::uploads::UploadId;
@@ -14,17 +15,17 @@
 use std::sync::{Arc, Mutex};
 use tracing::debug;
 
-/// After transferring so many bytes, a coroutine yields to the others.
+/// The bytes after which a coroutine yields to the others, so that one fast exchange does not delay them.
 pub(super) const BYTES_PER_TURN: usize = 1024 * 1024;
 
-/// What the coroutine does after transferring what it could.
+/// What a coroutine does next, after it has transferred what it could.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Transfer {
-    /// It waits for its socket: nothing more can be transferred now.
+    /// Nothing more can be transferred now: the coroutine waits for its socket.
     Blocked,
-    /// It yields: there is more to be transferred.
+    /// There is more to transfer: the coroutine yields.
     Yield,
-    /// It ends: so has the exchange.
+    /// The exchange is over: the coroutine ends.
     Over,
 }
 
@@ -33,314 +34,323 @@
 pub(super) enum Outcome {
     /// The whole response was written.
     Completed,
-    /// The response was cut off, and must not look complete.
+    /// The response was cut off. Its connection is reset, so that the client does not take it for complete.
     Cut,
-    /// The client closed its connection, or it failed.
+    /// The client closed its connection, or the connection failed.
     ClientGone(CloseReason),
 }
 
-/// A body that is read from the upload archive, not from the client.
+/// A request body that is read from the upload archive instead of the client.
 pub(crate) struct ArchivedBody {
     pub archive: Arc<UploadArchive>,
     pub id: UploadId,
-    /// The offset up to which it was read, in bytes.
-    pub at: u64,
-    /// Its length.
-    pub end: u64,
-    /// Bytes that were read and are not used yet.
-    pub ready: Vec<u8>,
-    /// The read under way.
-    pub awaited: Option<PendingOperation>,
+    /// Offset of the next byte to read.
+    pub offset: u64,
+    /// The length of the body in bytes.
+    pub length: u64,
+    /// Bytes that were read from the archive and not transferred yet.
+    pub unused: Vec<u8>,
+    /// The read of the archive that is in progress.
+    pub pending_read: Option<PendingOperation>,
 }
 
-/// What both coroutines of an exchange work on.
+/// The state that both coroutines of an exchange share.
 pub(super) struct ExchangeState {
     pub(super) proxied: ProxiedRequest,
-    pub(super) source: Option<ArchivedBody>,
-    /// Bytes received from the client that are not used yet.
-    pub(super) left: Vec<u8>,
+    pub(super) archived_body: Option<ArchivedBody>,
+    /// Bytes received from the client and not processed yet.
+    pub(super) unused_input: Vec<u8>,
     pub(super) upstream: Option<Arc<Socket>>,
-    /// Nothing can be written to the upstream any more, though its response may still arrive.
-    pub(super) up_closed: bool,
-    /// The upstream sends no more.
-    pub(super) up_ended: bool,
-    /// Bytes written to the upstream on this connection.
-    pub(super) sent_up: u64,
-    /// Whether any were written, on this connection or an earlier one.
-    pub(super) ever_sent: bool,
-    /// Why this connection to an upstream has failed.
-    pub(super) failed: Option<CloseReason>,
-    pub(super) client_ended: bool,
-    /// The client sent more before the response.
-    pub(super) pipelined: bool,
-    pub(super) kept: u64,
-    pub(super) over: Option<Outcome>,
+    /// Nothing more can be written to the upstream, though its response may still arrive.
+    pub(super) upstream_write_closed: bool,
+    /// The upstream sends nothing more.
+    pub(super) upstream_read_ended: bool,
+    /// Bytes written to the upstream on the current connection.
+    pub(super) sent_bytes: u64,
+    /// Whether any bytes were written to an upstream, on the current connection or an earlier one.
+    pub(super) has_ever_sent: bool,
+    /// Why the current connection to an upstream has failed.
+    pub(super) failure: Option<CloseReason>,
+    pub(super) client_input_ended: bool,
+    /// The client sent another request before the response to this one was complete.
+    pub(super) has_pipelined: bool,
+    pub(super) copied_bytes: u64,
+    pub(super) outcome: Option<Outcome>,
 }
 
-/// One request and its response.
+/// A request and its response.
 pub(super) struct Exchange {
     pub(super) state: Mutex<ExchangeState>,
     pub(super) client: Arc<Socket>,
-    pub(super) ticket: Arc<Ticket>,
-    pub(super) upstream: Mutex<Option<WaitIoWaker>>,
+    pub(super) handle: Arc<RequestHandle>,
+    pub(super) upstream_waker: Mutex<Option<WaitIoWaker>>,
 }
 
 impl ExchangeState {
-    /// Counts bytes written to the upstream on this connection.
-    pub(super) fn sent(&mut self, octets: usize) {
-        self.sent_up += octets as u64;
-        self.ever_sent |= octets > 0;
+    /// Counts bytes written to the upstream on the current connection.
+    pub(super) fn record_sent(&mut self, bytes: usize) {
+        self.sent_bytes += bytes as u64;
+        self.has_ever_sent |= bytes > 0;
     }
 
-    /// Forgets what is known of the connection to an upstream. This must come before the output for the next connection is
-    /// prepared: the client's coroutine runs meanwhile, and drops output for a connection that takes no more.
+    /// Resets the state of the upstream connection. This must be done before the output for the next
+    /// connection is prepared: the client's coroutine runs in the meantime, and discards output while the
+    /// state says that the upstream takes no more.
     pub(super) fn renew_connection(&mut self) {
-        self.up_closed = false;
-        self.up_ended = false;
-        self.sent_up = 0;
+        self.upstream_write_closed = false;
+        self.upstream_read_ended = false;
+        self.sent_bytes = 0;
     }
 }
 
 impl Exchange {
     pub(super) fn wake_upstream(&self) {
-        if let Some(waker) = &*lock(&self.upstream) {
+        if let Some(waker) = &*lock(&self.upstream_waker) {
             waker.wakeup();
         }
     }
 }
 
 impl<P: Scheduler + Send + 'static> Proxy<P> {
-    /// Carries out one exchange, from its submission to its end.
+    /// Runs an exchange from the submission of its request to its end.
     pub(crate) fn run_exchange(
         self: &Arc<Self>,
         socket: &Arc<Socket>,
-        ticket: &Arc<Ticket>,
+        handle: &Arc<RequestHandle>,
         proxied: ProxiedRequest,
-        source: Option<ArchivedBody>,
-        told: Option<u64>,
-        came: &mut Vec<u8>,
+        archived_body: Option<ArchivedBody>,
+        announced_bytes: Option<u64>,
+        received: &mut Vec<u8>,
     ) -> AfterRequest {
         let exchange = Arc::new(Exchange {
             state: Mutex::new(ExchangeState {
                 proxied,
-                source,
-                left: std::mem::take(came),
+                archived_body,
+                unused_input: std::mem::take(received),
                 upstream: None,
-                up_closed: false,
-                up_ended: false,
-                sent_up: 0,
-                ever_sent: false,
-                failed: None,
-                client_ended: false,
-                pipelined: false,
-                kept: 0,
-                over: None,
+                upstream_write_closed: false,
+                upstream_read_ended: false,
+                sent_bytes: 0,
+                has_ever_sent: false,
+                failure: None,
+                client_input_ended: false,
+                has_pipelined: false,
+                copied_bytes: 0,
+                outcome: None,
             }),
             client: socket.clone(),
-            ticket: ticket.clone(),
-            upstream: Mutex::default(),
+            handle: handle.clone(),
+            upstream_waker: Mutex::default(),
         });
-        let mut begun = false;
-        let over = loop {
-            if ticket.running() && !std::mem::replace(&mut begun, true) {
+        let mut has_started = false;
+        let outcome = loop {
+            if handle.is_admitted() && !std::mem::replace(&mut has_started, true) {
                 lock(&exchange.state).proxied.on_admitted();
-                self.spawn_upstream_side(&exchange, told);
+                self.spawn_upstream_side(&exchange, announced_bytes);
             }
             self.take_final_response(&exchange);
             match self.transfer(&exchange) {
                 Transfer::Over => {
-                    if let Some(over) = lock(&exchange.state).over {
-                        break over;
+                    if let Some(outcome) = lock(&exchange.state).outcome {
+                        break outcome;
                     }
                 }
                 Transfer::Yield => self.fair_yield.yield_on(socket),
                 Transfer::Blocked => socket.wait(),
             }
         };
-        self.end_exchange(&exchange, over, came)
+        self.end_exchange(&exchange, outcome, received)
     }
 
-    /// Ends an exchange that is over for its client: reports it to the owner, and releases the upstream.
+    /// Ends an exchange whose outcome for the client is known: reports it to the manager, and releases the
+    /// upstream.
     pub(super) fn end_exchange(
         &self,
         exchange: &Arc<Exchange>,
-        over: Outcome,
-        came: &mut Vec<u8>,
+        outcome: Outcome,
+        received: &mut Vec<u8>,
     ) -> AfterRequest {
         let mut state = lock(&exchange.state);
-        let last = state.proxied.closes_connection();
-        let whole = state.proxied.request_body.is_complete();
-        let ticket = &exchange.ticket;
+        let closes = state.proxied.closes_connection();
+        let is_body_complete = state.proxied.request_body.is_complete();
+        let handle = &exchange.handle;
         if let Some(upstream) =
-            state.upstream.take().filter(|_| !whole || !state.proxied.is_response_complete())
+            state.upstream.take().filter(|_| !is_body_complete || !state.proxied.is_response_complete())
         {
-            // A request that is cut off must not look complete.
+            // The upstream must not take a request that was cut off for complete.
             upstream.reset_on_close();
         }
-        let well = state.proxied.response().map(|reply| reply.status < 500);
-        let answered = well.is_some() && state.proxied.is_response_complete();
-        let effect = lock(&self.owner).effect(ticket);
+        let succeeded = state.proxied.response().map(|response| response.status < 500);
+        let has_response = succeeded.is_some() && state.proxied.is_response_complete();
+        let effect = lock(&self.manager).effect(handle);
         let copy = state.proxied.take_response_copy();
-        *came = std::mem::take(&mut state.left);
-        let next = match over {
-            Outcome::Completed if last || state.pipelined || state.client_ended => None,
+        *received = std::mem::take(&mut state.unused_input);
+        let next = match outcome {
+            Outcome::Completed if closes || state.has_pipelined || state.client_input_ended => None,
             Outcome::Completed => Some(AfterRequest::NextRequest),
             Outcome::Cut => {
                 exchange.client.reset_on_close();
                 Some(AfterRequest::Close(CloseReason::Cancelled))
             }
-            Outcome::ClientGone(end) => Some(AfterRequest::Close(end)),
+            Outcome::ClientGone(reason) => Some(AfterRequest::Close(reason)),
         };
         drop(state);
         exchange.wake_upstream();
         let mut state = lock(&exchange.state);
-        if let Some(source) = state.source.take() {
-            // Where some was sent upstream without a response, an upload is kept only if it may be sent again.
-            let again = effect == lynxtally::Effect::Idempotent || state.sent_up == 0;
-            if !again || (answered && well == Some(true)) {
-                source.archive.remove(source.id);
+        if let Some(archived_body) = state.archived_body.take() {
+            // If bytes were sent to the upstream and no complete response came, the upload is kept only if
+            // its request is idempotent, so that the client may retry it.
+            let may_send_again = effect == lynxtally::Effect::Idempotent || state.sent_bytes == 0;
+            if !may_send_again || (has_response && succeeded == Some(true)) {
+                archived_body.archive.remove(archived_body.id);
             }
         }
         drop(state);
-        self.with(|owner, now| match over {
-            Outcome::Completed if ticket.running() => {
-                owner.let_go(now, ticket, well);
-                owner.ended(now, ticket, RunEnd::Completed(copy.unwrap_or_default()));
+        self.with_manager(|manager, now| match outcome {
+            Outcome::Completed if handle.is_admitted() => {
+                manager.release_upstream(now, handle, succeeded);
+                manager.end_request(now, handle, RunEnd::Completed(copy.unwrap_or_default()));
             }
             Outcome::Completed => {}
             Outcome::Cut => {
-                owner.hall.counts.cut += 1;
-                owner.let_go(now, ticket, None);
-                owner.ended(now, ticket, RunEnd::Failed);
+                manager.resources.counts.cut_responses += 1;
+                manager.release_upstream(now, handle, None);
+                manager.end_request(now, handle, RunEnd::Failed);
             }
             Outcome::ClientGone(_) => {
-                owner.let_go(now, ticket, None);
-                owner.gone(now, ticket);
+                manager.release_upstream(now, handle, None);
+                manager.client_gone(now, handle);
             }
         });
         next.unwrap_or_else(|| AfterRequest::Close(self.send_last_response(&exchange.client, &[])))
     }
 
-    /// Takes the final response that the owner has for an exchange.
+    /// Takes the final response that the manager has for an exchange, if there is one.
     pub(super) fn take_final_response(&self, exchange: &Exchange) {
-        let Some(answer) = exchange.ticket.answer() else { return };
+        let Some(response) = exchange.handle.take_response() else { return };
         let mut state = lock(&exchange.state);
-        if state.over.is_some() {
+        if state.outcome.is_some() {
             return;
         }
-        let own = match answer {
-            FinalResponse::Completed(octets) if !octets.is_empty() => {
-                state.proxied.replay_response(&octets);
+        let local = match response {
+            FinalResponse::Completed(bytes) if !bytes.is_empty() => {
+                state.proxied.replay_response(&bytes);
                 return;
             }
-            FinalResponse::Rejected { retry_after: hold_off, .. } => {
-                let seconds = (hold_off.secs().ceil() as u64).max(1);
+            FinalResponse::Rejected { retry_after, .. } => {
+                let seconds = (retry_after.secs().ceil() as u64).max(1);
                 LocalResponse {
                     retry_after_secs: Some(seconds),
                     ..LocalResponse::new(503, "not taken; nothing of it was done")
                 }
             }
-            FinalResponse::Completed(_) => LocalResponse::new(502, "done before, but its answer is not kept"),
-            FinalResponse::Failed => match state.failed {
-                Some(end) => LocalResponse::new(502, format!("the upstream failed: {end}")),
+            FinalResponse::Completed(_) => {
+                LocalResponse::new(502, "the request was executed before, but its response is not kept")
+            }
+            FinalResponse::Failed => match state.failure {
+                Some(reason) => LocalResponse::new(502, format!("the upstream failed: {reason}")),
                 None => LocalResponse::new(504, "not done in time"),
             },
         };
-        if !state.proxied.respond_locally(&own) {
-            state.over = Some(Outcome::Cut);
+        if !state.proxied.respond_locally(&local) {
+            state.outcome = Some(Outcome::Cut);
         }
     }
 
-    /// Handles an error: one of the client is answered, or cuts the response off; for one of the upstream the upstream's
-    /// coroutine decides whether to retry.
-    pub(super) fn handle_error(&self, state: &mut ExchangeState, fault: ProxyError) {
-        match fault {
-            ProxyError::Client(bad) => {
-                if !state.proxied.respond_locally(&LocalResponse::from_error(bad)) {
-                    state.over = Some(Outcome::Cut);
+    /// Handles an error. One that the client caused is answered, or cuts the response off if that has begun.
+    /// One that the upstream caused ends its connection, and the upstream's coroutine decides whether to
+    /// retry.
+    pub(super) fn handle_error(&self, state: &mut ExchangeState, error: ProxyError) {
+        match error {
+            ProxyError::Client(error) => {
+                if !state.proxied.respond_locally(&LocalResponse::from_error(error)) {
+                    state.outcome = Some(Outcome::Cut);
                 }
-                // The client's framing is lost: nothing after this can be understood.
-                state.client_ended = true;
+                // After an error in the client's framing, further input cannot be parsed.
+                state.client_input_ended = true;
             }
-            ProxyError::Upstream(bad) => {
-                debug!(%bad, "an upstream's answer can't be read");
-                state.failed = Some(CloseReason::Malformed);
-                state.up_ended = true;
+            ProxyError::Upstream(error) => {
+                debug!(%error, "the response of an upstream is not valid");
+                state.failure = Some(CloseReason::Malformed);
+                state.upstream_read_ended = true;
             }
             ProxyError::ObjectChanged(changed) => {
-                debug!(?changed, "the rest of a download is of another object");
-                state.failed = Some(CloseReason::AddressChanged);
-                state.up_ended = true;
+                debug!(?changed, "the upstream's response is not the rest of the download to resume");
+                state.failure = Some(CloseReason::AddressChanged);
+                state.upstream_read_ended = true;
             }
         }
     }
 
-    /// Transfers bytes both ways, as far as is possible now.
+    /// Transfers bytes in both directions as far as possible now.
     pub(super) fn transfer(&self, exchange: &Exchange) -> Transfer {
         let mut state = lock(&exchange.state);
         let state = &mut *state;
-        if state.over.is_some() {
+        if state.outcome.is_some() {
             return Transfer::Over;
         }
-        if !exchange.ticket.running() && !state.proxied.has_response_begun() {
+        if !exchange.handle.is_admitted() && !state.proxied.has_response_begun() {
             if exchange.client.is_broken() {
-                state.over = Some(Outcome::ClientGone(CloseReason::Reset));
+                state.outcome = Some(Outcome::ClientGone(CloseReason::Reset));
                 return Transfer::Over;
             }
             return Transfer::Blocked;
         }
-        let rooms = lock(&self.owner).rooms(&exchange.ticket);
-        let mut moved = Moved::default();
+        let allowance = lock(&self.manager).allowance(&exchange.handle);
+        let mut report = TransferReport::default();
         let mut budget = BYTES_PER_TURN;
         let mut scratch = lock(&self.scratch);
-        let mut again = true;
-        while again && state.over.is_none() && budget > 0 {
-            let before = state.proxied.client_output().len();
-            let mut step = self.transfer_request(exchange, state, rooms, &mut scratch, &mut moved);
-            step += self.transfer_response(exchange, state, rooms, &mut scratch, &mut moved);
-            // What was added without anything having moved has to be offered to the client still.
-            again = step > 0 || state.proxied.client_output().len() > before;
+        let mut progressed = true;
+        while progressed && state.outcome.is_none() && budget > 0 {
+            let output_before = state.proxied.client_output().len();
+            let mut step = self.transfer_request(exchange, state, allowance, &mut scratch, &mut report);
+            step += self.transfer_response(exchange, state, allowance, &mut scratch, &mut report);
+            // Output that was added without any transfer, such as a response of the proxy's own, still has to
+            // be written.
+            progressed = step > 0 || state.proxied.client_output().len() > output_before;
             if state.proxied.is_done() {
-                // What the client sends from now on is its next message.
+                // What the client sends from now on belongs to its next request.
                 break;
             }
             budget = budget.saturating_sub(step);
         }
         drop(scratch);
-        if state.over.is_none() && state.proxied.is_done() {
-            state.over = Some(Outcome::Completed);
+        if state.outcome.is_none() && state.proxied.is_done() {
+            state.outcome = Some(Outcome::Completed);
         }
-        moved.up_held = state.proxied.request_body.buffered_bytes() + state.left.len() as u64;
-        moved.down_held = state.proxied.buffered_response_bytes();
-        moved.waits_client =
-            state.proxied.wants_request_body() && moved.up_held < rooms.up && !state.client_ended;
-        let credit = rooms.credit.is_none_or(|credit| credit > moved.down_took);
-        moved.more = !credit && !state.proxied.client_output().is_empty();
-        let mut owner = lock(&self.owner);
+        report.held_for_upstream =
+            state.proxied.request_body.buffered_bytes() + state.unused_input.len() as u64;
+        report.held_for_client = state.proxied.buffered_response_bytes();
+        report.awaits_client_body = state.proxied.wants_request_body()
+            && report.held_for_upstream < allowance.upstream_window
+            && !state.client_input_ended;
+        let has_credit = allowance.link_credit.is_none_or(|credit| credit > report.written_to_client);
+        report.needs_link_turn = !has_credit && !state.proxied.client_output().is_empty();
+        let mut manager = lock(&self.manager);
         let now = self.clock.now();
-        owner.moved(now, &exchange.ticket, moved);
-        if state.proxied.request_body.kept_copy().is_some_and(|kept| kept.len() as u64 > state.kept) {
-            let kept = state.proxied.request_body.kept_copy().map_or(0, <[u8]>::len) as u64;
-            if owner.keep(&exchange.ticket, kept - state.kept) {
-                state.kept = kept;
+        manager.record_transfer(now, &exchange.handle, report);
+        if state.proxied.request_body.kept_copy().is_some_and(|copy| copy.len() as u64 > state.copied_bytes) {
+            let copied_bytes = state.proxied.request_body.kept_copy().map_or(0, <[u8]>::len) as u64;
+            if manager.reserve_copy(&exchange.handle, copied_bytes - state.copied_bytes) {
+                state.copied_bytes = copied_bytes;
             } else {
                 state.proxied.request_body.drop_copy();
             }
         }
-        drop(owner);
-        if moved.more {
-            // Its turn on the link has to be asked for.
-            self.turn();
+        drop(manager);
+        if report.needs_link_turn {
+            // Lets the manager grant the request its turn on the link.
+            self.run_manager();
         }
-        if state.over.is_some() {
-            exchange.ticket.wake();
+        if state.outcome.is_some() {
+            exchange.handle.wake_client();
             exchange.wake_upstream();
             return Transfer::Over;
         }
-        if state.failed.is_some() {
+        if state.failure.is_some() {
             exchange.wake_upstream();
         }
-        if again {
+        if progressed {
             Transfer::Yield
         } else {
             Transfer::Blocked
--- a/crates/frontends/stream/src/proxy/mod.rs
+++ b/crates/frontends/stream/src/proxy/mod.rs
@@ -1,6 +1,6 @@
-//! The proxy's driver: a coroutine for each connection of a client, and one for each request's connection to an upstream.
-//! Either of the two transfers the request's bytes, both ways, as far as it goes, and then waits on its own socket; what
-//! is decided is decided by the owner.
+//! The driver of the proxy. Each client connection has a coroutine, and each request has one for its
+//! connection to an upstream. Either of the two transfers the request's bytes in both directions as far as
+//! possible, and then waits on its own socket. All decisions are made by the [`RequestManager`].
 
 mod client_connection;
 mod exchange;
@@ -10,8 +10,8 @@
 
 pub(crate) use exchange::ArchivedBody;
 
-use crate::request_manager::Owner;
-use crate::settings::Checked;
+use crate::request_manager::RequestManager;
+use crate::settings::StreamSettings;
 use crate::upload_archive::UploadArchive;
 use lynxtally_engine::Scheduler;
 use lynxtally_net::clock::Clock;
@@ -31,61 +31,61 @@
 /// The size of a coroutine's stack, in words.
 const STACK_WORDS: usize = 0x10000;
 
-/// The most that one read takes.
+/// The most bytes that one read takes from a socket.
 const SCRATCH_BYTES: usize = 128 * 1024;
 
-/// Room for the framing of what is read.
+/// Bytes kept free for framing, beside the bytes that are read.
 const FRAMING_BYTES: u64 = 64;
 
-/// The most that is read of a client that sends more before the response.
+/// The most bytes that are read ahead from a client that sends its next request before the response.
 const MAX_PIPELINED_BYTES: usize = 2 * 1024;
 
-/// During a shutdown, an idle connection is closed after so long.
+/// The time after which an idle connection is closed during a shutdown.
 const SHUTDOWN_IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Closes the connection of a client.
+/// Lets other coroutines close the connection of a client.
 struct ConnectionHandle {
     close: AtomicBool,
     waker: WaitIoWaker,
 }
 
-/// What all coroutines of a server share.
+/// The state that all coroutines of a server share.
 pub struct Proxy<P> {
-    /// The owner of all streams.
-    pub owner: Mutex<Owner<P>>,
-    pub(crate) settings: Checked,
+    /// The manager of all requests.
+    pub manager: Mutex<RequestManager<P>>,
+    pub(crate) settings: StreamSettings,
     clock: Clock,
     connections: ConnectionTable<Arc<ConnectionHandle>>,
-    /// The listeners.
+    /// The listening sockets.
     pub listeners: ListenerSet,
     timer: Timer,
     fair_yield: FairYield,
-    /// What is read goes through this one buffer, as one worker runs all coroutines.
+    /// The buffer for all reads. One is enough, because a single worker thread runs all coroutines.
     pub(crate) scratch: Mutex<Vec<u8>>,
-    /// Resumable uploads.
+    /// The archive of resumable uploads, if the settings name a directory for it.
     pub archive: Option<Arc<UploadArchive>>,
-    own: Weak<Self>,
+    weak_self: Weak<Self>,
 }
 
-/// What becomes of a client's connection after a request.
+/// What happens to a client's connection after a request.
 pub(crate) enum AfterRequest {
-    /// It is used for the next request.
+    /// The connection is used for the next request.
     NextRequest,
-    /// It ends.
+    /// The connection is closed, for this reason.
     Close(CloseReason),
 }
 
 impl<P: Scheduler + Send + 'static> Proxy<P> {
-    /// A proxy with these settings.
+    /// Creates a proxy without connections.
     pub fn new(
-        settings: Checked,
-        owner: Owner<P>,
+        settings: StreamSettings,
+        manager: RequestManager<P>,
         timer: Timer,
         fair_yield: FairYield,
         archive: Option<Arc<UploadArchive>>,
     ) -> Arc<Self> {
-        Arc::new_cyclic(|own| Self {
-            owner: Mutex::new(owner),
+        Arc::new_cyclic(|weak_self| Self {
+            manager: Mutex::new(manager),
             clock: Clock::default(),
             connections: ConnectionTable::new(settings.limits.connections),
             listeners: ListenerSet::new(timer.clone()),
@@ -94,57 +94,62 @@
             scratch: Mutex::new(vec![0; SCRATCH_BYTES]),
             archive,
             settings,
-            own: own.clone(),
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// Bounds what the kernel buffers for a connection: with thousands that stall, that is most of the memory.
+    /// Limits the kernel's buffers of a connection. With thousands of stalled connections, these would take
+    /// most of the memory.
     fn limit_buffers(&self, socket: &Socket) {
-        let octets = (self.settings.limits.socket_kb << 10) as usize;
-        if octets > 0 {
-            socket.limit_buffers(octets);
+        let bytes = (self.settings.limits.socket_kb << 10) as usize;
+        if bytes > 0 {
+            socket.limit_buffers(bytes);
         }
     }
 
-    /// Handles expired timers and decides.
-    pub fn turn(&self) {
-        self.with(|_, _| ());
+    /// Lets the manager handle expired timers and carry out the scheduler's decisions.
+    pub fn run_manager(&self) {
+        self.with_manager(|_, _| ());
     }
 
-    /// Does something with the owner, has it decide, and sets the timer for its next decision.
-    pub fn with<T>(&self, work: impl FnOnce(&mut Owner<P>, lynxtally::Instant) -> T) -> T {
-        let mut owner = lock(&self.owner);
+    /// Calls `work` with the manager under its lock, lets the manager carry out the scheduler's decisions,
+    /// and sets the timer for its next run.
+    pub fn with_manager<T>(&self, work: impl FnOnce(&mut RequestManager<P>, lynxtally::Instant) -> T) -> T {
+        let mut manager = lock(&self.manager);
         let now = self.clock.now();
-        let done = work(&mut owner, now);
-        let wait = owner.turn(now);
-        drop(owner);
+        let result = work(&mut manager, now);
+        let wait = manager.run(now);
+        drop(manager);
         if let Some(wait) = wait {
-            let own = self.own.clone();
+            let weak_self = self.weak_self.clone();
             self.timer.run_after(Duration::from_micros(wait.micros()), move || {
-                if let Some(own) = own.upgrade() {
-                    own.turn();
+                if let Some(proxy) = weak_self.upgrade() {
+                    proxy.run_manager();
                 }
             });
         }
-        done
+        result
     }
 
-    /// Closes connections that are idle for too long; during a shutdown sooner, but late enough for a request that is on
-    /// its way.
-    pub fn sweep(&self, leaving: bool) {
-        let idle = Duration::from_millis(self.settings.limits.idle_ms);
-        for handle in self.connections.idle_for(if leaving { idle.min(SHUTDOWN_IDLE_TIMEOUT) } else { idle })
-        {
+    /// Closes connections that have been idle for too long. During a shutdown the timeout is shorter, but
+    /// still long enough for a request that is on its way.
+    pub fn sweep(&self, is_shutting_down: bool) {
+        let idle_timeout = Duration::from_millis(self.settings.limits.idle_ms);
+        for handle in self.connections.idle_for(if is_shutting_down {
+            idle_timeout.min(SHUTDOWN_IDLE_TIMEOUT)
+        } else {
+            idle_timeout
+        }) {
             handle.close.store(true, Ordering::Relaxed);
             handle.waker.wakeup();
         }
         let open = self.connections.len();
-        lock(&self.owner).connections(open);
+        lock(&self.manager).set_open_connections(open);
     }
 }
 
-/// A number for a client's machine: its IPv4 address, or the network part of its IPv6 address.
-pub(crate) fn caller(from: IpAddr) -> u64 {
+/// Identifies a client's machine by its IPv4 address, or by the network part of its IPv6 address.
+pub(crate) fn caller_number(from: IpAddr) -> u64 {
     match from {
         IpAddr::V4(from) => u64::from(u32::from(from)),
         IpAddr::V6(from) => (u128::from(from) >> 64) as u64,
--- a/crates/frontends/stream/src/proxy/response_direction.rs
+++ b/crates/frontends/stream/src/proxy/response_direction.rs
@@ -1,28 +1,28 @@
-//! The response's direction: from the upstream to the client.
+//! The response direction of an exchange: from the upstream to the client.
 
 use super::exchange::{Exchange, ExchangeState, Outcome};
 use super::{Proxy, FRAMING_BYTES};
 use crate::proxied_request::ProxyError;
-use crate::request_manager::{Moved, Rooms};
+use crate::request_manager::{TransferAllowance, TransferReport};
 use lynxtally_engine::Scheduler;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::socket::{ReadOutcome, Socket};
 use std::sync::Arc;
 
 impl<P: Scheduler + Send + 'static> Proxy<P> {
-    /// Transfers from the upstream to the client, and returns how many bytes moved.
+    /// Transfers bytes from the upstream to the client, and returns how many.
     pub(super) fn transfer_response(
         &self,
         exchange: &Exchange,
         state: &mut ExchangeState,
-        rooms: Rooms,
+        allowance: TransferAllowance,
         scratch: &mut [u8],
-        moved: &mut Moved,
+        report: &mut TransferReport,
     ) -> usize {
-        let Ok(written) = write_client_output(exchange, state, rooms, moved) else { return 0 };
+        let Ok(written) = write_client_output(exchange, state, allowance, report) else { return 0 };
         let Some(upstream) = response_source(state) else { return written };
         let buffered = state.proxied.buffered_response_bytes();
-        let room = rooms.down.saturating_sub(buffered + FRAMING_BYTES) as usize;
+        let room = allowance.client_window.saturating_sub(buffered + FRAMING_BYTES) as usize;
         if room == 0 {
             return written;
         }
@@ -31,13 +31,13 @@
         let result = match upstream.read(&mut scratch[..max_bytes]) {
             Ok(ReadOutcome::Bytes(count)) => {
                 received = count;
-                self.receive(exchange, state, rooms, &scratch[..count], room, moved)
+                self.receive(exchange, state, allowance, &scratch[..count], room, report)
             }
             Ok(ReadOutcome::WouldBlock) => state.proxied.flush_response(),
             Ok(ReadOutcome::EndOfStream) => end_of_response(state),
             Err(reason) => {
-                state.up_ended = true;
-                state.failed = Some(reason);
+                state.upstream_read_ended = true;
+                state.failure = Some(reason);
                 Ok(())
             }
         };
@@ -47,20 +47,21 @@
         written + received
     }
 
-    /// Hands on bytes of the response: straight to the client as far as they need no change, else to the exchange.
+    /// Passes on received bytes of the response: directly to the client as far as they need no change, the
+    /// rest through the proxied request.
     fn receive(
         &self,
         exchange: &Exchange,
         state: &mut ExchangeState,
-        rooms: Rooms,
+        allowance: TransferAllowance,
         bytes: &[u8],
         room: usize,
-        moved: &mut Moved,
+        report: &mut TransferReport,
     ) -> Result<(), ProxyError> {
-        let passed = match self.pass_response_through(exchange, state, rooms, bytes, moved) {
+        let passed = match self.pass_response_through(exchange, state, allowance, bytes, report) {
             Ok(passed) => passed,
             Err(reason) => {
-                state.over = Some(Outcome::ClientGone(reason));
+                state.outcome = Some(Outcome::ClientGone(reason));
                 return Ok(());
             }
         };
@@ -70,22 +71,22 @@
         state.proxied.receive_response(&bytes[passed..], room)
     }
 
-    /// Writes bytes of the response that need no change straight to the client, and returns how many.
+    /// Writes bytes of the response that need no change directly to the client, and returns how many.
     fn pass_response_through(
         &self,
         exchange: &Exchange,
         state: &mut ExchangeState,
-        rooms: Rooms,
+        allowance: TransferAllowance,
         bytes: &[u8],
-        moved: &mut Moved,
+        report: &mut TransferReport,
     ) -> Result<usize, CloseReason> {
         let unchanged = state.proxied.response_passthrough_length(bytes.len());
-        let allowed = unchanged.min(client_credit(rooms, moved));
+        let allowed = unchanged.min(client_credit(allowance, report));
         if allowed == 0 {
             return Ok(0);
         }
         let written = exchange.client.write(&bytes[..allowed])?;
-        moved.down_took += written as u64;
+        report.written_to_client += written as u64;
         if let Err(error) = state.proxied.record_response_passthrough(written) {
             self.handle_error(state, error);
         }
@@ -93,51 +94,52 @@
     }
 }
 
-/// How many more bytes may be written to the client now; without bound where the link is not scarce.
-fn client_credit(rooms: Rooms, moved: &Moved) -> usize {
-    match rooms.credit {
-        Some(credit) => credit.saturating_sub(moved.down_took) as usize,
+/// How many more bytes may be written to the client now; unlimited if the link is not scarce.
+fn client_credit(allowance: TransferAllowance, report: &TransferReport) -> usize {
+    match allowance.link_credit {
+        Some(credit) => credit.saturating_sub(report.written_to_client) as usize,
         None => usize::MAX,
     }
 }
 
-/// Writes what waits for the client, and returns how many bytes it took. An error is noted as the outcome.
+/// Writes waiting output to the client, and returns how many bytes the client took. An error also becomes the
+/// outcome of the exchange.
 fn write_client_output(
     exchange: &Exchange,
     state: &mut ExchangeState,
-    rooms: Rooms,
-    moved: &mut Moved,
+    allowance: TransferAllowance,
+    report: &mut TransferReport,
 ) -> Result<usize, CloseReason> {
     let output = state.proxied.client_output();
-    let length = output.len().min(client_credit(rooms, moved));
+    let length = output.len().min(client_credit(allowance, report));
     if length == 0 {
         return Ok(0);
     }
     match exchange.client.write(&output[..length]) {
         Ok(written) => {
             state.proxied.consume_client_output(written);
-            moved.down_took += written as u64;
+            report.written_to_client += written as u64;
             Ok(written)
         }
         Err(reason) => {
-            state.over = Some(Outcome::ClientGone(reason));
+            state.outcome = Some(Outcome::ClientGone(reason));
             Err(reason)
         }
     }
 }
 
-/// The upstream, while more of its response is to come.
+/// The upstream's socket, as long as more of the response is expected.
 fn response_source(state: &ExchangeState) -> Option<Arc<Socket>> {
-    if state.up_ended || state.proxied.is_response_complete() {
+    if state.upstream_read_ended || state.proxied.is_response_complete() {
         return None;
     }
     state.upstream.clone()
 }
 
-/// The upstream sends no more: it has failed unless the response is complete.
+/// The upstream closed its connection: it has failed unless the response is complete.
 fn end_of_response(state: &mut ExchangeState) -> Result<(), ProxyError> {
-    state.up_ended = true;
+    state.upstream_read_ended = true;
     let is_complete = state.proxied.end_of_response()?;
-    state.failed = if is_complete { None } else { Some(CloseReason::Truncated) };
+    state.failure = if is_complete { None } else { Some(CloseReason::Truncated) };
     Ok(())
 }
--- a/crates/frontends/stream/src/request_manager.rs
+++ b/crates/frontends/stream/src/request_manager.rs
@@ -1,296 +1,321 @@
-//! The owner of all streams: the host with the module, and the choices about memory, progress, links, upstreams and
-//! repeats, each made where it lives. It makes none itself, and waits for nothing.
+//! Manages all requests of a server: runs the scheduling engine, and applies the policies of `lynxtally-flow` for
+//! memory, progress, the link to clients, upstreams and retries.
+//!
+//! The proxy's coroutines report events to the [`RequestManager`] under a lock and ask it what they may do. It never
+//! blocks: it performs no I/O, and wakes the coroutine of a request's client when there is something for it.
 
-use crate::settings::{Checked, Stage};
+use crate::settings::{ClassSettings, StreamSettings};
 use lynxtally::{CallOutcome, Effect, Gauges, Instant, RequestId, Span};
 use lynxtally_engine::{
     Engine, Executor, FinalResponse, IdempotencyKey, IncomingRequest, RequestCounts, Responder, RunEnd,
     Scheduler,
 };
-use lynxtally_flow::{Link, Pool, Progress, Repeats, Sent, Sizes, Spools, StreamId, Upstreams};
+use lynxtally_flow::{
+    AttemptState, CopyBudget, LinkScheduler, MemoryPool, ProgressMonitor, RetryPolicy, SizeEstimator,
+    StreamId, UpstreamSelector,
+};
 use lynxtally_net::sync::lock;
 use may::io::WaitIoWaker;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::{Arc, Mutex};
 use tracing::{info, warn};
 
-/// How often shares, stalls and progress are looked at.
+/// How often memory is rebalanced and stalled or late streams are looked for.
 const TICK: Span = Span::from_millis(50);
-/// The gauges look back over so many of them.
+/// The gauges are updated every this many ticks.
 const GAUGE_TICKS: u32 = 8;
 
-/// What the owner tells a stream's coroutines.
+/// Expected transfer rate of one request in bytes per second where the link is not scarce: about that of a fast disk.
+/// Only the ratios between requests matter.
+const UNLIMITED_LINK_RATE: f64 = 1e8;
+
+/// What the manager has for the coroutines of a request.
 #[derive(Default)]
-pub struct Mail {
-    /// It was let in.
-    pub run: bool,
-    /// Its final answer, where it is not the upstream's.
-    pub answer: Option<FinalResponse>,
+pub struct ManagerMessages {
+    /// The request was admitted.
+    pub admitted: bool,
+    /// The final response, if it is not the upstream's.
+    pub response: Option<FinalResponse>,
 }
 
-/// A stream, as the owner knows it.
-pub struct Ticket {
-    mail: Mutex<Mail>,
-    client: WaitIoWaker,
-    task: AtomicU32,
-    /// Its run is over: its task's index may be another's by now.
+/// A request, as shared by the manager and the request's coroutines.
+pub struct RequestHandle {
+    messages: Mutex<ManagerMessages>,
+    client_waker: WaitIoWaker,
+    id: AtomicU32,
+    /// The run has ended, so the engine may have given the request's id to another request.
     ended: AtomicBool,
-    /// Its stage.
-    pub stage: usize,
+    /// The index of the request class.
+    pub class: usize,
 }
 
-impl Ticket {
-    /// A stream of a stage, whose client's coroutine is woken so.
-    pub fn new(stage: usize, client: WaitIoWaker) -> Self {
+impl RequestHandle {
+    /// Creates the handle of a request that is not submitted yet; `client_waker` wakes the client's coroutine.
+    pub fn new(class: usize, client_waker: WaitIoWaker) -> Self {
         Self {
-            mail: Mutex::default(),
-            client,
-            task: AtomicU32::new(u32::MAX),
+            messages: Mutex::default(),
+            client_waker,
+            id: AtomicU32::new(u32::MAX),
             ended: AtomicBool::new(false),
-            stage,
+            class,
         }
     }
 
-    fn task(&self) -> RequestId {
-        RequestId(self.task.load(Ordering::Relaxed))
+    fn id(&self) -> RequestId {
+        RequestId(self.id.load(Ordering::Relaxed))
     }
 
-    /// Its task, while it runs.
-    fn live(&self) -> Option<RequestId> {
-        (!self.ended.load(Ordering::Relaxed) && self.running()).then(|| self.task())
+    /// The request's id, while the request is admitted and its run has not ended.
+    fn running_id(&self) -> Option<RequestId> {
+        (!self.ended.load(Ordering::Relaxed) && self.is_admitted()).then(|| self.id())
     }
 
-    /// Whether it was let in.
-    pub fn running(&self) -> bool {
-        lock(&self.mail).run
+    /// Whether the request was admitted.
+    pub fn is_admitted(&self) -> bool {
+        lock(&self.messages).admitted
     }
 
-    /// Its final answer, once.
-    pub fn answer(&self) -> Option<FinalResponse> {
-        lock(&self.mail).answer.take()
+    /// Takes the final response, if there is one that is not the upstream's.
+    pub fn take_response(&self) -> Option<FinalResponse> {
+        lock(&self.messages).response.take()
     }
 
-    /// Whether a final answer waits.
-    pub fn answered(&self) -> bool {
-        lock(&self.mail).answer.is_some()
+    /// Whether a final response waits to be taken.
+    pub fn has_response(&self) -> bool {
+        lock(&self.messages).response.is_some()
     }
 
-    /// Wakes its client's coroutine.
-    pub fn wake(&self) {
-        self.client.wakeup();
+    /// Wakes the coroutine of the request's client.
+    pub fn wake_client(&self) {
+        self.client_waker.wakeup();
     }
 }
 
-/// Whether a stream waits for a peer.
+/// Whether a request waits for its client or its upstream. The scheduler sees such a wait as a downstream call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Waits {
-    No,
-    Standing,
-    Call(u64),
+enum PeerWait {
+    NotWaiting,
+    /// The wait was reported to the scheduler, which has not started a call for it yet.
+    Requested,
+    /// The scheduler has started the call with this number.
+    InCall(u64),
 }
 
-struct Flow {
-    ticket: Arc<Ticket>,
-    moved: bool,
-    waits: Waits,
+/// An admitted request whose run has not ended.
+struct RunningRequest {
+    handle: Arc<RequestHandle>,
+    /// Whether any bytes were transferred since the last tick.
+    has_moved: bool,
+    peer_wait: PeerWait,
     upstream: Option<usize>,
-    expected: u64,
-    began: Instant,
-    octets: u64,
-    /// More of its client's body is waited for.
-    waits_client: bool,
-    /// It owed progress for too long.
-    late: bool,
+    /// Bytes that count as outstanding at the upstream.
+    expected_bytes: u64,
+    attempt_start: Instant,
+    /// Bytes that both receivers took since the upstream was chosen.
+    attempt_bytes: u64,
+    /// The client has to send more of the body before the request can go on.
+    awaits_client_body: bool,
+    /// One of the request's streams has made too little progress for too long.
+    is_late: bool,
 }
 
-/// What moved since this was last told, and what is held.
+/// What a request has transferred since its last report, and what it holds, in bytes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Moved {
+pub struct TransferReport {
     /// Held for the upstream.
-    pub up_held: u64,
-    /// Taken by it.
-    pub up_took: u64,
+    pub held_for_upstream: u64,
+    /// Written to the upstream since the last report.
+    pub written_to_upstream: u64,
     /// Held for the client.
-    pub down_held: u64,
-    /// Taken by it.
-    pub down_took: u64,
-    /// Read from the client.
-    pub came: u64,
-    /// Whether more of the client's body is waited for, and there was room for it.
-    pub waits_client: bool,
-    /// Whether there is more for the client that it could take.
-    pub more: bool,
+    pub held_for_client: u64,
+    /// Written to the client since the last report.
+    pub written_to_client: u64,
+    /// Received from the client since the last report.
+    pub received_from_client: u64,
+    /// Whether the client has to send more of the body and there is room for it.
+    pub awaits_client_body: bool,
+    /// Whether bytes for the client wait for a turn on the scarce link.
+    pub needs_link_turn: bool,
 }
 
-/// What a stream may do now.
+/// What a request may hold and send now, in bytes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rooms {
-    /// What it may hold for the upstream.
-    pub up: u64,
-    /// What it may hold for the client.
-    pub down: u64,
-    /// What it may send to the client; no bound where the link is not scarce.
-    pub credit: Option<u64>,
+pub struct TransferAllowance {
+    /// The most that may be held for the upstream.
+    pub upstream_window: u64,
+    /// The most that may be held for the client.
+    pub client_window: u64,
+    /// The most that may be sent to the client; `None` if the link is not scarce.
+    pub link_credit: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerKind {
     Tick,
-    Grant,
+    /// Grant turns on the scarce link.
+    GrantLink,
 }
 
-/// How many of what ended how.
+/// Counters of a stream server, beside those of the engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Streams sent again to another upstream.
-    pub repeated: u64,
-    /// Downloads gone on with from another upstream.
+pub struct StreamCounts {
+    /// Requests sent again to another upstream.
+    pub retried: u64,
+    /// Downloads resumed from another upstream.
     pub resumed: u64,
-    /// Upstreams left out.
-    pub left_out: u64,
-    /// Streams cut as they owed progress while memory was scarce.
+    /// Ejections of upstreams.
+    pub ejected_upstreams: u64,
+    /// Requests ended because they made too little progress while memory was scarce.
     pub late: u64,
-    /// Octets that went up.
-    pub up: u64,
-    /// Octets that went down.
-    pub down: u64,
-    /// Answers cut after they had begun.
-    pub cut: u64,
-    /// Messages that could not be taken.
-    pub bad: u64,
-    /// The most that streams held at once.
-    pub held_most: u64,
+    /// Bytes written to upstreams.
+    pub bytes_to_upstreams: u64,
+    /// Bytes written to clients.
+    pub bytes_to_clients: u64,
+    /// Responses cut off after they had begun.
+    pub cut_responses: u64,
+    /// Messages from clients that were refused as invalid.
+    pub invalid_messages: u64,
+    /// The most bytes that all streams have held at one time.
+    pub max_held_bytes: u64,
 }
 
-/// The choices, and what each stream has.
-pub struct Hall {
-    pool: Pool,
-    progress: Progress,
-    upstreams: Upstreams,
-    repeats: Repeats,
-    spools: Spools,
-    link: Option<Link>,
-    sizes: Sizes,
+/// The resources that all requests share, the policies that divide them, and what each running request has of them.
+pub struct StreamResources {
+    memory: MemoryPool,
+    progress: ProgressMonitor,
+    upstreams: UpstreamSelector,
+    retries: RetryPolicy,
+    copies: CopyBudget,
+    /// The link to clients, if it is scarce.
+    link: Option<LinkScheduler>,
+    sizes: SizeEstimator,
+    /// The transfer rate, in bytes per second, by which expected bytes are converted to expected work.
     rate: f64,
-    flows: Vec<Option<Flow>>,
-    given_up: Vec<(RequestId, u64)>,
-    asked: bool,
-    granting: bool,
-    stages: Vec<Stage>,
+    /// The running requests, by their ids.
+    running: Vec<Option<RunningRequest>>,
+    /// Calls that the scheduler has cancelled and whose ends are not reported to it yet.
+    cancelled_calls: Vec<(RequestId, u64)>,
+    gauges_requested: bool,
+    /// Whether the timer that grants turns on the link is set.
+    grant_timer_set: bool,
+    classes: Vec<ClassSettings>,
     now: Instant,
-    /// Counts.
-    pub counts: Counts,
+    /// Counters.
+    pub counts: StreamCounts,
 }
 
-fn up(task: RequestId) -> StreamId {
-    StreamId(task.0 * 2)
+/// The stream from a request's client to its upstream.
+fn upstream_stream(id: RequestId) -> StreamId {
+    StreamId(id.0 * 2)
 }
 
-fn down(task: RequestId) -> StreamId {
-    StreamId(task.0 * 2 + 1)
+/// The stream from a request's upstream to its client.
+fn client_stream(id: RequestId) -> StreamId {
+    StreamId(id.0 * 2 + 1)
 }
 
-impl Hall {
-    fn admit(&mut self, task: RequestId, ticket: &Arc<Ticket>) -> bool {
-        let weight = self.stages.get(ticket.stage).map_or(1.0, |stage| stage.utility);
-        if !self.pool.enter(up(task), weight) {
+impl StreamResources {
+    fn admit(&mut self, id: RequestId, handle: &Arc<RequestHandle>) -> bool {
+        let weight = self.classes.get(handle.class).map_or(1.0, |class| class.utility);
+        if !self.memory.admit(upstream_stream(id), weight) {
             return false;
         }
-        if !self.pool.enter(down(task), weight) {
-            self.pool.leave(up(task));
+        if !self.memory.admit(client_stream(id), weight) {
+            self.memory.remove(upstream_stream(id));
             return false;
         }
         if let Some(link) = &mut self.link {
-            link.enter(down(task), weight);
-        }
-        self.progress.enter(self.now, up(task));
-        self.progress.enter(self.now, down(task));
-        let at = task.0 as usize;
-        if self.flows.len() <= at {
-            self.flows.resize_with(at + 1, || None);
-        }
-        self.flows[at] = Some(Flow {
-            ticket: ticket.clone(),
-            moved: true,
-            waits: Waits::No,
+            link.add(client_stream(id), weight);
+        }
+        self.progress.add(self.now, upstream_stream(id));
+        self.progress.add(self.now, client_stream(id));
+        let index = id.0 as usize;
+        if self.running.len() <= index {
+            self.running.resize_with(index + 1, || None);
+        }
+        self.running[index] = Some(RunningRequest {
+            handle: handle.clone(),
+            has_moved: true,
+            peer_wait: PeerWait::NotWaiting,
             upstream: None,
-            expected: 0,
-            began: self.now,
-            octets: 0,
-            waits_client: false,
-            late: false,
+            expected_bytes: 0,
+            attempt_start: self.now,
+            attempt_bytes: 0,
+            awaits_client_body: false,
+            is_late: false,
         });
-        lock(&ticket.mail).run = true;
-        ticket.wake();
+        lock(&handle.messages).admitted = true;
+        handle.wake_client();
         true
     }
 
-    fn flow(&mut self, task: RequestId) -> Option<&mut Flow> {
-        self.flows.get_mut(task.0 as usize)?.as_mut()
+    fn running_mut(&mut self, id: RequestId) -> Option<&mut RunningRequest> {
+        self.running.get_mut(id.0 as usize)?.as_mut()
     }
 
-    /// A stream has nothing any more.
-    fn leave(&mut self, task: RequestId) -> Option<Flow> {
-        let flow = self.flows.get_mut(task.0 as usize)?.take()?;
-        for stream in [up(task), down(task)] {
-            self.pool.leave(stream);
-            self.progress.leave(stream);
-            self.spools.drop(stream);
+    /// Releases all that a request has.
+    fn release_all(&mut self, id: RequestId) -> Option<RunningRequest> {
+        let request = self.running.get_mut(id.0 as usize)?.take()?;
+        for stream in [upstream_stream(id), client_stream(id)] {
+            self.memory.remove(stream);
+            self.progress.remove(stream);
+            self.copies.release(stream);
         }
         if let Some(link) = &mut self.link {
-            link.leave(down(task));
+            link.remove(client_stream(id));
         }
-        Some(flow)
+        Some(request)
     }
 
-    fn expected_span(&self, octets: u64) -> Span {
-        Span::from_secs((octets as f64 / self.rate).max(1e-6))
+    fn expected_work(&self, bytes: u64) -> Span {
+        Span::from_secs((bytes as f64 / self.rate).max(1e-6))
     }
 }
 
-impl Executor<Arc<Ticket>> for Hall {
-    fn start(&mut self, task: RequestId, ticket: &mut Arc<Ticket>) {
-        // The module's memory is what is reserved for floors: there is room for what it lets in.
-        let admitted = self.admit(task, ticket);
-        debug_assert!(admitted, "more was let in than floors are reserved for");
+impl Executor<Arc<RequestHandle>> for StreamResources {
+    fn start(&mut self, id: RequestId, handle: &mut Arc<RequestHandle>) {
+        // The scheduler's memory limit is the part of the pool reserved for floors, so the pool has room for every
+        // request that the scheduler starts.
+        let admitted = self.admit(id, handle);
+        debug_assert!(admitted, "the scheduler started more requests than the memory pool has floors for");
     }
 
-    fn stop(&mut self, _: RequestId, _: &mut Arc<Ticket>) {}
+    fn stop(&mut self, _: RequestId, _: &mut Arc<RequestHandle>) {}
 
-    fn start_call(&mut self, task: RequestId, _: &mut Arc<Ticket>, number: u64, _: Span) -> bool {
-        match self.flow(task) {
-            Some(flow) => {
-                flow.waits = Waits::Call(number);
+    fn start_call(&mut self, id: RequestId, _: &mut Arc<RequestHandle>, number: u64, _: Span) -> bool {
+        match self.running_mut(id) {
+            Some(request) => {
+                request.peer_wait = PeerWait::InCall(number);
                 true
             }
             None => false,
         }
     }
 
-    fn cancel_call(&mut self, ticket: &mut Arc<Ticket>, number: u64) {
-        self.given_up.push((ticket.task(), number));
+    fn cancel_call(&mut self, handle: &mut Arc<RequestHandle>, number: u64) {
+        self.cancelled_calls.push((handle.id(), number));
     }
 
     fn request_gauges(&mut self) {
-        self.asked = true;
+        self.gauges_requested = true;
     }
 
-    fn release(&mut self, task: RequestId, _: Arc<Ticket>) {
-        self.leave(task);
+    fn release(&mut self, id: RequestId, _: Arc<RequestHandle>) {
+        self.release_all(id);
     }
 }
 
-/// Where final answers go.
-pub struct Desk;
+/// Hands final responses to the coroutines of their requests.
+pub struct ResponseDelivery;
 
-impl Responder<Arc<Ticket>> for Desk {
-    fn respond(&mut self, ticket: Arc<Ticket>, answer: FinalResponse) -> bool {
-        let mut mail = lock(&ticket.mail);
-        // What went down the stream is the answer, where one was let in and went well.
-        if !(mail.run && matches!(answer, FinalResponse::Completed(_))) {
-            mail.answer = Some(answer);
-            drop(mail);
-            ticket.wake();
+impl Responder<Arc<RequestHandle>> for ResponseDelivery {
+    fn respond(&mut self, handle: Arc<RequestHandle>, response: FinalResponse) -> bool {
+        let mut messages = lock(&handle.messages);
+        // For an admitted request that completed, the upstream's response has already gone to the client.
+        if !(messages.admitted && matches!(response, FinalResponse::Completed(_))) {
+            messages.response = Some(response);
+            drop(messages);
+            handle.wake_client();
         }
         true
     }
@@ -300,384 +325,429 @@
     }
 }
 
-/// The owner.
-pub struct Owner<P> {
-    host: Engine<P, Arc<Ticket>, Arc<Ticket>, Due>,
-    /// The choices.
-    pub hall: Hall,
-    desk: Desk,
-    armed: Option<Instant>,
+/// Manages all requests of a server.
+pub struct RequestManager<P> {
+    engine: Engine<P, Arc<RequestHandle>, Arc<RequestHandle>, TimerKind>,
+    /// The shared resources and their policies.
+    pub resources: StreamResources,
+    responses: ResponseDelivery,
+    /// When the timer fires that the caller of `run` has set last.
+    armed_timer: Option<Instant>,
     ticks: u32,
     gauges: Gauges,
-    used: (Instant, f64),
-    connections: f64,
-    link: bool,
+    /// When the CPU time was read last, and the value in seconds.
+    last_cpu_time: (Instant, f64),
+    open_connections: f64,
+    is_link_scarce: bool,
 }
 
-/// Core time of this program so far, in seconds.
-fn core_time() -> f64 {
+/// CPU time that this process has used, in seconds.
+fn cpu_seconds() -> f64 {
     use nix::sys::resource::{getrusage, UsageWho};
     use nix::sys::time::TimeValLike;
-    let used = getrusage(UsageWho::RUSAGE_SELF);
-    used.map_or(0.0, |used| (used.user_time() + used.system_time()).num_microseconds() as f64 / 1e6)
+    let usage = getrusage(UsageWho::RUSAGE_SELF);
+    usage.map_or(0.0, |usage| (usage.user_time() + usage.system_time()).num_microseconds() as f64 / 1e6)
 }
 
-/// What a stream brings.
-pub struct Entering {
-    /// The customer.
-    pub customer: Option<usize>,
-    /// The mark by which its repeats are known.
-    pub mark: Option<String>,
-    /// What its head says of its body's length.
-    pub told: Option<u64>,
+/// What the manager needs to know of a new request.
+pub struct RequestInfo {
+    /// The index of the tenant.
+    pub tenant: Option<usize>,
+    /// The key by which duplicates of the request are recognized.
+    pub idempotency_key: Option<String>,
+    /// The length of the body that the head announces, in bytes.
+    pub announced_bytes: Option<u64>,
     /// A number for the client's machine.
     pub caller: u64,
 }
 
-impl<P: Scheduler> Owner<P> {
-    /// One that decides from now on.
-    pub fn new(settings: &Checked, now: Instant, decide: P, seed: u64) -> Self {
-        // Without a scarce link one stream is expected to move as a fast disk reads; only ratios count.
-        let rate = if settings.limits.link_mbit > 0.0 { settings.limits.link_mbit * 1e6 / 8.0 } else { 1e8 };
-        let link = (settings.limits.link_mbit > 0.0).then(|| Link::new(rate, now));
-        let mut host = Engine::new((settings.limits.results_kb << 10) as usize);
-        host.start(now, decide);
-        host.set_timer(now + TICK, Due::Tick);
-        let (spool, each) = (settings.limits.spool_kb << 10, settings.limits.spool_each_kb << 10);
-        let scarce = link.is_some();
+impl<P: Scheduler> RequestManager<P> {
+    /// Creates the manager of a server without requests.
+    pub fn new(settings: &StreamSettings, now: Instant, scheduler: P, seed: u64) -> Self {
+        let rate = if settings.limits.link_mbit > 0.0 {
+            settings.limits.link_mbit * 1e6 / 8.0
+        } else {
+            UNLIMITED_LINK_RATE
+        };
+        let link = (settings.limits.link_mbit > 0.0).then(|| LinkScheduler::new(rate, now));
+        let mut engine = Engine::new((settings.limits.results_kb << 10) as usize);
+        engine.start(now, scheduler);
+        engine.set_timer(now + TICK, TimerKind::Tick);
+        let copies = CopyBudget::new(settings.limits.spool_kb << 10, settings.limits.spool_each_kb << 10);
+        let is_link_scarce = link.is_some();
         Self {
-            host,
-            hall: Hall {
-                pool: Pool::new(settings.pool, now),
-                progress: Progress::new(settings.progress),
-                upstreams: Upstreams::new(settings.upstreams.len(), settings.leave_out, seed),
-                repeats: Repeats::new(settings.repeats.price, settings.repeats.most),
-                spools: Spools::new(spool, each),
+            engine,
+            resources: StreamResources {
+                memory: MemoryPool::new(settings.memory, now),
+                progress: ProgressMonitor::new(settings.progress),
+                upstreams: UpstreamSelector::new(settings.upstreams.len(), settings.outlier_limits, seed),
+                retries: RetryPolicy::new(settings.retries.price, settings.retries.most),
+                copies,
                 link,
-                sizes: Sizes::new(settings.stages.len() + 1),
+                sizes: SizeEstimator::new(settings.classes.len() + 1),
                 rate,
-                flows: Vec::new(),
-                given_up: Vec::new(),
-                asked: false,
-                granting: false,
-                stages: settings.stages.clone(),
+                running: Vec::new(),
+                cancelled_calls: Vec::new(),
+                gauges_requested: false,
+                grant_timer_set: false,
+                classes: settings.classes.clone(),
                 now,
-                counts: Counts::default(),
+                counts: StreamCounts::default(),
             },
-            desk: Desk,
-            armed: None,
+            responses: ResponseDelivery,
+            armed_timer: None,
             ticks: 0,
             gauges: Gauges::default(),
-            used: (now, core_time()),
-            connections: 0.0,
-            link: scarce,
+            last_cpu_time: (now, cpu_seconds()),
+            open_connections: 0.0,
+            is_link_scarce,
         }
     }
 
-    /// What was read and answered.
-    pub fn tally(&self) -> RequestCounts {
-        self.host.counts()
+    /// The engine's counts of requests received and of how they ended.
+    pub fn request_counts(&self) -> RequestCounts {
+        self.engine.counts()
     }
 
-    /// When the program is to be over, once it leaves.
-    pub fn kill(&self) -> Option<Instant> {
-        self.host.shutdown_deadline()
+    /// When the server has to end, once a shutdown has begun.
+    pub fn shutdown_deadline(&self) -> Option<Instant> {
+        self.engine.shutdown_deadline()
     }
 
-    /// How many connections there are.
-    pub fn connections(&mut self, open: usize) {
-        self.connections = open as f64;
+    /// Sets the number of open connections of clients.
+    pub fn set_open_connections(&mut self, open: usize) {
+        self.open_connections = open as f64;
     }
 
-    /// Takes what is due, decides, and tells how long nothing is to be done unless it was told before.
-    pub fn turn(&mut self, now: Instant) -> Option<Span> {
-        self.hall.now = now;
-        if self.armed.is_some_and(|at| at <= now) {
-            self.armed = None;
+    /// Handles expired timers and carries out the scheduler's decisions. Returns after which time to call this again, or
+    /// `None` if a timer that the caller set before fires early enough.
+    pub fn run(&mut self, now: Instant) -> Option<Span> {
+        self.resources.now = now;
+        if self.armed_timer.is_some_and(|at| at <= now) {
+            self.armed_timer = None;
         }
         loop {
-            let due = self.host.expire_timers(now, &mut self.hall);
-            for (task, number) in std::mem::take(&mut self.hall.given_up) {
-                self.host.call_ended(now, task, number, CallOutcome::MaybeExecuted);
+            let expired = self.engine.expire_timers(now, &mut self.resources);
+            for (id, number) in std::mem::take(&mut self.resources.cancelled_calls) {
+                self.engine.call_ended(now, id, number, CallOutcome::MaybeExecuted);
             }
-            match due {
-                Some(Due::Tick) => self.tick(now),
-                Some(Due::Grant) => self.grant(now),
+            match expired {
+                Some(TimerKind::Tick) => self.tick(now),
+                Some(TimerKind::GrantLink) => self.grant_link(now),
                 None => break,
             }
         }
-        if std::mem::take(&mut self.hall.asked) {
-            self.host.update_gauges(now, self.gauges);
+        if std::mem::take(&mut self.resources.gauges_requested) {
+            self.engine.update_gauges(now, self.gauges);
         }
-        self.host.decide(now, &mut self.hall, &mut self.desk);
-        self.hall.given_up.clear();
-        let next = self.host.next_timer()?;
-        if self.armed.is_some_and(|armed| armed <= next) {
+        self.engine.decide(now, &mut self.resources, &mut self.responses);
+        self.resources.cancelled_calls.clear();
+        let next = self.engine.next_timer()?;
+        if self.armed_timer.is_some_and(|armed| armed <= next) {
             return None;
         }
-        self.armed = Some(next);
+        self.armed_timer = Some(next);
         Some((next - now).max(Span::from_millis(1)))
     }
 
     fn tick(&mut self, now: Instant) {
-        self.host.set_timer(now + TICK, Due::Tick);
-        self.hall.pool.share(now);
-        self.hall.counts.held_most = self.hall.counts.held_most.max(self.hall.pool.held());
+        self.engine.set_timer(now + TICK, TimerKind::Tick);
+        self.resources.memory.rebalance(now);
+        self.resources.counts.max_held_bytes =
+            self.resources.counts.max_held_bytes.max(self.resources.memory.held_bytes());
         self.ticks += 1;
         if self.ticks.is_multiple_of(GAUGE_TICKS) {
-            let used = core_time();
-            let busy = (used - self.used.1) / (now - self.used.0).secs().max(1e-6);
-            self.used = (now, used);
-            // Where the link is scarce it is what a place stands for; else the core that carries all.
-            let busy = self.hall.link.as_mut().map_or(busy.min(1.0), |link| link.busy(now));
-            self.gauges = Gauges { cpu_utilization: Some(busy), open_connections: Some(self.connections) };
-        }
-        // A stream that did not move since the last look waits for a peer, and holds no place meanwhile.
-        for at in 0..self.hall.flows.len() {
-            let task = RequestId(at as u32);
-            let Some(flow) = self.hall.flow(task) else { continue };
-            match (std::mem::take(&mut flow.moved), flow.waits) {
-                (false, Waits::No) => {
-                    flow.waits = Waits::Standing;
-                    self.host.call_requested(now, task);
+            let used = cpu_seconds();
+            let utilization = (used - self.last_cpu_time.1) / (now - self.last_cpu_time.0).secs().max(1e-6);
+            self.last_cpu_time = (now, used);
+            // The scheduler's cores stand for the scarce resource: the link if it is limited, otherwise the one core
+            // that carries all streams.
+            let utilization =
+                self.resources.link.as_mut().map_or(utilization.min(1.0), |link| link.take_utilization(now));
+            self.gauges =
+                Gauges { cpu_utilization: Some(utilization), open_connections: Some(self.open_connections) };
+        }
+        // A request that has transferred nothing since the last tick waits for a peer. It is reported to the scheduler as
+        // being in a call, so that it occupies no core while it waits.
+        for index in 0..self.resources.running.len() {
+            let id = RequestId(index as u32);
+            let Some(request) = self.resources.running_mut(id) else { continue };
+            match (std::mem::take(&mut request.has_moved), request.peer_wait) {
+                (false, PeerWait::NotWaiting) => {
+                    request.peer_wait = PeerWait::Requested;
+                    self.engine.call_requested(now, id);
                 }
-                (true, Waits::Call(number)) => {
-                    flow.waits = Waits::No;
-                    self.host.call_ended(now, task, number, CallOutcome::Succeeded);
+                (true, PeerWait::InCall(number)) => {
+                    request.peer_wait = PeerWait::NotWaiting;
+                    self.engine.call_ended(now, id, number, CallOutcome::Succeeded);
                 }
                 _ => {}
             }
-            let Some(flow) = self.hall.flow(task).filter(|flow| flow.waits != Waits::No) else { continue };
-            // One that could move and does not owes it, by whose side ever.
-            let waits_client = flow.waits_client;
-            for stream in [up(task), down(task)] {
-                let holds = self.hall.pool.room(stream) < self.hall.pool.window(stream);
-                if holds || (waits_client && stream == up(task)) {
-                    self.hall.progress.moved(stream, 0);
+            let Some(request) =
+                self.resources.running_mut(id).filter(|request| request.peer_wait != PeerWait::NotWaiting)
+            else {
+                continue;
+            };
+            // A stream that could move and does not is short of progress, whichever peer stalls: the receiver of the
+            // bytes that the stream holds, or the client that has to send its body.
+            let awaits_client_body = request.awaits_client_body;
+            for stream in [upstream_stream(id), client_stream(id)] {
+                let holds_bytes = self.resources.memory.room(stream) < self.resources.memory.window(stream);
+                if holds_bytes || (awaits_client_body && stream == upstream_stream(id)) {
+                    self.resources.progress.record(stream, 0);
                 }
             }
         }
-        for late in self.hall.progress.late(now) {
-            if let Some(flow) = self.hall.flow(RequestId(late.0 / 2)) {
-                flow.late = true;
+        for late in self.resources.progress.newly_late(now) {
+            if let Some(request) = self.resources.running_mut(RequestId(late.0 / 2)) {
+                request.is_late = true;
             }
         }
-        if self.hall.pool.scarce() {
-            let late = self.hall.flows.iter().position(|flow| flow.as_ref().is_some_and(|flow| flow.late));
-            if let Some(at) = late {
-                // One at a time: its memory may be all that is wanted.
-                self.hall.counts.late += 1;
-                if let Some(flow) = &self.hall.flows[at] {
-                    let ticket = flow.ticket.clone();
-                    self.ended(now, &ticket, RunEnd::Failed);
+        if self.resources.memory.is_scarce() {
+            let late = self
+                .resources
+                .running
+                .iter()
+                .position(|request| request.as_ref().is_some_and(|request| request.is_late));
+            if let Some(index) = late {
+                // One late request is ended per tick, since its memory may already be enough for the others.
+                self.resources.counts.late += 1;
+                if let Some(request) = &self.resources.running[index] {
+                    let handle = request.handle.clone();
+                    self.end_request(now, &handle, RunEnd::Failed);
                 }
             }
         }
     }
 
-    fn grant(&mut self, now: Instant) {
-        let Some(link) = &mut self.hall.link else { return };
-        let (woken, period) = (link.grant(now), link.period());
-        self.hall.granting = !woken.is_empty();
-        if self.hall.granting {
-            self.host.set_timer(now + period, Due::Grant);
+    fn grant_link(&mut self, now: Instant) {
+        let Some(link) = &mut self.resources.link else { return };
+        let (granted, interval) = (link.grant_turns(now), link.grant_interval());
+        self.resources.grant_timer_set = !granted.is_empty();
+        if self.resources.grant_timer_set {
+            self.engine.set_timer(now + interval, TimerKind::GrantLink);
         }
-        for stream in woken {
-            if let Some(flow) = self.hall.flow(RequestId(stream.0 / 2)) {
-                flow.ticket.wake();
+        for stream in granted {
+            if let Some(request) = self.resources.running_mut(RequestId(stream.0 / 2)) {
+                request.handle.wake_client();
             }
         }
     }
 
-    /// Takes a stream in; false where nothing is taken in any more.
-    pub fn enter(&mut self, now: Instant, ticket: &Arc<Ticket>, entering: Entering) -> bool {
-        let expected = self.hall.sizes.expected(ticket.stage, entering.told);
-        let floors = 2.0 * self.hall.pool_floor() as f64 / 1024.0;
-        let key = entering.mark.filter(|_| self.effect(ticket) == Effect::Deduplicated);
-        let entry = IncomingRequest {
-            class: ticket.stage,
-            tenant: entering.customer,
-            caller: entering.caller,
-            expected_work: Some(self.hall.expected_span(expected)),
-            idempotency_key: key.map(|value| IdempotencyKey { class: ticket.stage, value }),
-            memory_kb: floors,
+    /// Submits a request to the scheduler. Returns false if the engine does not accept it.
+    pub fn submit(&mut self, now: Instant, handle: &Arc<RequestHandle>, info: RequestInfo) -> bool {
+        let expected_bytes = self.resources.sizes.expected_bytes(handle.class, info.announced_bytes);
+        let floors_kb = 2.0 * self.resources.floor_bytes() as f64 / 1024.0;
+        let key = info.idempotency_key.filter(|_| self.effect(handle) == Effect::Deduplicated);
+        let request = IncomingRequest {
+            class: handle.class,
+            tenant: info.tenant,
+            caller: info.caller,
+            expected_work: Some(self.resources.expected_work(expected_bytes)),
+            idempotency_key: key.map(|value| IdempotencyKey { class: handle.class, value }),
+            memory_kb: floors_kb,
             ..IncomingRequest::default()
         };
-        match self.host.submit(now, None, entry, ticket.clone(), ticket.clone()) {
-            Ok(task) => {
-                ticket.task.store(task.0, Ordering::Relaxed);
+        match self.engine.submit(now, None, request, handle.clone(), handle.clone()) {
+            Ok(id) => {
+                handle.id.store(id.0, Ordering::Relaxed);
                 true
             }
             Err(_) => false,
         }
     }
 
-    /// What may happen when a stream is done twice.
-    pub fn effect(&self, ticket: &Ticket) -> Effect {
-        self.hall.stages.get(ticket.stage).map_or(Effect::Idempotent, |stage| stage.effect)
-    }
-
-    /// What a stream may do now.
-    pub fn rooms(&self, ticket: &Ticket) -> Rooms {
-        let Some(task) = ticket.live() else { return Rooms::default() };
-        Rooms {
-            up: self.hall.pool.window(up(task)),
-            down: self.hall.pool.window(down(task)),
-            credit: self.hall.link.as_ref().map(|link| link.granted(down(task))),
-        }
-    }
-
-    /// What a stream moved.
-    pub fn moved(&mut self, now: Instant, ticket: &Ticket, moved: Moved) {
-        let Some(task) = ticket.live() else { return };
-        let hall = &mut self.hall;
-        let all = moved.up_took + moved.down_took + moved.came;
-        let Some(flow) = hall.flows.get_mut(task.0 as usize).and_then(Option::as_mut) else { return };
-        flow.moved |= all > 0;
-        flow.octets += moved.up_took + moved.down_took;
-        flow.waits_client = moved.waits_client;
-        hall.counts.up += moved.up_took;
-        hall.counts.down += moved.down_took;
-        hall.pool.hold(up(task), moved.up_held, moved.up_took);
-        hall.pool.hold(down(task), moved.down_held, moved.down_took);
-        if moved.waits_client || moved.came > 0 {
-            hall.progress.moved(up(task), moved.came);
-        }
-        if moved.down_held > 0 || moved.down_took > 0 {
-            hall.progress.moved(down(task), moved.down_took);
-        }
-        if let Some(link) = &mut hall.link {
-            link.sent(down(task), moved.down_took, moved.more);
-            if moved.more && !std::mem::replace(&mut hall.granting, true) {
-                self.host.set_timer(now, Due::Grant);
+    /// The effect of executing a request twice, as its class says.
+    pub fn effect(&self, handle: &RequestHandle) -> Effect {
+        self.resources.classes.get(handle.class).map_or(Effect::Idempotent, |class| class.effect)
+    }
+
+    /// What a request may hold and send now; nothing if it does not run.
+    pub fn allowance(&self, handle: &RequestHandle) -> TransferAllowance {
+        let Some(id) = handle.running_id() else { return TransferAllowance::default() };
+        TransferAllowance {
+            upstream_window: self.resources.memory.window(upstream_stream(id)),
+            client_window: self.resources.memory.window(client_stream(id)),
+            link_credit: self.resources.link.as_ref().map(|link| link.granted_bytes(client_stream(id))),
+        }
+    }
+
+    /// Takes in what a request has transferred and what it holds.
+    pub fn record_transfer(&mut self, now: Instant, handle: &RequestHandle, report: TransferReport) {
+        let Some(id) = handle.running_id() else { return };
+        let resources = &mut self.resources;
+        let transferred = report.written_to_upstream + report.written_to_client + report.received_from_client;
+        let Some(request) = resources.running.get_mut(id.0 as usize).and_then(Option::as_mut) else { return };
+        request.has_moved |= transferred > 0;
+        request.attempt_bytes += report.written_to_upstream + report.written_to_client;
+        request.awaits_client_body = report.awaits_client_body;
+        resources.counts.bytes_to_upstreams += report.written_to_upstream;
+        resources.counts.bytes_to_clients += report.written_to_client;
+        resources.memory.record_held(
+            upstream_stream(id),
+            report.held_for_upstream,
+            report.written_to_upstream,
+        );
+        resources.memory.record_held(client_stream(id), report.held_for_client, report.written_to_client);
+        if report.awaits_client_body || report.received_from_client > 0 {
+            resources.progress.record(upstream_stream(id), report.received_from_client);
+        }
+        if report.held_for_client > 0 || report.written_to_client > 0 {
+            resources.progress.record(client_stream(id), report.written_to_client);
+        }
+        if let Some(link) = &mut resources.link {
+            link.record_sent(client_stream(id), report.written_to_client, report.needs_link_turn);
+            if report.needs_link_turn && !std::mem::replace(&mut resources.grant_timer_set, true) {
+                self.engine.set_timer(now, TimerKind::GrantLink);
             }
         }
     }
 
-    /// Whether a copy of so many more octets may be kept of what goes up.
-    pub fn keep(&mut self, ticket: &Ticket, more: u64) -> bool {
-        let Some(task) = ticket.live() else { return false };
-        let may = self.hall.spools.keep(up(task), more);
-        if !may {
-            self.hall.spools.drop(up(task));
+    /// Reserves room for `bytes` more of a request body's copy. If there is none, the request's reservation is released
+    /// and false is returned: the caller has to drop the copy.
+    pub fn reserve_copy(&mut self, handle: &RequestHandle, bytes: u64) -> bool {
+        let Some(id) = handle.running_id() else { return false };
+        let reserved = self.resources.copies.try_reserve(upstream_stream(id), bytes);
+        if !reserved {
+            self.resources.copies.release(upstream_stream(id));
         }
-        may
+        reserved
     }
 
-    /// The upstream for a stream, but none of these; its streams so far count.
-    pub fn choose(
+    /// Chooses an upstream that is not in `excluded`, and starts an attempt there.
+    pub fn choose_upstream(
         &mut self,
         now: Instant,
-        ticket: &Ticket,
-        not: &[usize],
-        told: Option<u64>,
+        handle: &RequestHandle,
+        excluded: &[usize],
+        announced_bytes: Option<u64>,
     ) -> Option<usize> {
-        let task = ticket.live()?;
-        let upstream = self.hall.upstreams.choose(now, not)?;
-        let expected = self.hall.sizes.expected(ticket.stage, told);
-        self.hall.upstreams.outstanding(upstream, expected, 0);
-        let flow = self.hall.flow(task)?;
-        (flow.upstream, flow.expected, flow.began, flow.octets) = (Some(upstream), expected, now, 0);
+        let id = handle.running_id()?;
+        let upstream = self.resources.upstreams.choose(now, excluded)?;
+        let expected_bytes = self.resources.sizes.expected_bytes(handle.class, announced_bytes);
+        self.resources.upstreams.adjust_outstanding(upstream, expected_bytes, 0);
+        let request = self.resources.running_mut(id)?;
+        (request.upstream, request.expected_bytes, request.attempt_start, request.attempt_bytes) =
+            (Some(upstream), expected_bytes, now, 0);
         Some(upstream)
     }
 
-    /// A stream's upstream is done with it; whether well, and in so many octets.
-    pub fn let_go(&mut self, now: Instant, ticket: &Ticket, well: Option<bool>) {
-        let flow = ticket.live().and_then(|task| self.hall.flow(task));
-        if let Some(held) =
-            flow.and_then(|flow| Some((flow.upstream.take()?, flow.expected, flow.octets, flow.began)))
-        {
-            self.give_back(now, held, well);
+    /// Ends a request's attempt at its upstream. `succeeded` is `None` if the end says nothing about the upstream.
+    pub fn release_upstream(&mut self, now: Instant, handle: &RequestHandle, succeeded: Option<bool>) {
+        let request = handle.running_id().and_then(|id| self.resources.running_mut(id));
+        let attempt = request.and_then(|request| {
+            Some((
+                request.upstream.take()?,
+                request.expected_bytes,
+                request.attempt_bytes,
+                request.attempt_start,
+            ))
+        });
+        if let Some(attempt) = attempt {
+            self.end_attempt(now, attempt, succeeded);
         }
     }
 
-    fn give_back(&mut self, now: Instant, held: (usize, u64, u64, Instant), well: Option<bool>) {
-        let (upstream, expected, octets, began) = held;
-        let took = now - began;
-        self.hall.upstreams.outstanding(upstream, 0, expected);
-        match well {
-            Some(true) => self.hall.upstreams.succeeded(upstream, octets, took),
+    fn end_attempt(&mut self, now: Instant, attempt: (usize, u64, u64, Instant), succeeded: Option<bool>) {
+        let (upstream, expected_bytes, bytes, start) = attempt;
+        let elapsed = now - start;
+        self.resources.upstreams.adjust_outstanding(upstream, 0, expected_bytes);
+        match succeeded {
+            Some(true) => self.resources.upstreams.record_success(upstream, bytes, elapsed),
             Some(false) => {
-                if self.hall.upstreams.failed(now, upstream) {
-                    self.hall.counts.left_out += 1;
-                    warn!(upstream, "left out for a while");
+                if self.resources.upstreams.record_failure(now, upstream) {
+                    self.resources.counts.ejected_upstreams += 1;
+                    warn!(upstream, "upstream ejected after consecutive failures");
                 }
             }
-            None => self.hall.upstreams.ended(upstream),
+            None => self.resources.upstreams.record_neutral_end(upstream),
         }
     }
 
-    /// Whether a stream that stands so may be sent again, to none of these upstreams.
-    pub fn may_repeat(&mut self, now: Instant, ticket: &Ticket, not: &[usize], sent: Sent) -> bool {
-        let effect = self.effect(ticket);
-        let may = self.hall.upstreams.any(now, not) && self.hall.repeats.may(effect, sent);
-        self.hall.counts.repeated += u64::from(may);
-        may
-    }
-
-    /// Whether the rest of a download may be asked for elsewhere. Nothing is done twice by it.
-    pub fn may_go_on(&mut self, now: Instant, not: &[usize]) -> bool {
-        let fresh = Sent { octets: 0, head: false, held: true, answered: false };
-        let may = self.hall.upstreams.any(now, not) && self.hall.repeats.may(Effect::Idempotent, fresh);
-        self.hall.counts.resumed += u64::from(may);
-        may
-    }
-
-    /// A stream ended.
-    pub fn ended(&mut self, now: Instant, ticket: &Ticket, end: RunEnd) {
-        if ticket.ended.swap(true, Ordering::Relaxed) {
+    /// Returns whether a request may be sent to an upstream that is not in `excluded`; if so, the retry is counted.
+    pub fn try_retry(
+        &mut self,
+        now: Instant,
+        handle: &RequestHandle,
+        excluded: &[usize],
+        attempt: AttemptState,
+    ) -> bool {
+        let effect = self.effect(handle);
+        let allowed = self.resources.upstreams.has_eligible(now, excluded)
+            && self.resources.retries.try_retry(effect, attempt);
+        self.resources.counts.retried += u64::from(allowed);
+        allowed
+    }
+
+    /// Returns whether a download may be resumed from an upstream that is not in `excluded`; if so, the resumption is
+    /// counted. Asking for the rest of a download executes nothing twice, so only the retry budget limits it.
+    pub fn try_resume(&mut self, now: Instant, excluded: &[usize]) -> bool {
+        let untouched =
+            AttemptState { sent_bytes: 0, is_head_sent: false, has_copy: true, has_response_begun: false };
+        let allowed = self.resources.upstreams.has_eligible(now, excluded)
+            && self.resources.retries.try_retry(Effect::Idempotent, untouched);
+        self.resources.counts.resumed += u64::from(allowed);
+        allowed
+    }
+
+    /// Ends the run of a request. Calls after the first are ignored.
+    pub fn end_request(&mut self, now: Instant, handle: &RequestHandle, end: RunEnd) {
+        if handle.ended.swap(true, Ordering::Relaxed) {
             return;
         }
-        let task = ticket.task();
+        let id = handle.id();
         if let RunEnd::Completed(_) = end {
-            self.hall.repeats.succeeded();
-            if let Some(octets) = self.hall.flow(task).map(|flow| flow.octets) {
-                self.hall.sizes.moved(ticket.stage, octets);
+            self.resources.retries.record_success();
+            if let Some(bytes) = self.resources.running_mut(id).map(|request| request.attempt_bytes) {
+                self.resources.sizes.record_completed(handle.class, bytes);
             }
         }
-        let left = self.hall.leave(task);
-        if let Some(held) =
-            left.and_then(|flow| Some((flow.upstream?, flow.expected, flow.octets, flow.began)))
-        {
-            self.give_back(now, held, None);
+        let released = self.resources.release_all(id);
+        let attempt = released.and_then(|request| {
+            Some((request.upstream?, request.expected_bytes, request.attempt_bytes, request.attempt_start))
+        });
+        if let Some(attempt) = attempt {
+            self.end_attempt(now, attempt, None);
         }
-        self.host.run_ended(now, task, end, &mut self.hall, &mut self.desk);
+        self.engine.run_ended(now, id, end, &mut self.resources, &mut self.responses);
     }
 
-    /// A stream's client waits no more.
-    pub fn gone(&mut self, now: Instant, ticket: &Arc<Ticket>) {
-        self.host.caller_gone(now, ticket.task(), |own| Arc::ptr_eq(own, ticket));
-        if ticket.running() {
-            self.ended(now, ticket, RunEnd::Stopped);
+    /// Records that the client of a request no longer waits for the response.
+    pub fn client_gone(&mut self, now: Instant, handle: &Arc<RequestHandle>) {
+        self.engine.caller_gone(now, handle.id(), |other| Arc::ptr_eq(other, handle));
+        if handle.is_admitted() {
+            self.end_request(now, handle, RunEnd::Stopped);
         }
     }
 
-    /// The notice to leave; false where it was given before.
-    pub fn leave(&mut self, now: Instant, stop: Span) -> bool {
-        self.host.begin_drain(now, stop)
+    /// Begins a graceful shutdown that has to end after `timeout`. Returns false if one had begun before.
+    pub fn begin_shutdown(&mut self, now: Instant, timeout: Span) -> bool {
+        self.engine.begin_drain(now, timeout)
     }
 
-    /// After a failure of our own: whose answers are owed.
-    pub fn give_up(&mut self) -> Vec<Arc<Ticket>> {
-        self.host.fail_all()
+    /// Fails all requests after an internal error. Returns the handles of those that are owed a response.
+    pub fn fail_all(&mut self) -> Vec<Arc<RequestHandle>> {
+        self.engine.fail_all()
     }
 
-    /// All counters.
+    /// All counters, as a JSON object.
     pub fn counters(&self) -> serde_json::Value {
-        let (tally, counts) = (self.host.counts(), self.hall.counts);
+        let (requests, streams) = (self.engine.counts(), self.resources.counts);
         serde_json::json!({
-            "read": tally.received, "finished": tally.completed, "rejected": tally.rejected,
-            "abandoned": tally.failed, "gone": tally.caller_gone, "open": tally.in_flight, "adds_up": tally.is_consistent(),
-            "repeated": counts.repeated, "resumed": counts.resumed, "left_out": counts.left_out,
-            "late": counts.late, "cut": counts.cut, "bad": counts.bad,
-            "octets_up": counts.up, "octets_down": counts.down,
-            "held": self.hall.pool.held(), "held_most": counts.held_most, "scarce_link": self.link,
+            "read": requests.received, "finished": requests.completed, "rejected": requests.rejected,
+            "abandoned": requests.failed, "gone": requests.caller_gone, "open": requests.in_flight,
+            "adds_up": requests.is_consistent(),
+            "repeated": streams.retried, "resumed": streams.resumed, "left_out": streams.ejected_upstreams,
+            "late": streams.late, "cut": streams.cut_responses, "bad": streams.invalid_messages,
+            "octets_up": streams.bytes_to_upstreams, "octets_down": streams.bytes_to_clients,
+            "held": self.resources.memory.held_bytes(), "held_most": streams.max_held_bytes,
+            "scarce_link": self.is_link_scarce,
         })
     }
 }
 
-impl Hall {
-    fn pool_floor(&self) -> u64 {
-        self.pool.floor()
+impl StreamResources {
+    fn floor_bytes(&self) -> u64 {
+        self.memory.floor_bytes()
     }
 }
--- a/crates/frontends/stream/src/resumable_upload.rs
+++ b/crates/frontends/stream/src/resumable_upload.rs
@@ -1,15 +1,16 @@
-//! Uploads that can be gone on with (draft-ietf-httpbis-resumable-upload-05): what comes is archived as it arrives, and
-//! what is whole goes up to an upstream from there. A connection that drops leaves the upload where it stands.
+//! Serves resumable uploads (draft-ietf-httpbis-resumable-upload-05). The body of an upload is archived as it
+//! arrives, by one request or by several. Once it is complete, it is sent from the archive to an upstream. If
+//! a connection drops, the archive keeps what has arrived, and the client resumes from that offset.
 
 use crate::body_pipe::BodyPipe;
 use crate::content_coder::ContentCoder;
 use crate::http::{BodyUse, ConnectionUse, Framing, LocalResponse, MessageError, RequestHead, UploadState};
 use crate::proxied_request::ProxiedRequest;
-use crate::proxy::{caller, AfterRequest, ArchivedBody, Proxy};
-use crate::request_manager::{Entering, Moved, Ticket};
+use crate::proxy::{caller_number, AfterRequest, ArchivedBody, Proxy};
+use crate::request_manager::{RequestHandle, RequestInfo, TransferReport};
 use crate::upload_archive::{unix_seconds, ArchiveError, OperationResult, PendingOperation, UploadArchive};
 use lynxtally_engine::{FinalResponse, RunEnd, Scheduler};
-use lynxtally_flow::uploads::{Refused, Upload, UploadId};
+use lynxtally_flow::uploads::{Upload, UploadError, UploadId};
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::socket::{ReadOutcome, Socket};
 use lynxtally_net::sync::lock;
@@ -18,81 +19,82 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Under this path uploads are known to their clients.
-const PLACE: &str = "/.uploads/";
-/// Room for framing beside what is read.
-const FRAMING: u64 = 64;
+/// The prefix of the paths by which clients address uploads.
+const UPLOADS_PATH: &str = "/.uploads/";
+/// Bytes kept free for framing, beside the bytes that are read.
+const FRAMING_BYTES: u64 = 64;
 
-fn place(id: UploadId) -> String {
-    format!("{PLACE}{id:016x}")
+fn upload_path(id: UploadId) -> String {
+    format!("{UPLOADS_PATH}{id:016x}")
 }
 
-fn id(path: &str) -> Option<UploadId> {
-    let text = path.strip_prefix(PLACE)?;
-    let plain = text.len() == 16 && text.bytes().all(|octet| octet.is_ascii_hexdigit());
-    plain.then(|| UploadId::from_str_radix(text, 16).ok())?
+fn parse_upload_path(path: &str) -> Option<UploadId> {
+    let text = path.strip_prefix(UPLOADS_PATH)?;
+    let is_id = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    is_id.then(|| UploadId::from_str_radix(text, 16).ok())?
 }
 
-/// How what was sent by one message came to an end.
-enum Stored {
-    /// All of the message is here.
-    Whole,
-    /// An answer of our own is owed.
-    Own(LocalResponse),
-    /// The client is gone.
-    Gone(CloseReason),
+/// How receiving the body of one request ended.
+enum ReceiveOutcome {
+    /// The whole body of the request is archived.
+    Complete,
+    /// Receiving stopped, and the proxy sends this response.
+    Respond(LocalResponse),
+    /// The client's connection failed or was closed.
+    ClientGone(CloseReason),
 }
 
-/// What is done with an upload by one message.
-struct Doing<'a> {
+/// The right of one request to append to an upload. It ends when another request takes the upload over.
+struct UploadWriter<'a> {
     archive: &'a Arc<UploadArchive>,
     socket: &'a Arc<Socket>,
-    ticket: &'a Arc<Ticket>,
+    handle: &'a Arc<RequestHandle>,
     id: UploadId,
-    holder: u64,
-    sum: u32,
+    number: u64,
+    checksum: u32,
 }
 
-fn refused(refused: Refused, stands: Option<UploadState>) -> LocalResponse {
-    let bad = match refused {
-        Refused::Unknown => MessageError::UnknownUpload,
-        Refused::Offset(_) | Refused::Taken => MessageError::OffsetMismatch,
-        Refused::Long => MessageError::BodyTooLarge,
-        Refused::Quota => MessageError::QuotaExceeded,
+fn refusal(error: UploadError, upload_state: Option<UploadState>) -> LocalResponse {
+    let message_error = match error {
+        UploadError::Unknown => MessageError::UnknownUpload,
+        UploadError::WrongOffset(_) | UploadError::TakenOver => MessageError::OffsetMismatch,
+        UploadError::WrongLength => MessageError::BodyTooLarge,
+        UploadError::QuotaExceeded => MessageError::QuotaExceeded,
     };
-    LocalResponse { upload_state: stands, ..LocalResponse::from_error(bad) }
+    LocalResponse { upload_state, ..LocalResponse::from_error(message_error) }
 }
 
 impl<P: Scheduler + Send + 'static> Proxy<P> {
-    /// Whether a message begins an upload that can be gone on with, or is about one.
-    pub(crate) fn is_upload(&self, asked: &RequestHead) -> bool {
-        let begins = asked.known.upload.complete.is_some()
-            && matches!(asked.method.as_str(), "POST" | "PUT")
-            && self.settings.stage(asked).is_ok_and(|stage| self.settings.stages[stage].resumable);
-        begins || asked.path().starts_with(PLACE)
+    /// Whether a request creates a resumable upload, or addresses one.
+    pub(crate) fn is_upload_request(&self, request: &RequestHead) -> bool {
+        let creates_upload = request.known.upload.complete.is_some()
+            && matches!(request.method.as_str(), "POST" | "PUT")
+            && self.settings.class(request).is_ok_and(|class| self.settings.classes[class].resumable);
+        creates_upload || request.path().starts_with(UPLOADS_PATH)
     }
 
-    /// Answers with words of our own, and ends the connection where something of the body is still to come.
-    fn say(
+    /// Sends a response of the proxy's own, and closes the connection if part of the request's body is
+    /// unread.
+    fn respond(
         &self,
         socket: &Arc<Socket>,
-        asked: &RequestHead,
-        own: &LocalResponse,
-        whole: bool,
+        request: &RequestHead,
+        response: &LocalResponse,
+        is_body_read: bool,
     ) -> AfterRequest {
-        let last = asked.closes_connection() || !whole;
+        let closes = request.closes_connection() || !is_body_read;
         let mut out = Vec::new();
-        own.write(&mut out, ConnectionUse::closing_if(last), BodyUse::for_request(asked.is_head()));
-        if last {
+        response.write(&mut out, ConnectionUse::closing_if(closes), BodyUse::for_request(request.is_head()));
+        if closes {
             return AfterRequest::Close(self.send_last_response(socket, &out));
         }
-        match self.put(socket, &out) {
+        match self.write_all(socket, &out) {
             Ok(()) => AfterRequest::NextRequest,
-            Err(end) => AfterRequest::Close(end),
+            Err(reason) => AfterRequest::Close(reason),
         }
     }
 
-    fn put(&self, socket: &Arc<Socket>, mut out: &[u8]) -> Result<(), CloseReason> {
+    fn write_all(&self, socket: &Arc<Socket>, mut out: &[u8]) -> Result<(), CloseReason> {
         loop {
             let written = socket.write(out)?;
             out = &out[written..];
@@ -103,67 +105,74 @@
         }
     }
 
-    /// Takes a message about an upload.
-    pub(crate) fn upload(
+    /// Serves a request that creates an upload or addresses one.
+    pub(crate) fn serve_upload_request(
         self: &Arc<Self>,
         archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
         from: IpAddr,
-        asked: RequestHead,
-        came: &mut Vec<u8>,
+        request: RequestHead,
+        received: &mut Vec<u8>,
     ) -> AfterRequest {
-        let whole = asked.framing == Framing::Empty;
-        let bad = |bad: MessageError| {
-            lock(&self.owner).hall.counts.bad += 1;
-            self.say(socket, &asked, &LocalResponse::from_error(bad), whole)
+        let has_no_body = request.framing == Framing::Empty;
+        let reject = |error: MessageError| {
+            lock(&self.manager).resources.counts.invalid_messages += 1;
+            self.respond(socket, &request, &LocalResponse::from_error(error), has_no_body)
         };
-        let known = id(asked.path());
-        let stage = match (known, asked.path().starts_with(PLACE)) {
-            (None, true) => return bad(MessageError::UnknownUpload),
-            (None, false) => self.settings.stage(&asked),
-            // What goes on with one is of the stage that it began in.
-            (Some(id), _) if asked.method == "PATCH" => {
-                let what = lock(&archive.uploads).get(id).map(|upload| upload.what.clone());
-                let began = what.as_deref().and_then(|what| RequestHead::parse(what).ok().flatten());
-                began.ok_or(MessageError::UnknownUpload).and_then(|began| self.settings.stage(&began.head))
+        let upload_id = parse_upload_path(request.path());
+        let class = match (upload_id, request.path().starts_with(UPLOADS_PATH)) {
+            (None, true) => return reject(MessageError::UnknownUpload),
+            (None, false) => self.settings.class(&request),
+            // A request that resumes an upload belongs to the class of the request that created it.
+            (Some(id), _) if request.method == "PATCH" => {
+                let head = lock(&archive.uploads).get(id).map(|upload| upload.request_head.clone());
+                let created_by = head.as_deref().and_then(|head| RequestHead::parse(head).ok().flatten());
+                created_by
+                    .ok_or(MessageError::UnknownUpload)
+                    .and_then(|created_by| self.settings.class(&created_by.head))
             }
-            (Some(_), _) => Ok(self.settings.asking()),
+            (Some(_), _) => Ok(self.settings.upload_query_class()),
         };
-        let stage = match stage {
-            Ok(stage) => stage,
-            Err(what) => return bad(what),
+        let class = match class {
+            Ok(class) => class,
+            Err(error) => return reject(error),
         };
-        let told = match asked.framing {
+        let announced_bytes = match request.framing {
             Framing::Length(length) => Some(length),
             _ => None,
         };
-        let ticket = Arc::new(Ticket::new(stage, socket.waker()));
-        let customer = self.settings.customer(&asked);
-        let mark = asked.known.idempotency_key.clone().or_else(|| known.map(place));
-        let entering =
-            Entering { customer, mark: mark.filter(|_| known.is_none()), told, caller: caller(from) };
-        if !self.with(|owner, now| owner.enter(now, &ticket, entering)) {
-            return self.say(socket, &asked, &LocalResponse::new(503, "not taken"), whole);
+        let handle = Arc::new(RequestHandle::new(class, socket.waker()));
+        let tenant = self.settings.tenant(&request);
+        let idempotency_key = request.known.idempotency_key.clone().or_else(|| upload_id.map(upload_path));
+        let info = RequestInfo {
+            tenant,
+            idempotency_key: idempotency_key.filter(|_| upload_id.is_none()),
+            announced_bytes,
+            caller: caller_number(from),
+        };
+        if !self.with_manager(|manager, now| manager.submit(now, &handle, info)) {
+            return self.respond(socket, &request, &LocalResponse::new(503, "not taken"), has_no_body);
         }
-        // Nothing is read before the module has let it in.
-        while !ticket.running() {
-            if let Some(answer) = ticket.answer() {
-                return self.say(socket, &asked, &owed(&answer, None), whole);
+        // The body is not read before the scheduler has admitted the request.
+        while !handle.is_admitted() {
+            if let Some(response) = handle.take_response() {
+                return self.respond(socket, &request, &local_response(&response, None), has_no_body);
             }
             if socket.is_broken() {
-                self.with(|owner, now| owner.gone(now, &ticket));
+                self.with_manager(|manager, now| manager.client_gone(now, &handle));
                 return AfterRequest::Close(CloseReason::Reset);
             }
             socket.wait();
         }
-        match (known, asked.method.as_str()) {
-            (Some(id), "PATCH") => self.go_on(archive, socket, &ticket, id, &asked, came),
+        match (upload_id, request.method.as_str()) {
+            (Some(id), "PATCH") => self.resume_upload(archive, socket, &handle, id, &request, received),
             (Some(id), method) => {
-                let own = match method {
-                    // Whoever still sends must not move what is told now.
-                    "HEAD" | "GET" => match lock(&archive.uploads).hold(id) {
+                let response = match method {
+                    // A connection that still sends this upload must not move the offset that this response
+                    // reports.
+                    "HEAD" | "GET" => match lock(&archive.uploads).take_over(id) {
                         Ok(_) => None,
-                        Err(what) => Some(refused(what, None)),
+                        Err(error) => Some(refusal(error, None)),
                     },
                     "DELETE" if lock(&archive.uploads).get(id).is_some() => {
                         archive.remove(id);
@@ -172,424 +181,454 @@
                     "DELETE" => Some(LocalResponse::from_error(MessageError::UnknownUpload)),
                     _ => Some(LocalResponse::from_error(MessageError::MethodNotAllowed)),
                 };
-                let own = own.unwrap_or_else(|| match self.durable(archive, socket, id) {
-                    Ok(()) => {
-                        LocalResponse { upload_state: stands(archive, id), ..LocalResponse::new(204, "") }
-                    }
-                    Err(what) => LocalResponse::new(500, what.to_string()),
+                let response = response.unwrap_or_else(|| match self.make_durable(archive, socket, id) {
+                    Ok(()) => LocalResponse {
+                        upload_state: upload_state(archive, id),
+                        ..LocalResponse::new(204, "")
+                    },
+                    Err(error) => LocalResponse::new(500, error.to_string()),
                 });
-                self.with(|owner, now| owner.ended(now, &ticket, RunEnd::Completed(Vec::new())));
-                self.say(socket, &asked, &own, whole)
+                self.with_manager(|manager, now| {
+                    manager.end_request(now, &handle, RunEnd::Completed(Vec::new()))
+                });
+                self.respond(socket, &request, &response, has_no_body)
             }
-            (None, _) => self.begin(archive, socket, &ticket, &asked, came),
+            (None, _) => self.create_upload(archive, socket, &handle, &request, received),
         }
     }
 
-    /// One begins.
-    fn begin(
+    /// Creates an upload, and archives the body of the request.
+    fn create_upload(
         self: &Arc<Self>,
         archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
-        ticket: &Arc<Ticket>,
-        asked: &RequestHead,
-        came: &mut Vec<u8>,
+        handle: &Arc<RequestHandle>,
+        request: &RequestHead,
+        received: &mut Vec<u8>,
     ) -> AfterRequest {
         let id = rand::rng().random::<UploadId>();
-        let complete = asked.known.upload.complete == Some(true);
-        let length = asked.known.upload.length.or(match asked.framing {
+        let complete = request.known.upload.complete == Some(true);
+        let length = request.known.upload.length.or(match request.framing {
             Framing::Length(length) if complete => Some(length),
             Framing::Empty if complete => Some(0),
             _ => None,
         });
-        let customer = self.settings.customer_field.as_deref().and_then(|field| asked.field(field));
+        let tenant = self.settings.tenant_field.as_deref().and_then(|field| request.field(field));
         let upload = Upload {
-            customer: customer.map(|name| String::from_utf8_lossy(name).into_owned()).unwrap_or_default(),
-            what: keep(asked),
+            tenant: tenant.map(|name| String::from_utf8_lossy(name).into_owned()).unwrap_or_default(),
+            request_head: stored_head(request),
             length,
             offset: 0,
-            sum: 0,
-            touched: unix_seconds(),
-            whole: false,
+            checksum: 0,
+            updated_secs: unix_seconds(),
+            is_complete: false,
         };
-        let begun = lock(&archive.uploads).begin(id, upload);
-        let (entry, holder) = match begun {
-            Ok(begun) => begun,
-            Err(what) => {
-                return self.end(socket, ticket, asked, &refused(what, None), RunEnd::Unavailable(HOLD_OFF))
+        let created = lock(&archive.uploads).create(id, upload);
+        let (entry, number) = match created {
+            Ok(created) => created,
+            Err(error) => {
+                return self.end_with_response(
+                    socket,
+                    handle,
+                    request,
+                    &refusal(error, None),
+                    RunEnd::Unavailable(REFUSED_RETRY_AFTER),
+                )
             }
         };
         let waker = socket.waker();
-        if let Err(what) = self.await_it(socket, &archive.record(entry, move || waker.wakeup())) {
-            lock(&archive.uploads).gone(id);
-            return self.end(
+        if let Err(error) = self.await_operation(socket, &archive.record(entry, move || waker.wakeup())) {
+            lock(&archive.uploads).remove(id);
+            return self.end_with_response(
                 socket,
-                ticket,
-                asked,
-                &LocalResponse::new(500, what.to_string()),
+                handle,
+                request,
+                &LocalResponse::new(500, error.to_string()),
                 RunEnd::Failed,
             );
         }
         let mut out = Vec::new();
-        if !asked.is_http_10 {
-            LocalResponse { location: Some(place(id)), ..LocalResponse::new(104, "") }.write(
+        if !request.is_http_10 {
+            LocalResponse { location: Some(upload_path(id)), ..LocalResponse::new(104, "") }.write(
                 &mut out,
                 ConnectionUse::KeepAlive,
                 BodyUse::Omitted,
             );
         }
-        if let Err(end) = self.put(socket, &out) {
-            self.with(|owner, now| owner.gone(now, ticket));
-            return AfterRequest::Close(end);
+        if let Err(reason) = self.write_all(socket, &out) {
+            self.with_manager(|manager, now| manager.client_gone(now, handle));
+            return AfterRequest::Close(reason);
         }
-        let doing = Doing { archive, socket, ticket, id, holder, sum: 0 };
-        self.store(doing, asked, came, 201)
+        let writer = UploadWriter { archive, socket, handle, id, number, checksum: 0 };
+        self.store_body(writer, request, received, 201)
     }
 
-    /// One is gone on with.
-    fn go_on(
+    /// Resumes an upload at the offset that the request gives, and archives the body of the request.
+    fn resume_upload(
         self: &Arc<Self>,
         archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
-        ticket: &Arc<Ticket>,
+        handle: &Arc<RequestHandle>,
         id: UploadId,
-        asked: &RequestHead,
-        came: &mut Vec<u8>,
+        request: &RequestHead,
+        received: &mut Vec<u8>,
     ) -> AfterRequest {
-        let upload = asked.known.upload;
+        let upload = request.known.upload;
         let (Some(offset), Some(complete)) = (upload.offset, upload.complete) else {
-            let bad = MessageError::InvalidField(if upload.offset.is_none() {
+            let error = MessageError::InvalidField(if upload.offset.is_none() {
                 "Upload-Offset"
             } else {
                 "Upload-Complete"
             });
-            return self.end(
+            return self.end_with_response(
                 socket,
-                ticket,
-                asked,
-                &LocalResponse::from_error(bad),
-                RunEnd::Unavailable(HOLD_OFF),
+                handle,
+                request,
+                &LocalResponse::from_error(error),
+                RunEnd::Unavailable(REFUSED_RETRY_AFTER),
             );
         };
-        if asked.known.media_type != "application/partial-upload" {
-            return self.end(
+        if request.known.media_type != "application/partial-upload" {
+            return self.end_with_response(
                 socket,
-                ticket,
-                asked,
+                handle,
+                request,
                 &LocalResponse::from_error(MessageError::UnsupportedCoding),
-                RunEnd::Unavailable(HOLD_OFF),
+                RunEnd::Unavailable(REFUSED_RETRY_AFTER),
             );
         }
-        let told = upload.length.or(match asked.framing {
+        let announced_length = upload.length.or(match request.framing {
             Framing::Length(length) if complete => offset.checked_add(length),
             Framing::Empty if complete => Some(offset),
             _ => None,
         });
         let mut uploads = lock(&archive.uploads);
-        let held = uploads.go_on(id, offset).and_then(|holder| {
-            told.map_or(Ok(()), |length| uploads.tell_length(id, length)).map(|()| holder)
+        let resumed = uploads.resume(id, offset).and_then(|number| {
+            announced_length.map_or(Ok(()), |length| uploads.set_length(id, length)).map(|()| number)
         });
-        let sum = uploads.get(id).map_or(0, |upload| upload.sum);
+        let checksum = uploads.get(id).map_or(0, |upload| upload.checksum);
         drop(uploads);
-        match held {
-            Ok(holder) => {
-                let doing = Doing { archive, socket, ticket, id, holder, sum };
-                self.store(doing, asked, came, 204)
+        match resumed {
+            Ok(number) => {
+                let writer = UploadWriter { archive, socket, handle, id, number, checksum };
+                self.store_body(writer, request, received, 204)
             }
-            Err(what) => {
-                let own = refused(what, stands(archive, id));
-                self.end(socket, ticket, asked, &own, RunEnd::Unavailable(HOLD_OFF))
+            Err(error) => {
+                let response = refusal(error, upload_state(archive, id));
+                self.end_with_response(
+                    socket,
+                    handle,
+                    request,
+                    &response,
+                    RunEnd::Unavailable(REFUSED_RETRY_AFTER),
+                )
             }
         }
     }
 
-    /// Ends a run with words of our own.
-    fn end(
+    /// Ends the run of a request with a response of the proxy's own.
+    fn end_with_response(
         &self,
         socket: &Arc<Socket>,
-        ticket: &Arc<Ticket>,
-        asked: &RequestHead,
-        own: &LocalResponse,
+        handle: &Arc<RequestHandle>,
+        request: &RequestHead,
+        response: &LocalResponse,
         end: RunEnd,
     ) -> AfterRequest {
-        self.with(|owner, now| owner.ended(now, ticket, end));
-        self.say(socket, asked, own, asked.framing == Framing::Empty)
+        self.with_manager(|manager, now| manager.end_request(now, handle, end));
+        self.respond(socket, request, response, request.framing == Framing::Empty)
     }
 
-    /// Waits for the archive.
-    fn await_it(&self, socket: &Arc<Socket>, awaited: &PendingOperation) -> OperationResult {
+    /// Waits for an operation of the archive.
+    fn await_operation(&self, socket: &Arc<Socket>, operation: &PendingOperation) -> OperationResult {
         loop {
-            match awaited.take() {
-                Some(done) => return done,
+            match operation.take() {
+                Some(result) => return result,
                 None => socket.wait(),
             }
         }
     }
 
-    /// Waits until what is told of an upload lasts.
-    fn durable(
+    /// Makes the current offset of an upload durable, and waits for it.
+    fn make_durable(
         &self,
         archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
         id: UploadId,
     ) -> Result<(), ArchiveError> {
-        let Some(entry) = lock(&archive.uploads).moved(id) else { return Ok(()) };
+        let Some(entry) = lock(&archive.uploads).progress_entry(id) else { return Ok(()) };
         let waker = socket.waker();
-        self.await_it(socket, &archive.record(entry, move || waker.wakeup())).map(drop)
+        self.await_operation(socket, &archive.record(entry, move || waker.wakeup())).map(drop)
     }
 
-    /// Archives what one message brings; then answers how far the upload is or, where it is whole, passes it on.
-    fn store(
+    /// Archives the body of a request. Then forwards the upload if it is complete, and otherwise responds
+    /// with its offset.
+    fn store_body(
         self: &Arc<Self>,
-        mut doing: Doing,
-        asked: &RequestHead,
-        came: &mut Vec<u8>,
+        mut writer: UploadWriter,
+        request: &RequestHead,
+        received: &mut Vec<u8>,
         status: u16,
     ) -> AfterRequest {
-        let (archive, socket, ticket, id) = (doing.archive, doing.socket, doing.ticket, doing.id);
-        let mut pipe = BodyPipe::new(asked.framing, Framing::Close, ContentCoder::identity());
-        let mut stored = self.take_in(&mut doing, &mut pipe, asked, came);
-        if let (Stored::Whole, Some(true)) = (&stored, asked.known.upload.complete) {
-            match lock(&archive.uploads).complete(id, doing.holder) {
+        let (archive, socket, handle, id) = (writer.archive, writer.socket, writer.handle, writer.id);
+        let mut pipe = BodyPipe::new(request.framing, Framing::Close, ContentCoder::identity());
+        let mut outcome = self.receive_upload(&mut writer, &mut pipe, request, received);
+        if let (ReceiveOutcome::Complete, Some(true)) = (&outcome, request.known.upload.complete) {
+            match lock(&archive.uploads).complete(id, writer.number) {
                 Ok(true) => {}
                 Ok(false) => {
-                    stored = Stored::Own(LocalResponse {
-                        upload_state: stands(archive, id),
+                    outcome = ReceiveOutcome::Respond(LocalResponse {
+                        upload_state: upload_state(archive, id),
                         ..LocalResponse::from_error(MessageError::InvalidLength)
                     })
                 }
-                Err(what) => stored = Stored::Own(refused(what, stands(archive, id))),
+                Err(error) => outcome = ReceiveOutcome::Respond(refusal(error, upload_state(archive, id))),
             }
         }
-        // However it went on: what is here lasts, before anybody is told of it.
-        let lasts = self.durable(archive, socket, id);
-        let own = match (stored, lasts) {
-            (Stored::Gone(end), _) => {
-                self.with(|owner, now| owner.gone(now, ticket));
-                return AfterRequest::Close(end);
+        // Whatever the outcome, the archived bytes are made durable before a response reports them.
+        let durable = self.make_durable(archive, socket, id);
+        let response = match (outcome, durable) {
+            (ReceiveOutcome::ClientGone(reason), _) => {
+                self.with_manager(|manager, now| manager.client_gone(now, handle));
+                return AfterRequest::Close(reason);
             }
-            (_, Err(what)) => LocalResponse::new(500, what.to_string()),
-            (Stored::Own(own), _) => own,
-            (Stored::Whole, Ok(())) if asked.known.upload.complete == Some(true) => {
-                return self.pass_on(archive, socket, ticket, id, came);
+            (_, Err(error)) => LocalResponse::new(500, error.to_string()),
+            (ReceiveOutcome::Respond(response), _) => response,
+            (ReceiveOutcome::Complete, Ok(())) if request.known.upload.complete == Some(true) => {
+                return self.forward_upload(archive, socket, handle, id, received);
             }
-            (Stored::Whole, Ok(())) => {
-                let place = (status == 201).then(|| place(id));
-                let own = LocalResponse {
-                    upload_state: stands(archive, id),
-                    location: place,
+            (ReceiveOutcome::Complete, Ok(())) => {
+                let location = (status == 201).then(|| upload_path(id));
+                let response = LocalResponse {
+                    upload_state: upload_state(archive, id),
+                    location,
                     ..LocalResponse::new(status, "")
                 };
-                self.with(|owner, now| owner.ended(now, ticket, RunEnd::Completed(Vec::new())));
-                return self.say(socket, asked, &own, true);
+                self.with_manager(|manager, now| {
+                    manager.end_request(now, handle, RunEnd::Completed(Vec::new()))
+                });
+                return self.respond(socket, request, &response, true);
             }
         };
-        self.with(|owner, now| owner.ended(now, ticket, RunEnd::Failed));
-        self.say(socket, asked, &own, pipe.is_complete())
+        self.with_manager(|manager, now| manager.end_request(now, handle, RunEnd::Failed));
+        self.respond(socket, request, &response, pipe.is_complete())
     }
 
-    fn take_in(
+    fn receive_upload(
         &self,
-        doing: &mut Doing,
+        writer: &mut UploadWriter,
         pipe: &mut BodyPipe,
-        asked: &RequestHead,
-        came: &mut Vec<u8>,
-    ) -> Stored {
-        let (archive, socket, ticket, id) = (doing.archive, doing.socket, doing.ticket, doing.id);
-        let mut on_its_way: Option<(usize, PendingOperation)> = None;
-        if asked.known.expects_continue && asked.framing != Framing::Empty && came.is_empty() {
-            if let Err(end) = self.put(socket, crate::http::CONTINUE_RESPONSE) {
-                return Stored::Gone(end);
+        request: &RequestHead,
+        received: &mut Vec<u8>,
+    ) -> ReceiveOutcome {
+        let (archive, socket, handle, id) = (writer.archive, writer.socket, writer.handle, writer.id);
+        let mut pending_append: Option<(usize, PendingOperation)> = None;
+        if request.known.expects_continue && request.framing != Framing::Empty && received.is_empty() {
+            if let Err(reason) = self.write_all(socket, crate::http::CONTINUE_RESPONSE) {
+                return ReceiveOutcome::ClientGone(reason);
             }
         }
-        if let Err(bad) = pipe.start() {
-            return Stored::Own(LocalResponse::from_error(bad));
+        if let Err(error) = pipe.start() {
+            return ReceiveOutcome::Respond(LocalResponse::from_error(error));
         }
         loop {
-            if let Some(answer) = ticket.answer() {
-                return Stored::Own(owed(&answer, stands(archive, id)));
+            if let Some(response) = handle.take_response() {
+                return ReceiveOutcome::Respond(local_response(&response, upload_state(archive, id)));
             }
-            let mut moved = Moved::default();
-            let mut step = false;
-            if let Some((octets, done)) =
-                on_its_way.as_ref().and_then(|(n, awaited)| Some((*n, awaited.take()?)))
+            let mut report = TransferReport::default();
+            let mut progressed = false;
+            if let Some((bytes, result)) =
+                pending_append.as_ref().and_then(|(bytes, operation)| Some((*bytes, operation.take()?)))
             {
-                on_its_way = None;
-                moved.up_took = octets as u64;
-                if let Err(what) = done {
-                    return Stored::Own(LocalResponse::new(500, what.to_string()));
+                pending_append = None;
+                report.written_to_upstream = bytes as u64;
+                if let Err(error) = result {
+                    return ReceiveOutcome::Respond(LocalResponse::new(500, error.to_string()));
                 }
             }
-            let rooms = lock(&self.owner).rooms(ticket);
-            let flying = on_its_way.as_ref().map_or(0, |(octets, _)| *octets as u64);
-            let room = rooms.up.saturating_sub(pipe.buffered_bytes() + flying + FRAMING) as usize;
+            let allowance = lock(&self.manager).allowance(handle);
+            let appending = pending_append.as_ref().map_or(0, |(bytes, _)| *bytes as u64);
+            let room =
+                allowance.upstream_window.saturating_sub(pipe.buffered_bytes() + appending + FRAMING_BYTES)
+                    as usize;
             if !pipe.is_complete() && room > 0 {
-                let octets = if came.is_empty() {
+                let bytes = if received.is_empty() {
                     let mut scratch = lock(&self.scratch);
-                    let most = room.min(scratch.len());
-                    match socket.read(&mut scratch[..most]) {
-                        Ok(ReadOutcome::Bytes(octets)) => scratch[..octets].to_vec(),
+                    let max_bytes = room.min(scratch.len());
+                    match socket.read(&mut scratch[..max_bytes]) {
+                        Ok(ReadOutcome::Bytes(bytes)) => scratch[..bytes].to_vec(),
                         Ok(ReadOutcome::WouldBlock) => Vec::new(),
                         Ok(ReadOutcome::EndOfStream) => {
-                            return self.leave_off(doing, pipe, on_its_way, CloseReason::Truncated)
+                            return self.archive_rest(writer, pipe, pending_append, CloseReason::Truncated)
                         }
-                        Err(end) => return self.leave_off(doing, pipe, on_its_way, end),
+                        Err(reason) => return self.archive_rest(writer, pipe, pending_append, reason),
                     }
                 } else {
-                    came.drain(..came.len().min(room)).collect()
+                    received.drain(..received.len().min(room)).collect()
                 };
-                if !octets.is_empty() {
-                    step = true;
-                    moved.came = octets.len() as u64;
-                    match pipe.receive(&octets, room) {
-                        Ok(used) => drop(came.splice(..0, octets[used..].iter().copied())),
-                        Err(bad) => {
-                            return Stored::Own(LocalResponse {
-                                upload_state: stands(archive, id),
-                                ..LocalResponse::from_error(bad)
+                if !bytes.is_empty() {
+                    progressed = true;
+                    report.received_from_client = bytes.len() as u64;
+                    match pipe.receive(&bytes, room) {
+                        Ok(used) => drop(received.splice(..0, bytes[used..].iter().copied())),
+                        Err(error) => {
+                            return ReceiveOutcome::Respond(LocalResponse {
+                                upload_state: upload_state(archive, id),
+                                ..LocalResponse::from_error(error)
                             })
                         }
                     }
                 }
             }
-            if on_its_way.is_none() && !pipe.out.is_empty() {
-                match self.archive_some(doing, pipe) {
-                    Ok(sent) => on_its_way = Some(sent),
-                    Err(what) => return Stored::Own(refused(what, stands(archive, id))),
+            if pending_append.is_none() && !pipe.out.is_empty() {
+                match self.append_to_archive(writer, pipe) {
+                    Ok(sent) => pending_append = Some(sent),
+                    Err(error) => return ReceiveOutcome::Respond(refusal(error, upload_state(archive, id))),
                 }
-                step = true;
+                progressed = true;
             }
-            moved.up_held =
-                pipe.buffered_bytes() + on_its_way.as_ref().map_or(0, |(octets, _)| *octets as u64);
-            moved.waits_client = !pipe.is_complete() && moved.up_held == 0;
-            self.with(|owner, now| owner.moved(now, ticket, moved));
-            if pipe.is_complete() && pipe.out.is_empty() && on_its_way.is_none() {
-                return Stored::Whole;
+            report.held_for_upstream =
+                pipe.buffered_bytes() + pending_append.as_ref().map_or(0, |(bytes, _)| *bytes as u64);
+            report.awaits_client_body = !pipe.is_complete() && report.held_for_upstream == 0;
+            self.with_manager(|manager, now| manager.record_transfer(now, handle, report));
+            if pipe.is_complete() && pipe.out.is_empty() && pending_append.is_none() {
+                return ReceiveOutcome::Complete;
             }
-            if !step {
+            if !progressed {
                 socket.wait();
             }
         }
     }
 
-    /// Hands what waits to the archive.
-    fn archive_some(
+    /// Sends the decoded bytes that wait in the pipe to the archive.
+    fn append_to_archive(
         &self,
-        doing: &mut Doing,
+        writer: &mut UploadWriter,
         pipe: &mut BodyPipe,
-    ) -> Result<(usize, PendingOperation), Refused> {
-        let octets = pipe.out.front().to_vec();
-        let sum = crc32c::crc32c_append(doing.sum, &octets);
-        let length = octets.len();
-        lock(&doing.archive.uploads).grow(doing.id, doing.holder, length as u64, sum, unix_seconds())?;
-        doing.sum = sum;
+    ) -> Result<(usize, PendingOperation), UploadError> {
+        let bytes = pipe.out.front().to_vec();
+        let checksum = crc32c::crc32c_append(writer.checksum, &bytes);
+        let length = bytes.len();
+        lock(&writer.archive.uploads).append(
+            writer.id,
+            writer.number,
+            length as u64,
+            checksum,
+            unix_seconds(),
+        )?;
+        writer.checksum = checksum;
         pipe.out.consume(length);
-        let waker = doing.socket.waker();
-        Ok((length, doing.archive.append(doing.id, octets, move || waker.wakeup())))
+        let waker = writer.socket.waker();
+        Ok((length, writer.archive.append(writer.id, bytes, move || waker.wakeup())))
     }
 
-    /// The client dropped: what came of it is archived all the same.
-    fn leave_off(
+    /// The client's connection dropped: archives what has arrived of the body.
+    fn archive_rest(
         &self,
-        doing: &mut Doing,
+        writer: &mut UploadWriter,
         pipe: &mut BodyPipe,
-        on_its_way: Option<(usize, PendingOperation)>,
-        end: CloseReason,
-    ) -> Stored {
-        let mut last = on_its_way.map(|(_, awaited)| awaited);
+        pending_append: Option<(usize, PendingOperation)>,
+        reason: CloseReason,
+    ) -> ReceiveOutcome {
+        let mut last_append = pending_append.map(|(_, operation)| operation);
         if !pipe.out.is_empty() {
-            // Another may hold it by now: then it is that one's to bring them.
-            last = self.archive_some(doing, pipe).ok().map(|(_, awaited)| awaited).or(last);
+            // If another request has taken the upload over, these bytes are left out: the client sends them
+            // there.
+            last_append =
+                self.append_to_archive(writer, pipe).ok().map(|(_, operation)| operation).or(last_append);
         }
-        if let Some(last) = last {
-            // A disk that fails is seen when the rest is noted.
-            let _ = self.await_it(doing.socket, &last);
+        if let Some(operation) = last_append {
+            // A failed append is reported when the offset is recorded.
+            let _ = self.await_operation(writer.socket, &operation);
         }
-        Stored::Gone(end)
+        ReceiveOutcome::ClientGone(reason)
     }
 
-    /// A whole upload goes up, from the archive.
-    fn pass_on(
+    /// Forwards a complete upload from the archive to an upstream.
+    fn forward_upload(
         self: &Arc<Self>,
         archive: &Arc<UploadArchive>,
         socket: &Arc<Socket>,
-        ticket: &Arc<Ticket>,
+        handle: &Arc<RequestHandle>,
         id: UploadId,
-        came: &mut Vec<u8>,
+        received: &mut Vec<u8>,
     ) -> AfterRequest {
-        let known = lock(&archive.uploads).get(id).map(|upload| (upload.what.clone(), upload.offset));
-        let asked = known.and_then(|(mut what, length)| {
-            // The head that was kept lacks only its end.
-            what.truncate(what.len() - 2);
-            what.extend_from_slice(format!("Content-Length: {length}\r\n\r\n").as_bytes());
-            Some((RequestHead::parse(&what).ok()??.head, length))
+        let stored =
+            lock(&archive.uploads).get(id).map(|upload| (upload.request_head.clone(), upload.offset));
+        let request = stored.and_then(|(mut head, length)| {
+            // The stored head ends with an empty line; the length of the body is added before it.
+            head.truncate(head.len() - 2);
+            head.extend_from_slice(format!("Content-Length: {length}\r\n\r\n").as_bytes());
+            Some((RequestHead::parse(&head).ok()??.head, length))
         });
-        let made = asked.ok_or(MessageError::UnknownUpload).and_then(|(asked, length)| {
-            let stage = self.settings.stage(&asked)?;
-            Ok((ProxiedRequest::new(asked, self.settings.stages[stage].plan.clone())?, length))
+        let forwarded = request.ok_or(MessageError::UnknownUpload).and_then(|(request, length)| {
+            let class = self.settings.class(&request)?;
+            Ok((ProxiedRequest::new(request, self.settings.classes[class].forwarding.clone())?, length))
         });
-        match made {
-            Ok((relay, end)) => {
-                let source = ArchivedBody {
+        match forwarded {
+            Ok((proxied, length)) => {
+                let body = ArchivedBody {
                     archive: archive.clone(),
                     id,
-                    at: 0,
-                    end,
-                    ready: Vec::new(),
-                    awaited: None,
+                    offset: 0,
+                    length,
+                    unused: Vec::new(),
+                    pending_read: None,
                 };
-                self.run_exchange(socket, ticket, relay, Some(source), Some(end), came)
+                self.run_exchange(socket, handle, proxied, Some(body), Some(length), received)
             }
-            Err(bad) => {
+            Err(error) => {
                 archive.remove(id);
-                self.with(|owner, now| owner.ended(now, ticket, RunEnd::Failed));
-                AfterRequest::Close(self.close_with(socket, &LocalResponse::from_error(bad)))
+                self.with_manager(|manager, now| manager.end_request(now, handle, RunEnd::Failed));
+                AfterRequest::Close(self.close_with(socket, &LocalResponse::from_error(error)))
             }
         }
     }
 }
 
-/// When one that was refused for what it is may come again.
-const HOLD_OFF: lynxtally::Span = lynxtally::Span::from_millis(1000);
+/// When a client may retry a request on an upload that was refused.
+const REFUSED_RETRY_AFTER: lynxtally::Span = lynxtally::Span::from_millis(1000);
 
-fn stands(archive: &UploadArchive, id: UploadId) -> Option<UploadState> {
+fn upload_state(archive: &UploadArchive, id: UploadId) -> Option<UploadState> {
     lock(&archive.uploads)
         .get(id)
-        .map(|upload| UploadState { offset: upload.offset, is_complete: upload.whole })
+        .map(|upload| UploadState { offset: upload.offset, is_complete: upload.is_complete })
 }
 
-/// What a client is told that was not let in, or whose time ran out.
-fn owed(answer: &FinalResponse, stands: Option<UploadState>) -> LocalResponse {
-    match answer {
-        FinalResponse::Rejected { retry_after: hold_off, .. } => {
-            let back_in = Some((hold_off.secs().ceil() as u64).max(1));
+/// The response to a request that was not admitted, or was not finished by its deadline.
+fn local_response(response: &FinalResponse, upload_state: Option<UploadState>) -> LocalResponse {
+    match response {
+        FinalResponse::Rejected { retry_after, .. } => {
+            let retry_after_secs = Some((retry_after.secs().ceil() as u64).max(1));
             LocalResponse {
-                retry_after_secs: back_in,
-                upload_state: stands,
+                retry_after_secs,
+                upload_state,
                 ..LocalResponse::new(503, "not taken; nothing of it was done")
             }
         }
-        // Where it stands it can be gone on with.
+        // The upload can be resumed at its offset after the deadline.
         _ => LocalResponse {
             retry_after_secs: Some(1),
-            upload_state: stands,
+            upload_state,
             ..LocalResponse::new(503, "not done in time")
         },
     }
 }
 
-/// What is kept of the message that began an upload: all that its upstream is to see, but for the body's length.
-fn keep(asked: &RequestHead) -> Vec<u8> {
+/// The head that is stored with an upload for its upstream: that of the request that created it, without the
+/// fields about the upload. The length of the body is added once it is known.
+fn stored_head(request: &RequestHead) -> Vec<u8> {
     let mut text = String::new();
-    let _ = write!(text, "{} {} HTTP/1.1\r\n", asked.method, asked.target);
-    let mut what = text.into_bytes();
-    for (name, value) in &asked.fields {
+    let _ = write!(text, "{} {} HTTP/1.1\r\n", request.method, request.target);
+    let mut head = text.into_bytes();
+    for (name, value) in &request.fields {
         if !name.to_ascii_lowercase().starts_with("upload-") {
-            what.extend_from_slice(name.as_bytes());
-            what.extend_from_slice(b": ");
-            what.extend_from_slice(value);
-            what.extend_from_slice(b"\r\n");
+            head.extend_from_slice(name.as_bytes());
+            head.extend_from_slice(b": ");
+            head.extend_from_slice(value);
+            head.extend_from_slice(b"\r\n");
         }
     }
-    what.extend_from_slice(b"\r\n");
-    what
+    head.extend_from_slice(b"\r\n");
+    head
 }
--- a/crates/frontends/stream/src/settings.rs
+++ b/crates/frontends/stream/src/settings.rs
@@ -1,57 +1,60 @@
-//! What a stream server is told: decoded, checked and given defaults here and nowhere else.
+//! Settings of a stream server: the form of the settings file, its defaults, and its checks.
+//! [`SettingsFile::check`] turns the file into [`StreamSettings`], which the rest of the crate uses.
+//!
+//! No other module reads the file or has defaults. The fields of the file types are the keys of the file.
 
 use crate::http::{MessageError, RequestHead};
 use crate::proxied_request::ForwardingSettings;
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
-use lynxtally_flow::coding::{Coding, Growth};
+use lynxtally_flow::coding::{Coding, GrowthLimit};
 use lynxtally_flow::uploads::UploadLimits;
-use lynxtally_flow::{PoolLimits, ProgressLimits, UpstreamLimits};
+use lynxtally_flow::{MemoryLimits, ProgressLimits, UpstreamLimits};
 use lynxtally_settings::SettingError;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-fn fault<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, SettingError> {
-    Err(SettingError::new(key, what))
+fn invalid<T>(key: impl Into<String>, problem: impl Into<String>) -> Result<T, SettingError> {
+    Err(SettingError::new(key, problem))
 }
 
-/// The settings as they stand.
+/// The settings file as it is decoded, not checked yet.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct File {
-    /// Where clients come.
+#[serde(rename = "File", deny_unknown_fields)]
+pub struct SettingsFile {
+    /// The addresses to listen on for clients.
     pub listen: Vec<SocketAddr>,
-    /// Where their streams are passed on to.
+    /// The addresses of the upstreams.
     pub upstreams: Vec<SocketAddr>,
-    /// A folder that lasts, for uploads that are gone on with; without one there are none.
+    /// The directory of the upload archive. Without one, no upload is resumable.
     pub state: Option<PathBuf>,
-    /// The stages; the first that fits takes a stream.
-    pub stages: Vec<StageFile>,
-    /// The field that names a customer.
+    /// The request classes; the first one that matches a request applies to it.
+    pub stages: Vec<ClassFile>,
+    /// The name of the header field that names the tenant of a request.
     pub customer_field: Option<String>,
-    /// The customers.
+    /// The tenants that have a quota.
     #[serde(default)]
-    pub customers: Vec<Customer>,
-    /// Bounds.
+    pub customers: Vec<TenantFile>,
+    /// Limits of the server.
     #[serde(default)]
     pub limits: Limits,
-    /// What progress is owed.
+    /// The progress that a stream has to make.
     #[serde(default)]
-    pub progress: Progress,
-    /// When an upstream is left out.
+    pub progress: ProgressFile,
+    /// When an upstream is ejected.
     #[serde(default)]
-    pub leave_out: LeaveOut,
-    /// What repeats cost.
+    pub leave_out: OutlierFile,
+    /// The retry budget.
     #[serde(default)]
-    pub repeats: Repeats,
-    /// How bodies are coded.
+    pub repeats: RetryFile,
+    /// Content codings.
     #[serde(default)]
     pub coding: CodingFile,
-    /// How long after the notice to leave the program is killed, in milliseconds.
+    /// The shutdown timeout: how long after the shutdown signal the process is killed, in milliseconds.
     #[serde(default = "stop_ms")]
     pub stop_ms: u64,
-    /// What arrives later than this after the notice is not run, in milliseconds.
+    /// Requests that arrive later than this after the shutdown signal are rejected, in milliseconds.
     #[serde(default = "grace_ms")]
     pub grace_ms: u64,
 }
@@ -64,48 +67,48 @@
     2500
 }
 
-/// What may happen when something is done twice.
+/// The effect of executing a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EffectFile {
-    /// It may be done again.
+    /// Executing the request again is harmless.
     Restartable,
-    /// It carries a mark by which a repeat is known.
+    /// The request carries an idempotency key, by which a duplicate is recognized.
     Fingerprinted,
-    /// It must not be done twice.
+    /// The request must not be executed twice.
     SideEffecting,
 }
 
-/// A stage.
+/// A request class as it stands in the file.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct StageFile {
-    /// Its name.
+#[serde(rename = "StageFile", deny_unknown_fields)]
+pub struct ClassFile {
+    /// The name of the class; unique among the classes.
     pub name: String,
-    /// The methods that it takes; all where none is named.
+    /// The methods that the class matches; every method if the list is empty.
     #[serde(default)]
     pub methods: Vec<String>,
-    /// How the paths that it takes begin; all where none is named.
+    /// Prefixes of the paths that the class matches; every path if the list is empty.
     #[serde(default)]
     pub paths: Vec<String>,
-    /// What an answer in time earns.
+    /// The utility of a response within the latency objective.
     pub utility: f64,
-    /// The part of that which a later one earns.
+    /// The fraction of the utility that a later response has.
     #[serde(default = "late_part")]
     pub late_part: f64,
-    /// When the whole answer is wanted, in milliseconds.
+    /// The latency objective for the complete response, in milliseconds.
     pub due_ms: u64,
-    /// When the client gives up, in milliseconds.
+    /// The deadline, at which the client gives up, in milliseconds.
     pub limit_ms: u64,
-    /// What may happen when it is done twice.
+    /// The effect of executing a request of the class twice.
     pub effect: EffectFile,
-    /// How long a fingerprinted one may come again, in milliseconds.
+    /// How long duplicates of a fingerprinted request are recognized, in milliseconds.
     #[serde(default = "repeat_ms")]
     pub repeat_ms: u64,
-    /// The largest body, in MB.
+    /// The largest request body, in MB.
     #[serde(default = "body_mb")]
     pub body_mb: u64,
-    /// Whether uploads that broke off can be gone on with; needs `state`.
+    /// Whether uploads of the class are resumable; requires `state`.
     #[serde(default)]
     pub resumable: bool,
 }
@@ -122,21 +125,27 @@
     4096
 }
 
-/// A customer.
+/// A tenant as it stands in the file.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Customer {
-    /// Its name in the field.
+#[serde(rename = "Customer", deny_unknown_fields)]
+pub struct TenantFile {
+    /// The value of the header field that names the tenant.
     pub name: String,
-    /// Its quota, in streams a second.
+    /// The quota, in requests per second.
     pub quota: f64,
 }
 
+/// Defines a section of the settings file, whose keys all have defaults. The literal is the name of the section's type in
+/// serde's messages.
 macro_rules! defaults {
-    ($(#[$outer:meta])* $name:ident { $($(#[$inner:meta])* $key:ident: $kind:ty = $value:expr,)* }) => {
+    (
+        $(#[$outer:meta])* $name:ident, $serde_name:literal {
+            $($(#[$inner:meta])* $key:ident: $kind:ty = $value:expr,)*
+        }
+    ) => {
         $(#[$outer])*
         #[derive(Clone, Debug, Deserialize)]
-        #[serde(deny_unknown_fields, default)]
+        #[serde(rename = $serde_name, deny_unknown_fields, default)]
         pub struct $name { $($(#[$inner])* pub $key: $kind,)* }
 
         impl Default for $name {
@@ -148,167 +157,174 @@
 }
 
 defaults! {
-    /// Bounds of the program.
-    Limits {
-        /// Memory for all streams together, in MB.
+    /// Limits of the server.
+    Limits, "Limits" {
+        /// The memory that the buffers of all streams share, in MB.
         memory_mb: u64 = 64,
-        /// What every stream has of it in any case, each way, in KB.
+        /// The least window of a stream, in KB. A request has two streams, one in each direction.
         floor_kb: u64 = 16,
-        /// The most that one may have each way, in KB.
+        /// The largest window of a stream, in KB.
         window_kb: u64 = 1024,
-        /// What the system holds for one connection, each way, in KB; 0 leaves it to the system.
+        /// The kernel's send and receive buffer of a connection, each in KB; 0 keeps the system's defaults.
         socket_kb: u64 = 256,
-        /// A window holds what a receiver takes in this time, in milliseconds.
+        /// A window holds what its receiver takes in this time, in milliseconds.
         ahead_ms: u64 = 200,
-        /// So many streams that move are let in before it is learned how many do well.
+        /// How many requests may transfer at the same time at the start, before the scheduler has learned how
+        /// many the server can sustain.
         at_once: u32 = 64,
-        /// Connections of clients.
+        /// The most connections of clients.
         connections: usize = 2000,
-        /// A connection that carries nothing is closed after so long, in milliseconds.
+        /// The time after which an idle connection is closed, in milliseconds.
         idle_ms: u64 = 60_000,
-        /// So long a head may take, in milliseconds.
+        /// The time within which a client has to send the head of a request, in milliseconds.
         head_ms: u64 = 10_000,
-        /// So long a connection to an upstream may take, in milliseconds.
+        /// The timeout for connecting to an upstream, in milliseconds.
         connect_ms: u64 = 2000,
-        /// What the link to clients carries, in Mbit/s; 0 where it is not scarce.
+        /// The rate of the link to clients, in Mbit/s; 0 if the link is not scarce.
         link_mbit: f64 = 0.0,
-        /// What is kept of bodies that may have to be sent again: of all and of one, in KB.
+        /// The most that the copies of request bodies, which are kept for retries, may take together, in KB.
         spool_kb: u64 = 16_384,
-        /// Of one.
+        /// The most that the copy of one request body may take, in KB.
         spool_each_kb: u64 = 256,
-        /// Of a body that was refused so much is read at most, so that its sender sees why, in KB.
+        /// The most that is read of a refused body, in KB. It is read so that the client gets to see the
+        /// response.
         rest_kb: u64 = 1024,
-        /// And for so long, in milliseconds.
+        /// How long a refused body is read, in milliseconds.
         rest_ms: u64 = 2000,
-        /// Answers of fingerprinted streams that are kept for repeats, in KB.
+        /// The most that the kept responses to fingerprinted requests may take, in KB. They answer
+        /// duplicates.
         results_kb: u64 = 4096,
-        /// Uploads that can be gone on with: of one customer, in MB.
+        /// The most that the resumable uploads of one tenant may take on disk, in MB.
         uploads_mb: u64 = 1024,
-        /// And of all.
+        /// The most that all resumable uploads together may take on disk, in MB.
         uploads_all_mb: u64 = 16_384,
-        /// One that nobody goes on with is forgotten after so long, in seconds.
+        /// The time after which an upload that nobody resumes expires, in seconds.
         uploads_s: u64 = 86_400,
     }
 }
 
 defaults! {
-    /// What progress is owed while memory is scarce.
-    Progress {
-        /// Over this span, in milliseconds.
+    /// The progress that a stream has to make while memory is scarce.
+    ProgressFile, "Progress" {
+        /// The interval over which progress is measured, in milliseconds.
         span_ms: u64 = 5000,
-        /// This part of what streams move in the middle.
+        /// The fraction of the median bytes per interval that a stream has to transfer.
         part: f64 = 0.02,
-        /// And so many octets in any case.
+        /// The least bytes per interval that a stream has to transfer, whatever the median.
         least: u64 = 1024,
-        /// So many spans in a row may fall short.
+        /// The number of consecutive short intervals after which a stream is late.
         patience: u32 = 3,
     }
 }
 
 defaults! {
-    /// When an upstream is left out.
-    LeaveOut {
-        /// After so many failures in a row.
+    /// When an upstream is ejected.
+    OutlierFile, "LeaveOut" {
+        /// The number of consecutive failures after which an upstream is ejected.
         failures: u32 = 3,
-        /// For so long the first time, in milliseconds.
+        /// The duration of an upstream's first ejection, in milliseconds.
         out_ms: u64 = 1000,
-        /// And never for longer than this.
+        /// The longest duration of an ejection, in milliseconds.
         out_most_ms: u64 = 60_000,
-        /// Never more than this share of them at once.
+        /// The largest fraction of the upstreams that may be ejected at once.
         share: f64 = 0.5,
-        /// Back for good after so many good streams, one at a time.
+        /// The number of successes after which an upstream gets more than one request at a time again.
         proven: u32 = 3,
     }
 }
 
 defaults! {
-    /// What repeats cost.
-    Repeats {
-        /// Good streams that pay for one.
+    /// The retry budget, which successful requests fill.
+    RetryFile, "Repeats" {
+        /// The number of successful requests that pay for one retry.
         price: u32 = 5,
-        /// So many are saved up at most.
+        /// The most retries that the budget holds.
         most: u32 = 20,
     }
 }
 
 defaults! {
-    /// How bodies are coded.
-    CodingFile {
-        /// The codings that upstreams take for what goes up, beside none.
+    /// Content codings of bodies.
+    CodingFile, "CodingFile" {
+        /// The content codings of request bodies that upstreams accept, beside no coding.
         takes: Vec<String> = Vec::new(),
-        /// Answers from this length on are coded for clients that like it, in KB; 0 means never.
+        /// The least length of a response that is encoded for clients that accept it, in KB; 0 turns encoding
+        /// off.
         code_from_kb: u64 = 0,
-        /// A coded body may become so many times as long.
+        /// The largest ratio of a decoded body to its encoded form.
         ratio: f64 = 100.0,
-        /// Or so long in any case, in KB.
+        /// The decoded length that is allowed whatever the ratio, in KB.
         slack_kb: u64 = 1024,
     }
 }
 
-/// A stage, checked.
+/// A request class, checked.
 #[derive(Clone, Debug)]
-pub struct Stage {
-    /// Its name.
+pub struct ClassSettings {
+    /// The name of the class.
     pub name: String,
     methods: Vec<String>,
     paths: Vec<String>,
-    /// What may happen when it is done twice.
+    /// The effect of executing a request of the class twice.
     pub effect: Effect,
-    /// What an answer in time earns.
+    /// The utility of a response within the latency objective.
     pub utility: f64,
-    /// Whether uploads can be gone on with.
+    /// Whether uploads of the class are resumable.
     pub resumable: bool,
-    /// What its streams are given.
-    pub plan: ForwardingSettings,
+    /// How requests of the class are forwarded.
+    pub forwarding: ForwardingSettings,
 }
 
-/// All settings, checked.
+/// The checked settings of a stream server.
 #[derive(Clone, Debug)]
-pub struct Checked {
-    /// Where clients come.
+pub struct StreamSettings {
+    /// The addresses to listen on for clients.
     pub listen: Vec<SocketAddr>,
-    /// The upstreams.
+    /// The addresses of the upstreams.
     pub upstreams: Vec<SocketAddr>,
-    /// The folder that lasts.
-    pub state: Option<PathBuf>,
-    /// The stages.
-    pub stages: Vec<Stage>,
-    /// The field that names a customer, and their names.
-    pub customer_field: Option<String>,
-    /// The customers' names.
-    pub customers: Vec<String>,
-    /// What the module is told.
-    pub policy: Settings,
-    /// Bounds.
+    /// The directory of the upload archive, if there is one.
+    pub upload_directory: Option<PathBuf>,
+    /// The request classes, in the order in which they are matched.
+    pub classes: Vec<ClassSettings>,
+    /// The name of the header field that names the tenant of a request.
+    pub tenant_field: Option<String>,
+    /// The names of the tenants, by index.
+    pub tenants: Vec<String>,
+    /// The settings of the scheduling policy.
+    pub scheduling: Settings,
+    /// Limits of the server.
     pub limits: Limits,
-    /// Memory for streams.
-    pub pool: PoolLimits,
-    /// What progress is owed.
+    /// Limits of the memory that streams share.
+    pub memory: MemoryLimits,
+    /// The progress that a stream has to make.
     pub progress: ProgressLimits,
-    /// When an upstream is left out.
-    pub leave_out: UpstreamLimits,
-    /// What repeats cost.
-    pub repeats: Repeats,
-    /// What uploads that can be gone on with are held to.
-    pub uploads: UploadLimits,
-    /// How long after the notice to leave the program is killed.
-    pub stop: Duration,
+    /// When an upstream is ejected.
+    pub outlier_limits: UpstreamLimits,
+    /// The retry budget.
+    pub retries: RetryFile,
+    /// Limits of resumable uploads.
+    pub upload_limits: UploadLimits,
+    /// How long after the shutdown signal the process is killed.
+    pub shutdown_timeout: Duration,
 }
 
-fn ms(value: u64) -> Span {
+fn millis(value: u64) -> Span {
     Span::from_millis(value)
 }
 
-impl File {
-    /// Checks all.
-    pub fn check(self) -> Result<Checked, SettingError> {
+impl SettingsFile {
+    /// Checks the settings.
+    ///
+    /// # Errors
+    /// The first setting that is not valid, by its key.
+    pub fn check(self) -> Result<StreamSettings, SettingError> {
         for (key, empty) in [
             ("listen", self.listen.is_empty()),
             ("upstreams", self.upstreams.is_empty()),
             ("stages", self.stages.is_empty()),
         ] {
             if empty {
-                return fault(key, "is empty; at least one is expected");
+                return invalid(key, "is empty; at least one is expected");
             }
         }
         let limits = &self.limits;
@@ -324,121 +340,125 @@
             ("uploads_s", limits.uploads_s),
         ] {
             if value == 0 {
-                return fault(format!("limits.{key}"), "is 0; at least 1 is expected");
+                return invalid(format!("limits.{key}"), "is 0; at least 1 is expected");
             }
         }
         if limits.window_kb < limits.floor_kb {
-            return fault(
+            return invalid(
                 "limits.window_kb",
                 format!("is {}; at least floor_kb is expected", limits.window_kb),
             );
         }
         if limits.memory_mb * 512 < limits.floor_kb * 4 {
-            return fault("limits.memory_mb", "has no room for one stream's two floors");
+            return invalid(
+                "limits.memory_mb",
+                "has no room for the two floors (floor_kb, each way) of one stream",
+            );
         }
         if !(limits.link_mbit >= 0.0 && limits.link_mbit.is_finite()) {
-            return fault("limits.link_mbit", format!("is {}; 0 or more is expected", limits.link_mbit));
+            return invalid("limits.link_mbit", format!("is {}; 0 or more is expected", limits.link_mbit));
         }
-        let part = |key: &str, value: f64| match value > 0.0 && value <= 1.0 {
+        let check_fraction = |key: &str, value: f64| match value > 0.0 && value <= 1.0 {
             true => Ok(()),
-            false => fault(key, format!("is {value}; above 0 and at most 1 is expected")),
+            false => invalid(key, format!("is {value}; above 0 and at most 1 is expected")),
         };
-        part("progress.part", self.progress.part)?;
-        part("leave_out.share", self.leave_out.share)?;
+        check_fraction("progress.part", self.progress.part)?;
+        check_fraction("leave_out.share", self.leave_out.share)?;
         if self.progress.span_ms == 0 || self.progress.patience == 0 {
-            return fault("progress", "has a span or a patience of 0; at least 1 is expected");
+            return invalid("progress", "has a span_ms or a patience of 0; at least 1 is expected");
         }
         if self.repeats.price == 0 {
-            return fault("repeats.price", "is 0; at least 1 is expected");
+            return invalid("repeats.price", "is 0; at least 1 is expected");
         }
         if self.coding.ratio.is_nan() || self.coding.ratio < 1.0 {
-            return fault("coding.ratio", format!("is {}; at least 1 is expected", self.coding.ratio));
+            return invalid("coding.ratio", format!("is {}; at least 1 is expected", self.coding.ratio));
         }
         if self.grace_ms >= self.stop_ms {
-            return fault("grace_ms", format!("is {}; less than stop_ms is expected", self.grace_ms));
+            return invalid("grace_ms", format!("is {}; less than stop_ms is expected", self.grace_ms));
         }
-        let mut takes = vec![Coding::Identity];
+        let mut upstream_codings = vec![Coding::Identity];
         for (n, name) in self.coding.takes.iter().enumerate() {
             let coding = Coding::parse(name).filter(|coding| *coding != Coding::Identity);
             match coding {
-                Some(coding) => takes.push(coding),
+                Some(coding) => upstream_codings.push(coding),
                 None => {
-                    return fault(
+                    return invalid(
                         format!("coding.takes[{n}]"),
                         format!("is {name:?}; gzip or zstd is expected"),
                     )
                 }
             }
         }
-        let mut stages: Vec<Stage> = Vec::new();
+        let mut classes: Vec<ClassSettings> = Vec::new();
         for (n, stage) in self.stages.iter().enumerate() {
-            let stage = stage.check(&format!("stages[{n}]"), &self, &takes)?;
-            if stages.iter().any(|other| other.name == stage.name) {
-                return fault(
+            let class = stage.check(&format!("stages[{n}]"), &self, &upstream_codings)?;
+            if classes.iter().any(|earlier| earlier.name == class.name) {
+                return invalid(
                     format!("stages[{n}].name"),
-                    format!("is {:?}, which stands above too", stage.name),
+                    format!("is {:?}, which is the name of an earlier stage", class.name),
                 );
             }
-            stages.push(stage);
+            classes.push(class);
         }
         for (n, customer) in self.customers.iter().enumerate() {
             if !(customer.quota > 0.0 && customer.quota.is_finite()) {
-                let what = format!("is {}; above 0 is expected", customer.quota);
-                return fault(format!("customers[{n}].quota"), what);
+                let problem = format!("is {}; above 0 is expected", customer.quota);
+                return invalid(format!("customers[{n}].quota"), problem);
             }
         }
         if self.customer_field.is_none() && !self.customers.is_empty() {
-            return fault("customer_field", "is missing, and there are customers");
+            return invalid("customer_field", "is missing, but `customers` is set");
         }
-        Ok(Checked {
-            policy: self.policy(),
-            pool: PoolLimits {
+        Ok(StreamSettings {
+            scheduling: self.scheduling(),
+            memory: MemoryLimits {
                 total: limits.memory_mb << 20,
                 reserved: (limits.memory_mb << 20) / 2,
                 floor: limits.floor_kb << 10,
-                most: limits.window_kb << 10,
-                ahead: ms(limits.ahead_ms),
+                max_window: limits.window_kb << 10,
+                lookahead: millis(limits.ahead_ms),
             },
             progress: ProgressLimits {
-                span: ms(self.progress.span_ms),
-                part: self.progress.part,
-                least: self.progress.least,
-                patience: self.progress.patience,
+                interval: millis(self.progress.span_ms),
+                median_fraction: self.progress.part,
+                min_bytes: self.progress.least,
+                max_short_intervals: self.progress.patience,
             },
-            leave_out: UpstreamLimits {
+            outlier_limits: UpstreamLimits {
                 consecutive_failures: self.leave_out.failures.max(1),
-                base_ejection_time: ms(self.leave_out.out_ms),
-                max_ejection_time: ms(self.leave_out.out_most_ms),
+                base_ejection_time: millis(self.leave_out.out_ms),
+                max_ejection_time: millis(self.leave_out.out_most_ms),
                 max_ejected_fraction: self.leave_out.share,
                 probation_successes: self.leave_out.proven,
             },
-            uploads: UploadLimits {
-                each: limits.uploads_mb << 20,
-                all: limits.uploads_all_mb << 20,
-                keep: limits.uploads_s,
+            upload_limits: UploadLimits {
+                tenant_bytes: limits.uploads_mb << 20,
+                total_bytes: limits.uploads_all_mb << 20,
+                expiry_secs: limits.uploads_s,
             },
             listen: self.listen,
             upstreams: self.upstreams,
-            state: self.state,
-            stages,
-            customer_field: self.customer_field,
-            customers: self.customers.into_iter().map(|customer| customer.name).collect(),
+            upload_directory: self.state,
+            classes,
+            tenant_field: self.customer_field,
+            tenants: self.customers.into_iter().map(|tenant| tenant.name).collect(),
             limits: self.limits,
-            repeats: self.repeats,
-            stop: Duration::from_millis(self.stop_ms),
+            retries: self.repeats,
+            shutdown_timeout: Duration::from_millis(self.stop_ms),
         })
     }
 
-    /// What the module is told. A core is a place for one stream that moves; one that waits for a peer holds none. A
-    /// stream's memory is its two floors.
-    fn policy(&self) -> Settings {
-        let mut stages: Vec<RequestClass> = self.stages.iter().map(StageFile::told).collect();
-        // What only asks about an upload takes no time; it also sets the pace of the module's timer.
-        stages.push(RequestClass {
+    /// The settings of the scheduling policy. A core stands for one request that transfers bytes; a request
+    /// that waits for a peer occupies none. The memory of a request is its two floors.
+    fn scheduling(&self) -> Settings {
+        let mut classes: Vec<RequestClass> = self.stages.iter().map(ClassFile::request_class).collect();
+        // The class of requests that only query an upload, which take no time. Its latency objective also
+        // bounds the interval of the scheduler's timer.
+        classes.push(RequestClass {
             utility: self.stages.iter().map(|stage| stage.utility).fold(0.0, f64::max),
             late_utility_fraction: 0.0,
-            latency_objective: ms(1000),
-            deadline: ms(5000),
+            latency_objective: millis(1000),
+            deadline: millis(5000),
             effect: Effect::Idempotent,
             deduplication_window: Span::ZERO,
             calls_downstream: false,
@@ -446,18 +466,19 @@
         });
         Settings {
             cores: self.limits.at_once,
-            // Floors come from the half of the memory that is reserved for them.
+            // 512 KB per MB: floors come from the half of the memory that is reserved for them.
             memory_kb: (self.limits.memory_mb * 512) as f64,
             running_memory_factor: 1.0,
             idempotency_key_kb: 0.1,
             cold_start: false,
             cold_capacity_fraction: 1.0,
             warmup_time: Span::from_millis(1),
-            // Memory bounds how many there are: what waits holds nothing else.
+            // Practically no limit: memory limits the number of running requests, and a request that waits
+            // for a peer holds nothing else.
             max_running_per_core: 65_536.0,
-            drain_grace: ms(self.grace_ms),
-            classes: stages,
-            tenant_quotas: self.customers.iter().map(|customer| customer.quota).collect(),
+            drain_grace: millis(self.grace_ms),
+            classes,
+            tenant_quotas: self.customers.iter().map(|tenant| tenant.quota).collect(),
             over_quota_utility_fraction: 0.1,
             utility_per_work: false,
             backends: 1,
@@ -466,15 +487,15 @@
             downstream: Downstream::Peers,
             stoppable: false,
             capacity_format: CapacityFormat::None,
-            capacity_ttl: ms(1000),
+            capacity_ttl: millis(1000),
             client_idle_timeout: Span::ZERO,
             coalescing_window: Span::ZERO,
-            max_retry_after: ms(30_000),
+            max_retry_after: millis(30_000),
         }
     }
 }
 
-impl StageFile {
+impl ClassFile {
     fn effect(&self) -> Effect {
         match self.effect {
             EffectFile::Restartable => Effect::Idempotent,
@@ -483,93 +504,115 @@
         }
     }
 
-    fn told(&self) -> RequestClass {
+    fn request_class(&self) -> RequestClass {
         RequestClass {
             utility: self.utility,
             late_utility_fraction: self.late_part,
-            latency_objective: ms(self.due_ms),
-            deadline: ms(self.limit_ms),
-            // The module does not repeat a stream by itself: whether one may be repeated is judged by how far it came.
+            latency_objective: millis(self.due_ms),
+            deadline: millis(self.limit_ms),
+            // The scheduler does not retry requests by itself. The proxy decides on a retry by how much of
+            // the request was sent.
             effect: match self.effect() {
                 Effect::Deduplicated => Effect::Deduplicated,
                 _ => Effect::NonIdempotent,
             },
-            deduplication_window: ms(self.repeat_ms),
+            deduplication_window: millis(self.repeat_ms),
             calls_downstream: true,
             degraded_utility_fraction: 0.0,
         }
     }
 
-    fn check(&self, at: &str, file: &File, takes: &[Coding]) -> Result<Stage, SettingError> {
+    fn check(
+        &self,
+        key: &str,
+        file: &SettingsFile,
+        upstream_codings: &[Coding],
+    ) -> Result<ClassSettings, SettingError> {
         if self.name.is_empty() {
-            return fault(format!("{at}.name"), "is empty");
+            return invalid(format!("{key}.name"), "is empty");
         }
         if !(self.utility > 0.0 && self.utility.is_finite()) {
-            return fault(format!("{at}.utility"), format!("is {}; above 0 is expected", self.utility));
+            return invalid(format!("{key}.utility"), format!("is {}; above 0 is expected", self.utility));
         }
         if !(0.0..=1.0).contains(&self.late_part) {
-            return fault(format!("{at}.late_part"), format!("is {}; 0 to 1 is expected", self.late_part));
+            return invalid(format!("{key}.late_part"), format!("is {}; 0 to 1 is expected", self.late_part));
         }
         if self.due_ms == 0 || self.limit_ms < self.due_ms {
-            let what = format!("is {}; at least due_ms, and that above 0, is expected", self.limit_ms);
-            return fault(format!("{at}.limit_ms"), what);
+            let problem =
+                format!("is {}; due_ms above 0 and limit_ms of at least due_ms are expected", self.limit_ms);
+            return invalid(format!("{key}.limit_ms"), problem);
         }
         if let Some(n) = self.paths.iter().position(|path| !path.starts_with('/')) {
-            let what = format!("is {:?}; a path that begins with a slash is expected", self.paths[n]);
-            return fault(format!("{at}.paths[{n}]"), what);
+            let problem = format!("is {:?}; a path that begins with a slash is expected", self.paths[n]);
+            return invalid(format!("{key}.paths[{n}]"), problem);
         }
         if self.resumable && file.state.is_none() {
-            return fault(format!("{at}.resumable"), "is set, but there is no `state` folder");
+            return invalid(format!("{key}.resumable"), "is set, but there is no `state` folder");
         }
         let effect = self.effect();
-        Ok(Stage {
+        Ok(ClassSettings {
             name: self.name.clone(),
             methods: self.methods.clone(),
             paths: self.paths.clone(),
             effect,
             utility: self.utility,
             resumable: self.resumable,
-            plan: ForwardingSettings {
+            forwarding: ForwardingSettings {
                 max_body_bytes: self.body_mb << 20,
-                upstream_codings: takes.to_vec(),
+                upstream_codings: upstream_codings.to_vec(),
                 min_encoded_bytes: Some(file.coding.code_from_kb << 10).filter(|from| *from > 0),
-                growth_limit: Growth { ratio: file.coding.ratio, slack: file.coding.slack_kb << 10 },
+                growth_limit: GrowthLimit {
+                    max_ratio: file.coding.ratio,
+                    always_allowed_bytes: file.coding.slack_kb << 10,
+                },
                 keeps_body_copy: effect == Effect::Idempotent && file.limits.spool_each_kb > 0,
-                max_response_copy_bytes: if effect == Effect::Deduplicated { COPY_MOST } else { 0 },
+                max_response_copy_bytes: if effect == Effect::Deduplicated {
+                    MAX_RESPONSE_COPY_BYTES
+                } else {
+                    0
+                },
             },
         })
     }
 }
 
-/// The longest answer that is kept for repeats, in octets.
-const COPY_MOST: usize = 64 * 1024;
+/// The longest response, in bytes, that is kept to answer duplicates of a fingerprinted request.
+const MAX_RESPONSE_COPY_BYTES: usize = 64 * 1024;
 
-impl Stage {
-    fn takes(&self, method: &str, path: &str) -> bool {
-        let fits = self.methods.is_empty() || self.methods.iter().any(|own| own == method);
-        fits && (self.paths.is_empty() || self.paths.iter().any(|own| path.starts_with(own.as_str())))
+impl ClassSettings {
+    fn matches(&self, method: &str, path: &str) -> bool {
+        let method_matches = self.methods.is_empty() || self.methods.iter().any(|own| own == method);
+        method_matches
+            && (self.paths.is_empty() || self.paths.iter().any(|prefix| path.starts_with(prefix.as_str())))
     }
 }
 
-impl Checked {
-    /// The stage that takes a stream.
-    pub fn stage(&self, asked: &RequestHead) -> Result<usize, MessageError> {
-        self.stage_of(&asked.method, asked.path())
+impl StreamSettings {
+    /// The index of the class that matches a request.
+    ///
+    /// # Errors
+    /// [`MessageError::NoMatchingClass`] if none does.
+    pub fn class(&self, request: &RequestHead) -> Result<usize, MessageError> {
+        self.class_for(&request.method, request.path())
     }
 
-    /// The stage that takes a stream of this method and path.
-    pub fn stage_of(&self, method: &str, path: &str) -> Result<usize, MessageError> {
-        self.stages.iter().position(|stage| stage.takes(method, path)).ok_or(MessageError::NoMatchingClass)
+    /// The index of the class that matches this method and path.
+    ///
+    /// # Errors
+    /// [`MessageError::NoMatchingClass`] if none does.
+    pub fn class_for(&self, method: &str, path: &str) -> Result<usize, MessageError> {
+        self.classes.iter().position(|class| class.matches(method, path)).ok_or(MessageError::NoMatchingClass)
     }
 
-    /// The stage of what only asks about an upload.
-    pub fn asking(&self) -> usize {
-        self.stages.len()
+    /// The index of the class of requests that only query an upload.
+    pub fn upload_query_class(&self) -> usize {
+        self.classes.len()
     }
 
-    /// The customer that a stream is of. One that is not known has no share of its own, and is none.
-    pub fn customer(&self, asked: &RequestHead) -> Option<usize> {
-        let name = asked.field(self.customer_field.as_deref()?)?;
-        self.customers.iter().position(|own| own.as_bytes() == name)
+    /// The index of the tenant of a request. A tenant that is not in the settings has no quota of its own,
+    /// and counts as none.
+    pub fn tenant(&self, request: &RequestHead) -> Option<usize> {
+        let name = request.field(self.tenant_field.as_deref()?)?;
+        self.tenants.iter().position(|tenant| tenant.as_bytes() == name)
     }
 }
--- a/crates/frontends/stream/src/start_error.rs
+++ b/crates/frontends/stream/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a server cannot be started.
+//! Errors of starting a server.
 
 use crate::upload_archive::OpenError;
 use std::fmt;
@@ -12,23 +12,23 @@
     Thread(io::Error),
     /// A coroutine cannot be started.
     Coroutine(io::Error),
-    /// An address of the setting `listen` cannot be listened on.
+    /// The server cannot listen on an address of the setting `listen`.
     Listen {
-        /// The address.
+        /// The address in the settings.
         address: SocketAddr,
-        /// Why.
+        /// The error of the socket.
         source: io::Error,
     },
-    /// The archive of uploads cannot be opened.
+    /// The upload archive cannot be opened.
     Archive(OpenError),
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Thread(error) => write!(f, "a thread can't be started: {error}"),
-            Self::Coroutine(error) => write!(f, "a coroutine can't be started: {error}"),
-            Self::Listen { address, source } => write!(f, "`listen`: {address}: {source}"),
+            Self::Thread(error) => write!(f, "a thread cannot be started: {error}"),
+            Self::Coroutine(error) => write!(f, "a coroutine cannot be started: {error}"),
+            Self::Listen { address, source } => write!(f, "`listen`: cannot listen on {address}: {source}"),
             Self::Archive(error) => error.fmt(f),
         }
     }
--- a/crates/frontends/stream/src/upload_archive/error.rs
+++ b/crates/frontends/stream/src/upload_archive/error.rs
@@ -1,5 +1,5 @@
-//! What can go wrong with the upload archive. The texts go into the body of a 500 response, and into the error that
-//! ends a start.
+//! Errors of the upload archive. Their texts are sent in the body of a 500 response, or reported when the
+//! server cannot start.
 
 use lynxtally_wal::StorageError;
 use std::fmt;
@@ -7,14 +7,15 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// Why an operation on the archive failed. One failure may be the answer to many operations, so it can be cloned.
+/// Why an operation of the archive failed. It can be cloned, because one failure may be the result of many
+/// operations.
 #[derive(Clone, Debug)]
 pub enum ArchiveError {
-    /// The thread that carries out operations has ended.
+    /// The archive's thread has ended.
     Closed,
     /// The file of an upload cannot be read or written.
     File(Arc<io::Error>),
-    /// The log of uploads cannot be written, now or at an earlier operation.
+    /// The log of uploads cannot be written, in this operation or an earlier one.
     Log(Arc<StorageError>),
 }
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Why an archive cannot be opened.
+/// Why the archive cannot be opened.
 #[derive(Debug)]
 pub struct OpenError {
     /// The directory of the archive.
@@ -51,7 +52,7 @@
     pub cause: OpenErrorCause,
 }
 
-/// What failed when an archive was opened.
+/// The step of opening the archive that failed.
 #[derive(Debug)]
 pub enum OpenErrorCause {
     /// The directory cannot be created or listed.
@@ -60,14 +61,14 @@
     Log(StorageError),
     /// The snapshot of the uploads cannot be decoded.
     Snapshot(postcard::Error),
-    /// The file of an upload that is not in the log cannot be removed.
+    /// A file whose upload is not in the log cannot be removed.
     RemoveOrphan {
         /// The name of the file.
         file: String,
-        /// Why.
+        /// The error of the file system.
         source: io::Error,
     },
-    /// The thread that carries out operations cannot be started.
+    /// The archive's thread cannot be started.
     Thread(io::Error),
 }
 
@@ -75,38 +76,47 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let directory = self.directory.display();
         match &self.cause {
-            OpenErrorCause::Directory(error) => write!(f, "{directory}: {error}"),
-            OpenErrorCause::Log(error) => write!(f, "{directory}: {error}"),
+            OpenErrorCause::Directory(error) => {
+                write!(f, "{directory}: the directory cannot be used: {error}")
+            }
+            OpenErrorCause::Log(error) => {
+                write!(f, "{directory}: the log of uploads cannot be used: {error}")
+            }
             OpenErrorCause::Snapshot(error) => {
-                write!(f, "{directory}: a snapshot of another form: {error}")
+                write!(f, "{directory}: the snapshot of the uploads cannot be decoded: {error}")
+            }
+            OpenErrorCause::RemoveOrphan { file, source } => write!(
+                f,
+                "{directory}/{file}: an upload file without a log entry cannot be removed: {source}"
+            ),
+            OpenErrorCause::Thread(error) => {
+                write!(f, "the thread of the upload archive cannot be started: {error}")
             }
-            OpenErrorCause::RemoveOrphan { file, source } => write!(f, "{directory}/{file}: {source}"),
-            OpenErrorCause::Thread(error) => write!(f, "a thread can't be started: {error}"),
         }
     }
 }
 
 impl std::error::Error for OpenError {}
 
-/// Why the file of an upload is not what the log says.
+/// How the file of an upload differs from what the log records.
 #[derive(Debug)]
 pub(super) enum Mismatch {
-    /// It cannot be read, or not be shortened.
+    /// The file cannot be read or truncated.
     Unreadable(io::Error),
-    /// It is shorter than the log says.
+    /// The file is shorter than the log records.
     Short { present: u64, recorded: u64 },
-    /// Its checksum differs from the recorded one.
+    /// The checksum of the file differs from the recorded one.
     Checksum,
 }
 
 impl fmt::Display for Mismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unreadable(error) => error.fmt(f),
+            Self::Unreadable(error) => write!(f, "the file cannot be read or truncated: {error}"),
             Self::Short { present, recorded } => {
-                write!(f, "only {present} of the {recorded} bytes that the log records are there")
+                write!(f, "the file has only {present} of the {recorded} bytes that the log records")
             }
-            Self::Checksum => f.write_str("its checksum is not the one that the log records"),
+            Self::Checksum => f.write_str("the checksum of the file differs from the one in the log"),
         }
     }
 }
--- a/crates/frontends/stream/src/upload_archive/mod.rs
+++ b/crates/frontends/stream/src/upload_archive/mod.rs
@@ -1,8 +1,9 @@
-//! The archive of resumable uploads: a file for the bytes of each upload, a log that records how far each one is, and
-//! one thread that reads, writes and syncs, so that no stream waits for the disk of another.
+//! The archive of resumable uploads. It has a file for the bytes of each upload and a log that records the
+//! offset of each upload. One thread reads, writes and syncs, so that disk operations do not block the
+//! streams of other requests.
 //!
-//! An operation is sent to the thread and returns a [`PendingOperation`] at once; whoever waits for it is woken when its
-//! result is there.
+//! Submitting an operation returns a [`PendingOperation`] at once. When the result is there, the archive's
+//! thread calls the submitter's `wake` function.
 
 mod error;
 mod recovery;
@@ -21,46 +22,46 @@
 use tracing::info;
 use worker::{write_snapshot, Completion, Operation, Worker};
 
-/// The name of the log, which begins the names of its files.
+/// The name of the log, with which the names of its files begin.
 const LOG_NAME: &str = "uploads";
 
-/// How the names of the files of uploads end.
+/// The suffix of the files of uploads.
 const FILE_SUFFIX: &str = ".upload";
 
-/// The most that one read returns.
+/// The most bytes that one read returns.
 const MAX_READ_BYTES: usize = 128 * 1024;
 
-/// The result of an operation: the bytes of a read, nothing for the others.
+/// The result of an operation: the bytes of a read; no bytes for other operations.
 pub type OperationResult = Result<Vec<u8>, ArchiveError>;
 
-/// The name of the file of an upload.
+/// The name of the file that holds the bytes of an upload.
 fn file_name(id: UploadId) -> String {
     format!("{id:016x}{FILE_SUFFIX}")
 }
 
-/// Unix time in seconds.
+/// The current Unix time in seconds.
 pub fn unix_seconds() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since_epoch| since_epoch.as_secs())
 }
 
 fn encode(value: &impl serde::Serialize) -> Vec<u8> {
-    // Entries are integers, strings and bytes, for all of which the format has a form, and memory takes any length.
+    // Entries consist of integers, strings and byte vectors, all of which postcard can encode.
     postcard::to_allocvec(value).expect("entries can be encoded")
 }
 
-/// An operation that the archive's thread carries out.
+/// An operation that was submitted to the archive's thread.
 #[derive(Clone, Default)]
 pub struct PendingOperation {
     result: Arc<Mutex<Option<OperationResult>>>,
 }
 
 impl PendingOperation {
-    /// The result, once it is there; it is given out once.
+    /// Takes the result, if it is there. It can be taken only once.
     pub fn take(&self) -> Option<OperationResult> {
         lock(&self.result).take()
     }
 
-    /// Stores the result and then wakes whoever waits for it.
+    /// The function by which the archive's thread stores the result and then wakes the submitter.
     fn completion(&self, wake: impl FnOnce() + Send + 'static) -> Completion {
         let pending = self.clone();
         Box::new(move |result| {
@@ -70,16 +71,16 @@
     }
 }
 
-/// The uploads of a server.
+/// The archive of the resumable uploads of a server.
 pub struct UploadArchive {
-    /// How far each upload is, durable or not.
+    /// The state of each upload, including changes that are not durable yet.
     pub uploads: Mutex<Uploads>,
     operations: Sender<Operation>,
 }
 
 impl UploadArchive {
-    /// Opens the archive in a directory, creating it where it does not exist, and starts its thread. Uploads whose files
-    /// are not what the log records are not kept.
+    /// Opens the archive in a directory, which is created if it does not exist, and starts the archive's
+    /// thread. Uploads whose files differ from what the log records are discarded.
     ///
     /// # Errors
     /// The directory or the log cannot be used, or the thread cannot be started.
@@ -91,7 +92,7 @@
     fn open_directory(directory: &Path, limits: UploadLimits) -> Result<Arc<Self>, OpenErrorCause> {
         let mut storage = DirectoryStorage::new(directory).map_err(OpenErrorCause::Directory)?;
         let RecoveredArchive { mut log, uploads } = recover(&mut storage, limits)?;
-        info!(uploads = uploads.ids().len(), bytes = uploads.sum(), "resumable uploads recovered");
+        info!(uploads = uploads.ids().len(), bytes = uploads.total_bytes(), "resumable uploads recovered");
         write_snapshot(&mut storage, &mut log, &uploads).map_err(OpenErrorCause::Log)?;
         let (operations, receiver) = mpsc::channel();
         let worker = Worker::new(storage, log, uploads.clone());
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Appends bytes to an upload. They are durable only once an entry that records them is.
+    /// Appends bytes to an upload. They are durable only after an entry that covers them was recorded.
     pub fn append(
         &self,
         id: UploadId,
@@ -120,7 +121,7 @@
         pending
     }
 
-    /// Reads at most `max_bytes` of an upload, from `offset` on. A read may return fewer.
+    /// Reads at most `max_bytes` of an upload, starting at `offset`. A read may return fewer bytes.
     pub fn read(
         &self,
         id: UploadId,
@@ -134,25 +135,25 @@
         pending
     }
 
-    /// Makes an entry durable, and before it the bytes that it records.
+    /// Makes an entry durable, after the bytes that it covers.
     pub fn record(&self, entry: Entry, wake: impl FnOnce() + Send + 'static) -> PendingOperation {
         let pending = PendingOperation::default();
         self.send(Operation::Record { entry, completion: pending.completion(wake) });
         pending
     }
 
-    /// Removes an upload that is over, and its bytes.
+    /// Removes an upload and its bytes.
     pub fn remove(&self, id: UploadId) {
-        let removal = lock(&self.uploads).gone(id);
+        let removal = lock(&self.uploads).remove(id);
         if let Some(entry) = removal {
             self.record(entry, || ());
             self.send(Operation::Remove { id });
         }
     }
 
-    /// Removes the uploads that nobody has resumed for too long.
+    /// Removes the uploads that have expired.
     pub fn remove_expired(&self) {
-        let expired = lock(&self.uploads).aged(unix_seconds());
+        let expired = lock(&self.uploads).expired(unix_seconds());
         for id in expired {
             info!(upload = file_name(id), "upload expired");
             self.remove(id);
--- a/crates/frontends/stream/src/upload_archive/recovery.rs
+++ b/crates/frontends/stream/src/upload_archive/recovery.rs
@@ -1,4 +1,4 @@
-//! What is left of the uploads after a restart: the log is replayed, and each upload is kept only if its file holds the
+//! Recovery of the uploads at startup: the log is replayed, and an upload is kept only if its file holds the
 //! bytes that the log records.
 
 use super::error::{Mismatch, OpenErrorCause};
@@ -8,20 +8,20 @@
 use lynxtally_wal::{Recovered, Storage, WriteAheadLog};
 use tracing::warn;
 
-/// The log of uploads, ready to be appended to, and the uploads that are kept.
+/// The log of uploads, ready for appending, and the uploads that were recovered.
 pub(super) struct RecoveredArchive {
     pub log: WriteAheadLog,
     pub uploads: Uploads,
 }
 
-/// Reads the log, and removes the files of uploads that are not kept.
+/// Reads the log, and removes the files of uploads that are not recovered.
 pub(super) fn recover(
     storage: &mut DirectoryStorage,
     limits: UploadLimits,
 ) -> Result<RecoveredArchive, OpenErrorCause> {
     let (log, recovered) = WriteAheadLog::open(storage, LOG_NAME).map_err(OpenErrorCause::Log)?;
     for damage in &recovered.damage {
-        warn!(%damage, "the log of uploads is damaged: uploads that it does not record are not kept");
+        warn!(%damage, "the log of uploads is damaged; uploads that it does not record are discarded");
     }
     let mut uploads = replay(&recovered, limits)?;
     discard_mismatched(storage, &mut uploads);
@@ -40,7 +40,7 @@
     for entry in &recovered.entries {
         match postcard::from_bytes(entry) {
             Ok(entry) => uploads.replay(entry),
-            Err(error) => warn!(%error, "an entry of the log of uploads cannot be decoded and is skipped"),
+            Err(error) => warn!(%error, "an entry in the log of uploads cannot be decoded and is skipped"),
         }
     }
     Ok(uploads)
@@ -50,16 +50,16 @@
     for id in uploads.ids() {
         let Some(upload) = uploads.get(id) else { continue };
         if let Err(reason) = verify(storage, id, upload) {
-            warn!(upload = file_name(id), %reason, "not kept");
-            uploads.gone(id);
-            // The file may not exist, so that it cannot be removed is no fault.
+            warn!(upload = file_name(id), %reason, "upload discarded: its file differs from the log of uploads");
+            uploads.remove(id);
+            // The file may not exist, so an error of removing it is ignored.
             let _ = storage.remove(&file_name(id));
         }
     }
 }
 
-/// Compares the file of an upload with the log. Bytes past the recorded offset were never reported to the client as
-/// durable, and are cut off.
+/// Compares the file of an upload with the log. Bytes behind the recorded offset were never reported to the
+/// client as durable, and are cut off.
 fn verify(storage: &mut DirectoryStorage, id: UploadId, upload: &Upload) -> Result<(), Mismatch> {
     let name = file_name(id);
     let mut offset = 0;
@@ -73,7 +73,7 @@
         checksum = crc32c::crc32c_append(checksum, &bytes);
         offset += bytes.len() as u64;
     }
-    if checksum != upload.sum {
+    if checksum != upload.checksum {
         return Err(Mismatch::Checksum);
     }
     if upload.offset > 0 {
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Removes the files of uploads that the log does not know.
+/// Removes files of uploads that are not in the log.
 fn remove_orphans(storage: &mut DirectoryStorage, uploads: &Uploads) -> Result<(), OpenErrorCause> {
     let known_files: Vec<String> = uploads.ids().into_iter().map(file_name).collect();
     let listed = storage.list().map_err(OpenErrorCause::Directory)?;
--- a/crates/frontends/stream/src/upload_archive/worker.rs
+++ b/crates/frontends/stream/src/upload_archive/worker.rs
@@ -1,4 +1,4 @@
-//! The thread of the archive: it carries out operations in the order in which they were sent.
+//! The archive's thread, which executes operations in the order in which they were submitted.
 
 use super::error::ArchiveError;
 use super::{encode, file_name, OperationResult, LOG_NAME};
@@ -8,26 +8,26 @@
 use std::sync::mpsc::Receiver;
 use tracing::warn;
 
-/// A log longer than this since its last snapshot is shortened by a new one.
+/// A new snapshot is written once the log has grown by more than this since the last one.
 const MAX_LOG_BYTES: u64 = 4 << 20;
 
-/// Called with the result of an operation, on the archive's thread.
+/// Receives the result of an operation, on the archive's thread.
 pub(super) type Completion = Box<dyn FnOnce(OperationResult) + Send>;
 
-/// What the thread is asked to do.
+/// An operation for the archive's thread.
 pub(super) enum Operation {
     /// Appends bytes to the file of an upload.
     Append { id: UploadId, bytes: Vec<u8>, completion: Completion },
-    /// Reads at most so many bytes of the file of an upload.
+    /// Reads at most `max_bytes` of the file of an upload.
     Read { id: UploadId, offset: u64, max_bytes: usize, completion: Completion },
-    /// Makes the bytes of an upload durable, and then the entry that records them.
+    /// Makes the bytes of an upload durable, and then the entry that covers them.
     Record { entry: Entry, completion: Completion },
     /// Removes the file of an upload.
     Remove { id: UploadId },
 }
 
 impl Operation {
-    /// Answers an operation that will not be carried out.
+    /// Completes an operation with an error, without executing it.
     pub(super) fn fail(self, error: ArchiveError) {
         match self {
             Self::Append { completion, .. }
@@ -38,11 +38,11 @@
     }
 }
 
-/// What the thread owns.
+/// The state of the archive's thread.
 pub(super) struct Worker {
     storage: DirectoryStorage,
     log: WriteAheadLog,
-    /// The uploads as the log records them; what is not durable yet is not in here.
+    /// The uploads as the log records them, without changes that are not durable yet.
     recorded: Uploads,
     /// The first failure to record an entry. After a failed sync it is unknown what is on the disk, so no later entry
     /// is reported as durable.
@@ -54,7 +54,7 @@
         Self { storage, log, recorded, failure: None }
     }
 
-    /// Carries out operations until the archive is dropped.
+    /// Executes operations until the archive is dropped.
     pub(super) fn run(mut self, operations: &Receiver<Operation>) {
         for operation in operations {
             self.execute(operation);
@@ -88,16 +88,16 @@
         }
         let result = self.record(entry);
         if let Err(error) = &result {
-            warn!(%error, "the log of uploads failed: no upload is reported as durable any more");
+            warn!(%error, "the log of uploads cannot be written; uploads cannot be made durable until the server is restarted");
             self.failure = Some(error.clone());
         }
         result
     }
 
     fn record(&mut self, entry: Entry) -> Result<(), ArchiveError> {
-        // The bytes are made durable before the entry that records them: an entry without its bytes would lose the
-        // upload at the next start.
-        if let Entry::Moved { id, offset: 1.., .. } = entry {
+        // The bytes are made durable before the entry that covers them. With an entry but without its bytes,
+        // the upload would be lost at the next start.
+        if let Entry::Advanced { id, offset: 1.., .. } = entry {
             self.storage.sync(&file_name(id))?;
         }
         self.log.append(&encode(&entry));
@@ -110,7 +110,7 @@
     }
 }
 
-/// Begins a new generation of the log, whose snapshot holds these uploads.
+/// Starts a new generation of the log, with a snapshot of these uploads.
 pub(super) fn write_snapshot(
     storage: &mut DirectoryStorage,
     log: &mut WriteAheadLog,
