--- a/crates/testing/benchmarks/src/streams.rs
+++ b/crates/testing/benchmarks/src/streams.rs
@@ -5,7 +5,7 @@
 use lynxtally_baselines::PlainQueue;
 use lynxtally_experiment::chart::{chart, Series};
 use lynxtally_stream::server::{self, ServerCommand};
-use lynxtally_stream::settings::File;
+use lynxtally_stream::settings::SettingsFile;
 use lynxtally_test_doubles::stream::{Client, Upstream};
 use serde_json::{json, Value};
 use std::fmt::Write as _;
@@ -25,7 +25,7 @@
 /// What a child process does: a stream server with these settings until its input ends. `plain` has a first-come queue
 /// decide.
 pub fn serve(settings: &str, plain: bool) -> io::Result<()> {
-    let file: File = serde_json::from_str(settings).map_err(io::Error::other)?;
+    let file: SettingsFile = serde_json::from_str(settings).map_err(io::Error::other)?;
     let checked = file.check().map_err(io::Error::other)?;
     let slots = checked.limits.at_once as usize;
     let running = match plain {
