--- a/crates/core/flow/src/memory_pool.rs
+++ b/crates/core/flow/src/memory_pool.rs
@@ -110,9 +110,9 @@
 
     /// Sets the bytes that a stream holds, and adds the bytes that its receiver took since the last report.
     pub fn record_held(&mut self, stream: StreamId, held: u64, taken: u64) {
-        if let Some(window) = self.streams.get_mut(&stream) {
-            window.held = held;
-            window.taken += taken;
+        if let Some(state) = self.streams.get_mut(&stream) {
+            state.held = held;
+            state.taken += taken;
         }
     }
 
@@ -128,20 +128,20 @@
 
     /// Records bytes that were read for a stream; they must not exceed its room.
     pub fn record_read(&mut self, stream: StreamId, bytes: u64) {
-        if let Some(window) = self.streams.get_mut(&stream) {
+        if let Some(state) = self.streams.get_mut(&stream) {
             debug_assert!(
-                bytes <= window.window.saturating_sub(window.held),
+                bytes <= state.window.saturating_sub(state.held),
                 "a stream read more bytes than its window has room for"
             );
-            window.held += bytes;
+            state.held += bytes;
         }
     }
 
     /// Records bytes that were written to a stream's receiver.
     pub fn record_written(&mut self, stream: StreamId, bytes: u64) {
-        if let Some(window) = self.streams.get_mut(&stream) {
-            window.held = window.held.saturating_sub(bytes);
-            window.taken += bytes;
+        if let Some(state) = self.streams.get_mut(&stream) {
+            state.held = state.held.saturating_sub(bytes);
+            state.taken += bytes;
         }
     }
 
--- a/crates/frontends/stream/src/http/request.rs
+++ b/crates/frontends/stream/src/http/request.rs
@@ -91,7 +91,7 @@
 
     /// The value of a forwarded field.
     pub fn field(&self, name: &str) -> Option<&[u8]> {
-        self.fields.iter().find(|(own, _)| own.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
+        self.fields.iter().find(|(field, _)| field.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
     }
 
     /// Appends the head for an upstream to `out`. It asks the upstream to close the connection after the
--- a/crates/frontends/stream/src/http/response.rs
+++ b/crates/frontends/stream/src/http/response.rs
@@ -42,7 +42,7 @@
 
     /// The value of a forwarded field.
     pub fn field(&self, name: &str) -> Option<&[u8]> {
-        self.fields.iter().find(|(own, _)| own.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
+        self.fields.iter().find(|(field, _)| field.eq_ignore_ascii_case(name)).map(|(_, value)| &value[..])
     }
 
     /// The length of the object, if the response has no body but gives the length that the body would have.
--- a/crates/frontends/stream/src/proxy/client_connection.rs
+++ b/crates/frontends/stream/src/proxy/client_connection.rs
@@ -35,8 +35,8 @@
         }
         let proxy = self.clone();
         let work = move || {
-            let end = proxy.serve_client(&Arc::new(socket), from.ip(), number, &handle);
-            debug!(%from, %end, "client connection ended");
+            let reason = proxy.serve_client(&Arc::new(socket), from.ip(), number, &handle);
+            debug!(%from, %reason, "client connection ended");
             proxy.connections.remove(number);
         };
         let proxy = self.clone();
@@ -96,7 +96,7 @@
         let mut head_start = None;
         loop {
             // Empty lines before a request are allowed (RFC 9112 section 2.2).
-            let blank_bytes = received.iter().take_while(|octet| matches!(octet, b'\r' | b'\n')).count();
+            let blank_bytes = received.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
             received.drain(..blank_bytes);
             if let Some(ParsedHead { head: request, length }) = RequestHead::parse(received).map_err(Err)? {
                 received.drain(..length);
--- a/crates/frontends/stream/src/proxy/exchange.rs
+++ b/crates/frontends/stream/src/proxy/exchange.rs
@@ -198,8 +198,8 @@
         exchange.wake_upstream();
         let mut state = lock(&exchange.state);
         if let Some(archived_body) = state.archived_body.take() {
-            // If bytes were sent to the upstream and no complete response came, the upload is kept only if
-            // its request is idempotent, so that the client may retry it.
+            // The upload is removed once it has a response that is no server error, and also if it may have been
+            // executed and is not idempotent. Otherwise it is kept, so that the client may retry it.
             let may_send_again = effect == lynxtally::Effect::Idempotent || state.sent_bytes == 0;
             if !may_send_again || (has_response && succeeded == Some(true)) {
                 archived_body.archive.remove(archived_body.id);
--- a/crates/frontends/stream/src/server.rs
+++ b/crates/frontends/stream/src/server.rs
@@ -139,9 +139,9 @@
     })
 }
 
-/// Sweeps and takes commands until a shutdown has begun and either all requests are answered or its deadline
-/// has passed. During a shutdown requests are still read and answered, so that no client of a listening
-/// server is left without a response.
+/// Runs the server: takes commands, closes idle connections and removes expired uploads at each interval.
+/// Returns when a shutdown has begun and either all requests are answered or its deadline has passed. Until
+/// then requests are read and answered, so that no client of a listening server is left without a response.
 fn supervise<P: Scheduler + Send + 'static>(
     proxy: &Arc<Proxy<P>>,
     commands: &Receiver<ServerCommand>,
--- a/crates/frontends/stream/src/settings.rs
+++ b/crates/frontends/stream/src/settings.rs
@@ -400,9 +400,9 @@
             }
             classes.push(class);
         }
-        for (n, customer) in self.customers.iter().enumerate() {
-            if !(customer.quota > 0.0 && customer.quota.is_finite()) {
-                let problem = format!("is {}; above 0 is expected", customer.quota);
+        for (n, tenant) in self.customers.iter().enumerate() {
+            if !(tenant.quota > 0.0 && tenant.quota.is_finite()) {
+                let problem = format!("is {}; above 0 is expected", tenant.quota);
                 return invalid(format!("customers[{n}].quota"), problem);
             }
         }
@@ -547,7 +547,7 @@
             return invalid(format!("{key}.paths[{n}]"), problem);
         }
         if self.resumable && file.state.is_none() {
-            return invalid(format!("{key}.resumable"), "is set, but there is no `state` folder");
+            return invalid(format!("{key}.resumable"), "is set, but `state` is missing");
         }
         let effect = self.effect();
         Ok(ClassSettings {
@@ -581,7 +581,7 @@
 
 impl ClassSettings {
     fn matches(&self, method: &str, path: &str) -> bool {
-        let method_matches = self.methods.is_empty() || self.methods.iter().any(|own| own == method);
+        let method_matches = self.methods.is_empty() || self.methods.iter().any(|listed| listed == method);
         method_matches
             && (self.paths.is_empty() || self.paths.iter().any(|prefix| path.starts_with(prefix.as_str())))
     }
--- a/crates/frontends/stream/src/upload_archive/worker.rs
+++ b/crates/frontends/stream/src/upload_archive/worker.rs
@@ -88,7 +88,7 @@
         }
         let result = self.record(entry);
         if let Err(error) = &result {
-            warn!(%error, "the log of uploads cannot be written; uploads cannot be made durable until the server is restarted");
+            warn!(%error, "writing the log of uploads failed; no upload can be made durable before a restart");
             self.failure = Some(error.clone());
         }
         result
