--- a/crates/core/flow/src/coding.rs
+++ b/crates/core/flow/src/coding.rs
@@ -33,9 +33,9 @@
     }
 }
 
-/// The supported coding that an `Accept-Encoding` field gives the highest weight (RFC 9110 section 12.5.3). A coding
-/// that the field does not list, or lists with weight 0, is never chosen. At equal weights zstd is preferred to gzip,
-/// and both to no coding.
+/// The supported coding that an `Accept-Encoding` field gives the highest weight (RFC 9110 section 12.5.3). A
+/// coding that the field does not list (`*` lists all), or lists with weight 0, is never chosen. At equal
+/// weights zstd is preferred to gzip, and both to no coding.
 pub fn preferred_coding(accept_encoding: &str) -> Coding {
     let mut best = (Coding::Identity, 0.0);
     let mut wildcard = None;
--- a/crates/frontends/stream/src/http/fields.rs
+++ b/crates/frontends/stream/src/http/fields.rs
@@ -57,7 +57,7 @@
     pub(super) is_chunked: bool,
     pub(super) keep_alive: bool,
     pub(super) host_count: usize,
-    /// The sender closes the connection after this message.
+    /// The sender asks to close the connection after this exchange (`Connection: close`).
     pub closes_connection: bool,
     /// The sender waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
--- a/crates/frontends/stream/src/proxy/client_connection.rs
+++ b/crates/frontends/stream/src/proxy/client_connection.rs
@@ -61,7 +61,7 @@
         loop {
             let request = match self.read_head(socket, &mut received, number, handle) {
                 Ok(request) => request,
-                Err(Ok(end)) => return end,
+                Err(Ok(reason)) => return reason,
                 Err(Err(error)) => {
                     lock(&self.manager).resources.counts.invalid_messages += 1;
                     return self.close_with(socket, &LocalResponse::from_error(error));
@@ -76,7 +76,7 @@
             };
             match next {
                 AfterRequest::NextRequest => {}
-                AfterRequest::Close(end) => return end,
+                AfterRequest::Close(reason) => return reason,
             }
             self.connections.set_idle(number, true);
         }
@@ -110,7 +110,7 @@
             }
             drop(scratch);
             match read {
-                Err(end) => return Err(Ok(end)),
+                Err(reason) => return Err(Ok(reason)),
                 Ok(ReadOutcome::EndOfStream) => {
                     return Err(Ok(if received.is_empty() {
                         CloseReason::ClosedByPeer
@@ -161,7 +161,7 @@
             if written < out.len() {
                 match socket.write(&out[written..]) {
                     Ok(bytes) => written += bytes,
-                    Err(end) => return end,
+                    Err(reason) => return reason,
                 }
             }
             if written == out.len()
@@ -176,7 +176,7 @@
             match read {
                 Ok(ReadOutcome::Bytes(bytes)) if bytes as u64 <= unread_limit => unread_limit -= bytes as u64,
                 Ok(ReadOutcome::WouldBlock) if Instant::now() < deadline => socket.wait(),
-                Err(end) => return end,
+                Err(reason) => return reason,
                 Ok(_) => return CloseReason::Completed,
             }
         }
--- a/crates/frontends/stream/src/proxy/exchange.rs
+++ b/crates/frontends/stream/src/proxy/exchange.rs
@@ -71,9 +71,11 @@
     pub(super) has_ever_sent: bool,
     /// Why the current connection to an upstream has failed.
     pub(super) failure: Option<CloseReason>,
+    /// The client sends nothing more, or what it sends cannot be parsed.
     pub(super) client_input_ended: bool,
     /// The client sent another request before the response to this one was complete.
     pub(super) has_pipelined: bool,
+    /// The bytes of the request body's copy for which the copy budget has room reserved.
     pub(super) copied_bytes: u64,
     pub(super) outcome: Option<Outcome>,
 }
--- a/crates/frontends/stream/src/proxy/upstream_connection.rs
+++ b/crates/frontends/stream/src/proxy/upstream_connection.rs
@@ -100,6 +100,7 @@
                     return self.end_without_upstream(exchange);
                 }
                 state.renew_connection();
+                // If nothing was sent, the waiting output is still the whole request.
                 if attempt.sent_bytes > 0 {
                     state.proxied.resend();
                 }
--- a/crates/frontends/stream/src/resumable_upload.rs
+++ b/crates/frontends/stream/src/resumable_upload.rs
@@ -50,10 +50,13 @@
     socket: &'a Arc<Socket>,
     handle: &'a Arc<RequestHandle>,
     id: UploadId,
+    /// The number of the writer, given by `Uploads::create` or `Uploads::resume`.
     number: u64,
+    /// CRC-32C of the bytes of the upload so far.
     checksum: u32,
 }
 
+/// The response to an operation on an upload that was refused.
 fn refusal(error: UploadError, upload_state: Option<UploadState>) -> LocalResponse {
     let message_error = match error {
         UploadError::Unknown => MessageError::UnknownUpload,
@@ -414,6 +417,7 @@
         self.respond(socket, request, &response, pipe.is_complete())
     }
 
+    /// Receives the body of a request and archives it, until the body is complete or an error ends it.
     fn receive_upload(
         &self,
         writer: &mut UploadWriter,
