--- a/crates/core/flow/src/link_scheduler.rs
+++ b/crates/core/flow/src/link_scheduler.rs
@@ -99,8 +99,8 @@
         utilization.clamp(0.0, 1.0)
     }
 
-    /// How often [`grant_turns`](Self::grant_turns) has to be called while streams wait. It is a quarter of the time that
-    /// the bucket holds, so the bucket never fills up in between.
+    /// How often [`grant_turns`](Self::grant_turns) has to be called while streams wait. It is a quarter of the burst time,
+    /// so that a turn is never granted much later than the link could carry it.
     pub fn grant_interval(&self) -> Span {
         BURST * 0.25
     }
--- a/crates/frontends/stream/src/http/error.rs
+++ b/crates/frontends/stream/src/http/error.rs
@@ -19,7 +19,7 @@
     ExpandsTooFar,
     /// The size of a chunk is not a number, or is too large for 64 bits.
     InvalidChunkSize,
-    /// The data of a chunk is not followed by CRLF.
+    /// The size line or the data of a chunk does not end with CRLF.
     InvalidChunk,
     /// Chunk extensions cannot be parsed, or exceed their limit.
     InvalidExtension,
