--- a/crates/frontends/dns/src/connection.rs
+++ b/crates/frontends/dns/src/connection.rs
@@ -1,7 +1,7 @@
 //! Connections over TCP: messages behind their length (RFC 1035 section 4.2.2), several on one connection, and
 //! answers in whatever order they are ready (RFC 7766).
 
-use crate::serving::{Peer, Stream};
+use crate::executor::{Peer, Stream};
 use lynxtally::RequestId;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::connection::{self as net, ReadProgress};
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -6,8 +6,8 @@
 use crate::connection::{Connections, News, Order, Via};
 use crate::control::{self, Verb};
 use crate::cookie;
-use crate::disk::{self, DirectoryStorage, Job};
-use crate::serving::{Ask, Counts, Serving, ZoneState};
+use crate::executor::{Ask, Counts, Serving, ZoneState};
+use crate::log_writer::{self, DirectoryStorage, Job};
 use crate::settings::{self, stage, Checked};
 use crate::tsig::Keys;
 use crate::udp;
@@ -137,7 +137,7 @@
 
 impl Responder<Arc<Ask<Via>>> for Desk {
     fn respond(&mut self, ask: Arc<Ask<Via>>, answer: FinalResponse) -> bool {
-        use crate::serving::Peer;
+        use crate::executor::Peer;
         let streaming = ask.streaming.load(Ordering::Relaxed);
         let octets = match answer {
             // What went out on the connection is the answer.
@@ -290,7 +290,9 @@
     }
     let (log, jobs) = mpsc::channel();
     let (own, disk) = (ear.clone(), self::folder(&state)?);
-    std::thread::spawn(move || disk::work(disk, &jobs, |zone, done| own.say(Heard::Durable(zone, done))));
+    std::thread::spawn(move || {
+        log_writer::work(disk, &jobs, |zone, done| own.say(Heard::Durable(zone, done)))
+    });
     let (aside, todo) = mpsc::channel();
     let (own, at) = (ear.clone(), state.clone());
     std::thread::spawn(move || todo.iter().for_each(|todo| do_aside(&at, todo, &own)));
