--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -4,9 +4,9 @@
 use crate::{updates, Failed, Format};
 use clap::{Args, Subcommand};
 use lynxtally_dns::client::{query, Client};
-use lynxtally_dns::control::{self, Verb as Control};
+use lynxtally_dns::control::{self, Command as Control};
 use lynxtally_dns::server;
-use lynxtally_dns::settings::{self, Checked};
+use lynxtally_dns::settings::{self, CheckedSettings};
 use lynxtally_dns::tsig::Key;
 use lynxtally_wal::WriteAheadLog;
 use lynxtally_zones::change::between;
@@ -161,13 +161,13 @@
             }
         };
         let key: Option<Arc<Key>> = key;
-        Ok(Client { server: self.server, key, patience: Duration::from_millis(self.patience_ms.max(1)) })
+        Ok(Client { server: self.server, key, timeout: Duration::from_millis(self.patience_ms.max(1)) })
     }
 }
 
 /// Reads and checks the settings of a names server.
-pub fn settings(path: &Path) -> Result<Checked, String> {
-    let file: settings::File = lynxtally_template::read(path).map_err(|error| error.to_string())?;
+pub fn settings(path: &Path) -> Result<CheckedSettings, String> {
+    let file: settings::RawSettings = lynxtally_template::read(path).map_err(|error| error.to_string())?;
     file.check().map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
@@ -183,7 +183,7 @@
         Verb::Query { server, name, kind, tcp } => {
             let client = server.client()?;
             let question = query(rand::rng().random(), &name, kind);
-            let answered = if tcp { client.ask(&question) } else { client.ask_by_datagram(&question) };
+            let answered = if tcp { client.exchange_tcp(&question) } else { client.exchange_udp(&question) };
             let answered = answered.map_err(|fault| wrong(format!("{}: {fault}", server.server)))?;
             print_answer(&answered, format);
             if answered.code == 0 {
@@ -221,7 +221,7 @@
 }
 
 fn say(state: &Path, verb: &Control) -> Result<(), Failed> {
-    let said = control::ask(state, verb)
+    let said = control::send(state, verb)
         .map_err(|fault| wrong(format!("no server runs on {}: {fault}", state.display())))?;
     println!("{said}");
     if said.starts_with("{\"error\"") {
@@ -236,7 +236,7 @@
     let text = std::fs::read(path).map_err(|fault| wrong(format!("{shown}: {fault}")))?;
     let folder = path.parent().map(Path::to_owned).unwrap_or_default();
     let limits = zone_file::ZoneFileLimits { refused, ..zone_file::ZoneFileLimits::default() };
-    Ok(zone_file::read(&shown, &text, apex, limits, &mut |name| server::include(&folder, name)))
+    Ok(zone_file::read(&shown, &text, apex, limits, &mut |name| server::read_include(&folder, name)))
 }
 
 fn zone_of(path: &Path, apex: Option<&Name>) -> Result<Zone, Failed> {
@@ -280,11 +280,11 @@
 
 fn serve(path: &Path) -> Result<(), Failed> {
     let checked = settings(path)?;
-    let running = server::start(checked.clone(), server::module)?;
-    for at in &running.listen {
+    let running = server::start(checked.clone(), server::new_policy)?;
+    for at in &running.addresses {
         println!("listening on {at}");
     }
-    let ear = running.ear.clone();
+    let events = running.events.clone();
     let zones: Vec<String> =
         checked.zones.iter().filter(|z| z.file.is_some()).map(|z| z.apex.to_string()).collect();
     let mut signals =
@@ -292,19 +292,19 @@
     std::thread::spawn(move || {
         for signal in signals.forever() {
             if signal != SIGHUP {
-                ear.say(server::Heard::Leave);
+                events.push(server::ServerEvent::Shutdown);
                 continue;
             }
             for zone in &zones {
                 let (answer, _) = std::sync::mpsc::channel();
-                ear.say(server::Heard::Control(Control::Reread(zone.clone()), answer));
+                events.push(server::ServerEvent::Command(Control::Reread(zone.clone()), answer));
             }
         }
     });
-    let ended = running.end.recv().map_err(|_| "the server failed; the log says why".to_owned())?;
+    let ended = running.exit.recv().map_err(|_| "the server failed; the log says why".to_owned())?;
     let _ = std::fs::remove_file(control::path(&checked.state));
     println!("{}", ended.counters);
-    if ended.adds_up {
+    if ended.counts_consistent {
         Ok(())
     } else {
         Err(wrong("a task that was read got no answer, or more than one"))
@@ -337,7 +337,7 @@
     let zone = checked.zones.iter().find(|zone| zone.apex == running.zone);
     let zone = zone.ok_or_else(|| wrong(format!("{} is no zone of the settings", running.zone)))?;
     let name = server::journal_name(zone);
-    let mut folder = server::folder(&checked.state)?;
+    let mut folder = server::open_state_folder(&checked.state)?;
     let (_, found) = WriteAheadLog::inspect(&mut folder, &name).map_err(wrong)?;
     let mut faults: Vec<String> = found.damage.iter().map(ToString::to_string).collect();
     let snapshot = found.snapshot.as_deref().map(decode::<Snapshot>).transpose();
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,7 +1,7 @@
 //! How the program prints what a DNS server answered.
 
 use crate::Format;
-use lynxtally_dns::codec::{Answered, Code};
+use lynxtally_dns::codec::{Response, ResponseCode};
 use lynxtally_zones::change::Change;
 use lynxtally_zones::Record;
 use serde_json::json;
@@ -15,7 +15,7 @@
 }
 
 /// Prints a DNS response: its header, then its records by section.
-pub fn print_answer(answered: &Answered, format: Format) {
+pub fn print_answer(answered: &Response, format: Format) {
     let names = ["answer", "authority", "additional"];
     if format == Format::Json {
         let sections: BTreeMap<&str, Vec<_>> = names
@@ -25,13 +25,13 @@
             .collect();
         let reason = answered.reason.as_ref().map(|(code, text)| json!({"code": code, "text": text}));
         let said = json!({
-            "code": Code(answered.code).to_string(), "authoritative": answered.authoritative, "reason": reason,
+            "code": ResponseCode(answered.code).to_string(), "authoritative": answered.authoritative, "reason": reason,
             "lease": answered.lease, "sections": sections,
         });
         return println!("{said}");
     }
     let kind = if answered.authoritative { "authoritative" } else { "not authoritative" };
-    println!("; {}, {kind}", Code(answered.code));
+    println!("; {}, {kind}", ResponseCode(answered.code));
     if let Some((code, text)) = &answered.reason {
         println!("; reason {code}: {text}");
     }
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -3,7 +3,7 @@
 use crate::output::print_answer;
 use crate::{Failed, Format};
 use lynxtally_dns::client::Client;
-use lynxtally_dns::codec::Question;
+use lynxtally_dns::codec::OutgoingRequest;
 use lynxtally_zones::record_data::{read_time, Token};
 use lynxtally_zones::update::{UpdateClass, UpdateRecord};
 use lynxtally_zones::{Name, RecordType};
@@ -110,14 +110,14 @@
     if all == Steps::default() {
         return Err(Failed::Usage("no steps; give some, or --file".to_owned()));
     }
-    let question = Question {
+    let question = OutgoingRequest {
         opcode: 5,
-        needs: &all.needs,
-        edits: &all.edits,
+        prerequisites: &all.needs,
+        updates: &all.edits,
         lease,
         ..lynxtally_dns::client::query(rand::rng().random(), zone, RecordType::SOA)
     };
-    let answered = client.ask(&question).map_err(|fault| format!("{}: {fault}", client.server))?;
+    let answered = client.exchange_tcp(&question).map_err(|fault| format!("{}: {fault}", client.server))?;
     print_answer(&answered, format);
     if answered.code == 0 {
         Ok(())
--- a/crates/frontends/dns/src/client.rs
+++ b/crates/frontends/dns/src/client.rs
@@ -1,6 +1,6 @@
 //! Questions of our own, over plain blocking sockets with time bounds: for secondaries, notices and operators.
 
-use crate::codec::{Answered, Question};
+use crate::codec::{OutgoingRequest, Response};
 use crate::tsig::{Key, Signer};
 use lynxtally_zones::secondary::{TransferReader, TransferResult};
 use lynxtally_zones::Record;
@@ -13,27 +13,27 @@
 
 /// Why a question got no answer that can be used.
 #[derive(Debug)]
-pub enum Fault {
+pub enum ClientError {
     /// The connection.
     Io(io::Error),
     /// What came can't be read, or answers something else.
-    Garbled(&'static str),
+    InvalidResponse(&'static str),
     /// The signature.
     Signature(String),
     /// The server refuses: the code, and its reason where it gave one.
-    Refused(u16, String),
+    ErrorResponse(u16, String),
     /// A transfer can't be used.
-    Unusable(String),
+    InvalidTransfer(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Io(fault) => fault.fmt(f),
-            Self::Garbled(what) => f.write_str(what),
-            Self::Signature(what) | Self::Unusable(what) => f.write_str(what),
-            Self::Refused(code, reason) => {
-                let code = crate::codec::Code(*code);
+            Self::InvalidResponse(what) => f.write_str(what),
+            Self::Signature(what) | Self::InvalidTransfer(what) => f.write_str(what),
+            Self::ErrorResponse(code, reason) => {
+                let code = crate::codec::ResponseCode(*code);
                 match reason.as_str() {
                     "" => write!(f, "the server says {code}"),
                     reason => write!(f, "the server says {code}: {reason}"),
@@ -43,9 +43,9 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ClientError {}
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for ClientError {
     fn from(fault: io::Error) -> Self {
         Self::Io(fault)
     }
@@ -64,15 +64,15 @@
     /// The key that signs.
     pub key: Option<Arc<Key>>,
     /// How long one answer is waited for.
-    pub patience: Duration,
+    pub timeout: Duration,
 }
 
 /// A connection that carries messages.
-pub struct Open {
+pub struct ClientConnection {
     stream: TcpStream,
 }
 
-impl Open {
+impl ClientConnection {
     /// Sends a message.
     pub fn send(&mut self, octets: &[u8]) -> io::Result<()> {
         let mut framed = (octets.len() as u16).to_be_bytes().to_vec();
@@ -92,122 +92,144 @@
 
 impl Client {
     fn signer(&self) -> Option<Signer> {
-        self.key.clone().map(|key| Signer::asking(key, unix_now()))
+        self.key.clone().map(|key| Signer::for_request(key, unix_now()))
     }
 
     /// Connects.
-    pub fn connect(&self) -> io::Result<Open> {
-        let stream = TcpStream::connect_timeout(&self.server, self.patience)?;
-        stream.set_read_timeout(Some(self.patience))?;
-        stream.set_write_timeout(Some(self.patience))?;
+    pub fn connect(&self) -> io::Result<ClientConnection> {
+        let stream = TcpStream::connect_timeout(&self.server, self.timeout)?;
+        stream.set_read_timeout(Some(self.timeout))?;
+        stream.set_write_timeout(Some(self.timeout))?;
         stream.set_nodelay(true)?;
-        Ok(Open { stream })
+        Ok(ClientConnection { stream })
     }
 
-    fn check(octets: &[u8], id: u16, signer: &mut Option<Signer>) -> Result<Answered, Fault> {
-        let answered = Answered::read(octets).ok_or(Fault::Garbled("what came is no answer"))?;
-        if answered.id != id {
-            return Err(Fault::Garbled("an answer to another question came"));
+    fn read_response(octets: &[u8], id: u16, signer: &mut Option<Signer>) -> Result<Response, ClientError> {
+        let response =
+            Response::read(octets).ok_or(ClientError::InvalidResponse("what came is no answer"))?;
+        if response.id != id {
+            return Err(ClientError::InvalidResponse("an answer to another question came"));
         }
         if let Some(signer) = signer {
-            match &answered.signed {
-                Some(signed) => signer.check(octets, signed, unix_now()).map_err(Fault::Signature)?,
-                None if answered.code == 0 => {
-                    return Err(Fault::Signature("the answer is not signed".to_owned()))
+            match &response.tsig {
+                Some(tsig) => {
+                    signer.verify_response(octets, tsig, unix_now()).map_err(ClientError::Signature)?
+                }
+                None if response.code == 0 => {
+                    return Err(ClientError::Signature("the answer is not signed".to_owned()))
                 }
                 None => {}
             }
         }
-        Ok(answered)
+        Ok(response)
     }
 
     /// Asks over a connection.
-    pub fn ask(&self, question: &Question) -> Result<Answered, Fault> {
+    pub fn exchange_tcp(&self, request: &OutgoingRequest) -> Result<Response, ClientError> {
         let mut signer = self.signer();
-        let octets = question.write(signer.as_mut());
-        let mut open = self.connect()?;
-        open.send(&octets)?;
-        Self::check(&open.receive()?, question.id, &mut signer)
+        let octets = request.write(signer.as_mut());
+        let mut connection = self.connect()?;
+        connection.send(&octets)?;
+        Self::read_response(&connection.receive()?, request.id, &mut signer)
     }
 
     /// Asks by datagram; a cut answer is asked for again over a connection.
-    pub fn ask_by_datagram(&self, question: &Question) -> Result<Answered, Fault> {
-        self.ask_by_datagram_from(None, question)
+    pub fn exchange_udp(&self, request: &OutgoingRequest) -> Result<Response, ClientError> {
+        self.exchange_udp_from(None, request)
     }
 
     /// The same from one of this machine's addresses, by which the other side knows us.
-    pub fn ask_by_datagram_from(&self, from: Option<IpAddr>, question: &Question) -> Result<Answered, Fault> {
+    pub fn exchange_udp_from(
+        &self,
+        from: Option<IpAddr>,
+        request: &OutgoingRequest,
+    ) -> Result<Response, ClientError> {
         let mut signer = self.signer();
-        let octets = question.write(signer.as_mut());
-        let any: IpAddr = match self.server {
+        let octets = request.write(signer.as_mut());
+        let unspecified: IpAddr = match self.server {
             SocketAddr::V4(_) => Ipv4Addr::UNSPECIFIED.into(),
             SocketAddr::V6(_) => Ipv6Addr::UNSPECIFIED.into(),
         };
         let from = from.filter(|from| from.is_ipv4() == self.server.is_ipv4());
-        let socket = UdpSocket::bind((from.unwrap_or(any), 0))?;
+        let socket = UdpSocket::bind((from.unwrap_or(unspecified), 0))?;
         socket.connect(self.server)?;
-        socket.set_read_timeout(Some(self.patience))?;
+        socket.set_read_timeout(Some(self.timeout))?;
         socket.send(&octets)?;
-        let mut room = vec![0; 4096];
-        let length = socket.recv(&mut room)?;
-        let answered = Self::check(&room[..length], question.id, &mut signer)?;
-        if answered.truncated {
-            return self.ask(question);
+        let mut buffer = vec![0; 4096];
+        let length = socket.recv(&mut buffer)?;
+        let response = Self::read_response(&buffer[..length], request.id, &mut signer)?;
+        if response.truncated {
+            return self.exchange_tcp(request);
         }
-        Ok(answered)
+        Ok(response)
     }
 
     /// A server's serial of a zone.
-    pub fn serial(&self, zone: &Name, id: u16) -> Result<Serial, Fault> {
-        let answered = self.ask(&query(id, zone, RecordType::SOA))?;
-        refused(&answered)?;
+    pub fn serial(&self, zone: &Name, id: u16) -> Result<Serial, ClientError> {
+        let response = self.exchange_tcp(&query(id, zone, RecordType::SOA))?;
+        check_response_code(&response)?;
         let soa =
-            answered.sections[0].iter().find(|record| record.kind == RecordType::SOA && record.name == *zone);
+            response.sections[0].iter().find(|record| record.kind == RecordType::SOA && record.name == *zone);
         let soa = soa.and_then(|record| lynxtally_zones::Soa::of(&record.data));
-        soa.filter(|_| answered.authoritative).map(|soa| soa.serial).ok_or(Fault::Garbled("no SOA came"))
+        soa.filter(|_| response.authoritative)
+            .map(|soa| soa.serial)
+            .ok_or(ClientError::InvalidResponse("no SOA came"))
     }
 
     /// Has a zone, or what changed since a version, transferred.
     pub fn transfer(
         &self,
         zone: &Name,
-        have: Option<&Record>,
-        most: usize,
+        current_soa: Option<&Record>,
+        max_records: usize,
         id: u16,
-    ) -> Result<TransferResult, Fault> {
-        let from = have.and_then(|soa| lynxtally_zones::Soa::of(&soa.data)).map(|soa| soa.serial);
-        let kind = if have.is_some() { RecordType::IXFR } else { RecordType::AXFR };
-        let question = Question { soa: have, ..query(id, zone, kind) };
+    ) -> Result<TransferResult, ClientError> {
+        let from = current_soa.and_then(|soa| lynxtally_zones::Soa::of(&soa.data)).map(|soa| soa.serial);
+        let kind = if current_soa.is_some() { RecordType::IXFR } else { RecordType::AXFR };
+        let request = OutgoingRequest { soa: current_soa, ..query(id, zone, kind) };
         let mut signer = self.signer();
-        let octets = question.write(signer.as_mut());
-        let mut open = self.connect()?;
-        open.send(&octets)?;
-        let mut incoming = TransferReader::new(zone.clone(), from, most);
+        let octets = request.write(signer.as_mut());
+        let mut connection = self.connect()?;
+        connection.send(&octets)?;
+        let mut reader = TransferReader::new(zone.clone(), from, max_records);
         loop {
-            let answered = Self::check(&open.receive()?, id, &mut signer)?;
-            refused(&answered)?;
-            let [records, ..] = answered.sections;
+            let response = Self::read_response(&connection.receive()?, id, &mut signer)?;
+            check_response_code(&response)?;
+            let [records, ..] = response.sections;
             for record in records {
-                incoming.take(record).map_err(|fault| Fault::Unusable(fault.to_string()))?;
+                reader.take(record).map_err(|fault| ClientError::InvalidTransfer(fault.to_string()))?;
             }
-            if let Some(nothing) = incoming.message_ended() {
-                return Ok(nothing);
+            if let Some(up_to_date) = reader.message_ended() {
+                return Ok(up_to_date);
             }
-            if incoming.is_complete() {
-                return incoming.finish().ok_or(Fault::Garbled("a transfer broke off"));
+            if reader.is_complete() {
+                return reader.finish().ok_or(ClientError::InvalidResponse("a transfer broke off"));
             }
         }
     }
 }
 
-fn refused(answered: &Answered) -> Result<(), Fault> {
-    match answered.code {
+fn check_response_code(response: &Response) -> Result<(), ClientError> {
+    match response.code {
         0 => Ok(()),
-        code => Err(Fault::Refused(code, answered.reason.clone().map_or(String::new(), |(_, text)| text))),
+        code => Err(ClientError::ErrorResponse(
+            code,
+            response.reason.clone().map_or(String::new(), |(_, text)| text),
+        )),
     }
 }
 
 /// A plain question.
-pub fn query(id: u16, name: &Name, kind: RecordType) -> Question<'_> {
-    Question { id, name, kind, opcode: 0, soa: None, needs: &[], edits: &[], lease: None, cookie: None }
+pub fn query(id: u16, name: &Name, kind: RecordType) -> OutgoingRequest<'_> {
+    OutgoingRequest {
+        id,
+        name,
+        kind,
+        opcode: 0,
+        soa: None,
+        prerequisites: &[],
+        updates: &[],
+        lease: None,
+        cookie: None,
+    }
 }
--- a/crates/frontends/dns/src/connection.rs
+++ b/crates/frontends/dns/src/connection.rs
@@ -1,7 +1,7 @@
 //! Connections over TCP: messages behind their length (RFC 1035 section 4.2.2), several on one connection, and
 //! answers in whatever order they are ready (RFC 7766).
 
-use crate::executor::{Peer, Stream};
+use crate::executor::{OutgoingTransfer, Transport};
 use lynxtally::RequestId;
 use lynxtally_net::close_reason::CloseReason;
 use lynxtally_net::connection::{self as net, ReadProgress};
@@ -20,251 +20,277 @@
 const STACK_WORDS: usize = 0x4000;
 /// Messages on one connection that wait for their answers, and octets that wait to be written, at most. What
 /// comes beyond is read later.
-const OPEN_MOST: usize = 64;
-const OUT_MOST: usize = 128 * 1024;
+const MAX_PENDING_RESPONSES: usize = 64;
+const MAX_OUTPUT_BYTES: usize = 128 * 1024;
 /// A connection that carries nothing for so long is closed (RFC 7766 section 6.2.3 leaves it to the server).
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a connection is told.
-pub enum Order {
+pub enum ConnectionCommand {
     /// An answer.
-    Answer(Vec<u8>),
+    Respond(Vec<u8>),
     /// A transfer.
-    Stream(Box<Stream>),
+    StartTransfer(Box<OutgoingTransfer>),
     /// What is under way can't be ended well.
-    Cut,
+    Abort,
     /// Close where nothing is under way.
     Close(CloseReason),
 }
 
 /// What the owner hears of connections.
-pub enum News {
+pub enum ConnectionEvent {
     /// A message came.
-    Came(Vec<u8>, SocketAddr, Tcp),
+    MessageReceived(Vec<u8>, SocketAddr, ConnectionHandle),
     /// A connection ended; what is open on it nobody waits for.
-    Ended(Tcp, CloseReason),
+    Closed(ConnectionHandle, CloseReason),
     /// A transfer ended, well or not.
-    Streamed(RequestId, u64, bool),
+    TransferEnded(RequestId, u64, bool),
 }
 
 /// A connection, as the owner knows it.
 #[derive(Clone)]
-pub struct Tcp(pub Arc<Mailbox<Order>>);
+pub struct ConnectionHandle(pub Arc<Mailbox<ConnectionCommand>>);
 
-/// Where an answer goes.
+/// Where an answer evicted.
 #[derive(Clone)]
-pub enum Via {
+pub enum ResponsePath {
     /// A datagram, by the number of the socket.
     Udp(usize),
     /// A connection.
-    Tcp(Tcp),
+    Tcp(ConnectionHandle),
 }
 
-impl Peer for Via {
-    fn stream(&self, stream: Box<Stream>) -> bool {
+impl Transport for ResponsePath {
+    fn start_transfer(&self, transfer: Box<OutgoingTransfer>) -> bool {
         match self {
-            Self::Tcp(Tcp(orders)) => orders.push(Order::Stream(stream)),
+            Self::Tcp(ConnectionHandle(commands)) => {
+                commands.push(ConnectionCommand::StartTransfer(transfer))
+            }
             Self::Udp(_) => false,
         }
     }
 
-    fn cut(&self) {
-        if let Self::Tcp(Tcp(orders)) = self {
-            orders.push(Order::Cut);
+    fn abort(&self) {
+        if let Self::Tcp(ConnectionHandle(commands)) = self {
+            commands.push(ConnectionCommand::Abort);
         }
     }
 }
 
 /// All connections.
 pub struct Connections {
-    seats: ConnectionTable<Tcp>,
-    gate: ListenerSet,
-    turnstile: FairYield,
-    news: Box<dyn Fn(News) + Send + Sync>,
+    table: ConnectionTable<ConnectionHandle>,
+    listeners: ListenerSet,
+    fair_yield: FairYield,
+    on_event: Box<dyn Fn(ConnectionEvent) + Send + Sync>,
 }
 
 impl Connections {
     /// So many at most; `news` hears of all that comes.
     pub fn new(
-        most: usize,
-        alarm: Timer,
-        turnstile: FairYield,
-        news: impl Fn(News) + Send + Sync + 'static,
+        max_connections: usize,
+        timer: Timer,
+        fair_yield: FairYield,
+        on_event: impl Fn(ConnectionEvent) + Send + Sync + 'static,
     ) -> Self {
         Self {
-            seats: ConnectionTable::new(most),
-            gate: ListenerSet::new(alarm),
-            turnstile,
-            news: Box::new(news),
+            table: ConnectionTable::new(max_connections),
+            listeners: ListenerSet::new(timer),
+            fair_yield,
+            on_event: Box::new(on_event),
         }
     }
 
     /// How many there are.
     pub fn len(&self) -> usize {
-        self.seats.len()
+        self.table.len()
     }
 
     /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.seats.is_empty()
+        self.table.is_empty()
     }
 
     /// Has those closed that carried nothing for long, or for any time at all.
     pub fn close_idle(&self, all: bool) {
-        for tcp in self.seats.idle_for(if all { Duration::ZERO } else { IDLE }) {
-            tcp.0.push(Order::Close(CloseReason::IdleTimeout));
+        for handle in self.table.idle_for(if all { Duration::ZERO } else { IDLE_TIMEOUT }) {
+            handle.0.push(ConnectionCommand::Close(CloseReason::IdleTimeout));
         }
     }
 
     /// Takes no connections any more, and has all that rest closed; waits until nobody listens.
     pub fn close(&self) {
         self.close_idle(true);
-        self.gate.close();
+        self.listeners.close();
         self.close_idle(true);
     }
 
     /// Takes connections until they are closed.
     pub fn accept(self: &Arc<Self>, listener: TcpListener) {
-        self.gate.accept(listener, |stream, from| self.take(stream, from));
+        self.listeners.accept(listener, |stream, from| self.open(stream, from));
     }
 
-    /// Where the table is full, the one that rests longest goes, else the new one.
-    fn take(self: &Arc<Self>, stream: TcpStream, from: SocketAddr) {
-        let Ok(line) = net::Connection::new(stream) else { return };
-        let tcp = Tcp(Arc::default());
-        let Ok(Inserted { number, evicted: goes }) = self.seats.insert(tcp.clone()) else {
+    /// Where the table is full, the one that rests longest evicted, else the new one.
+    fn open(self: &Arc<Self>, stream: TcpStream, from: SocketAddr) {
+        let Ok(socket) = net::Connection::new(stream) else { return };
+        let handle = ConnectionHandle(Arc::default());
+        let Ok(Inserted { number, evicted }) = self.table.insert(handle.clone()) else {
             return debug!(%from, "no room for a connection");
         };
-        if let Some(goes) = goes {
-            goes.0.push(Order::Close(CloseReason::Evicted));
+        if let Some(evicted) = evicted {
+            evicted.0.push(ConnectionCommand::Close(CloseReason::Evicted));
         }
-        tcp.0.attach(&line);
-        let (all, own) = (self.clone(), tcp.clone());
-        let work = move || {
-            let mut connection =
-                Connection { all: &all, number, from, tcp: &own, open: 0, streams: Vec::new() };
-            let end = connection.serve(line);
-            debug!(%from, %end, "connection ended");
-            connection.ended(end);
+        handle.0.attach(&socket);
+        let (connections, own_handle) = (self.clone(), handle.clone());
+        let serve_connection = move || {
+            let mut connection = Connection {
+                connections: &connections,
+                number,
+                from,
+                handle: &own_handle,
+                pending_responses: 0,
+                transfers: Vec::new(),
+            };
+            let reason = connection.serve(socket);
+            debug!(%from, end = %reason, "connection ended");
+            connection.report_closed(reason);
         };
-        let all = self.clone();
-        let failed = move |panic: Panic| {
+        let connections = self.clone();
+        let on_panic = move |panic: Panic| {
             warn!(%panic, "a connection's coroutine failed");
-            all.seats.remove(number);
-            (all.news)(News::Ended(tcp.clone(), CloseReason::InternalError));
+            connections.table.remove(number);
+            (connections.on_event)(ConnectionEvent::Closed(handle.clone(), CloseReason::InternalError));
         };
-        if spawn(STACK_WORDS, work, failed).is_err() {
-            self.seats.remove(number);
+        if spawn(STACK_WORDS, serve_connection, on_panic).is_err() {
+            self.table.remove(number);
         }
     }
 }
 
 struct Connection<'a> {
-    all: &'a Arc<Connections>,
+    connections: &'a Arc<Connections>,
     number: u64,
     from: SocketAddr,
-    tcp: &'a Tcp,
+    handle: &'a ConnectionHandle,
     /// Messages whose answers are awaited.
-    open: usize,
-    streams: Vec<Stream>,
+    pending_responses: usize,
+    transfers: Vec<OutgoingTransfer>,
 }
 
 impl Connection<'_> {
-    fn ended(&mut self, end: CloseReason) {
-        for order in self.tcp.0.close() {
-            if let Order::Stream(stream) = order {
-                self.streams.push(*stream);
+    fn report_closed(&mut self, reason: CloseReason) {
+        for command in self.handle.0.close() {
+            if let ConnectionCommand::StartTransfer(transfer) = command {
+                self.transfers.push(*transfer);
             }
         }
-        for stream in self.streams.drain(..) {
-            (self.all.news)(News::Streamed(stream.task, stream.number, false));
+        for transfer in self.transfers.drain(..) {
+            (self.connections.on_event)(ConnectionEvent::TransferEnded(
+                transfer.request_id,
+                transfer.call_number,
+                false,
+            ));
         }
-        self.all.seats.remove(self.number);
-        (self.all.news)(News::Ended(self.tcp.clone(), end));
+        self.connections.table.remove(self.number);
+        (self.connections.on_event)(ConnectionEvent::Closed(self.handle.clone(), reason));
     }
 
-    fn serve(&mut self, mut line: net::Connection) -> CloseReason {
-        let (mut buffer, mut sends) = (Vec::new(), true);
+    fn serve(&mut self, mut socket: net::Connection) -> CloseReason {
+        let (mut buffer, mut peer_sends) = (Vec::new(), true);
         loop {
             let mut close = None;
-            while let Some(order) = self.tcp.0.take() {
-                match order {
-                    Order::Answer(octets) => {
-                        put(line.output(), &octets);
-                        self.open = self.open.saturating_sub(1);
+            while let Some(command) = self.handle.0.take() {
+                match command {
+                    ConnectionCommand::Respond(octets) => {
+                        push_framed(socket.output(), &octets);
+                        self.pending_responses = self.pending_responses.saturating_sub(1);
                     }
-                    Order::Stream(stream) => self.streams.push(*stream),
-                    Order::Cut => return CloseReason::Cancelled,
-                    Order::Close(end) => close = Some(end),
+                    ConnectionCommand::StartTransfer(transfer) => self.transfers.push(*transfer),
+                    ConnectionCommand::Abort => return CloseReason::Cancelled,
+                    ConnectionCommand::Close(reason) => close = Some(reason),
                 }
             }
-            self.fill_out(&mut line);
-            if let Err(end) = line.flush() {
-                return end;
+            self.write_transfers(&mut socket);
+            if let Err(reason) = socket.flush() {
+                return reason;
             }
             let mut filled = ReadProgress::BufferFull;
-            if sends && self.open < OPEN_MOST && line.output().len() < OUT_MOST {
-                filled = match line.fill(&mut buffer, 2 + crate::codec::MESSAGE_MOST) {
+            if peer_sends
+                && self.pending_responses < MAX_PENDING_RESPONSES
+                && socket.output().len() < MAX_OUTPUT_BYTES
+            {
+                filled = match socket.fill(&mut buffer, 2 + crate::codec::MAX_MESSAGE_BYTES) {
                     Ok(filled) => filled,
-                    Err(end) => return end,
+                    Err(reason) => return reason,
                 };
-                sends = filled != ReadProgress::EndOfStream;
+                peer_sends = filled != ReadProgress::EndOfStream;
             }
-            let came = match self.messages(&mut buffer) {
-                Ok(came) => came,
-                Err(end) => return end,
+            let received = match self.read_messages(&mut buffer) {
+                Ok(received) => received,
+                Err(reason) => return reason,
             };
-            let idle = self.open == 0 && self.streams.is_empty() && line.is_flushed();
-            if !sends && idle {
+            let idle = self.pending_responses == 0 && self.transfers.is_empty() && socket.is_flushed();
+            if !peer_sends && idle {
                 return if buffer.is_empty() { CloseReason::ClosedByPeer } else { CloseReason::Truncated };
             }
-            if let Some(end) = close.filter(|_| idle && buffer.is_empty()) {
-                return end;
+            if let Some(reason) = close.filter(|_| idle && buffer.is_empty()) {
+                return reason;
             }
-            self.all.seats.set_idle(self.number, idle && buffer.is_empty());
+            self.connections.table.set_idle(self.number, idle && buffer.is_empty());
             // More may be there to be read or written without a further sign of it.
-            let room = self.open < OPEN_MOST && line.output().len() < OUT_MOST;
-            let more = came
-                || (sends
+            let room =
+                self.pending_responses < MAX_PENDING_RESPONSES && socket.output().len() < MAX_OUTPUT_BYTES;
+            let more = received
+                || (peer_sends
                     && room
                     && filled == ReadProgress::BufferFull
-                    && buffer.len() < 2 + crate::codec::MESSAGE_MOST);
-            if more || (!self.streams.is_empty() && line.is_flushed()) {
+                    && buffer.len() < 2 + crate::codec::MAX_MESSAGE_BYTES);
+            if more || (!self.transfers.is_empty() && socket.is_flushed()) {
                 // A coroutine that only yields is the next again, for as long as its transfer lasts.
-                line.yield_to_others(&self.all.turnstile);
+                socket.yield_to_others(&self.connections.fair_yield);
             } else {
-                line.wait();
+                socket.wait();
             }
         }
     }
 
     /// Adds messages of the transfers under way, no more than can wait to be written.
-    fn fill_out(&mut self, line: &mut net::Connection) {
-        while line.output().len() < OUT_MOST / 2 {
-            let Some(stream) = self.streams.first_mut() else { return };
-            match stream.writer.next_message() {
-                Some(octets) => put(line.output(), &octets),
+    fn write_transfers(&mut self, socket: &mut net::Connection) {
+        while socket.output().len() < MAX_OUTPUT_BYTES / 2 {
+            let Some(transfer) = self.transfers.first_mut() else { return };
+            match transfer.writer.next_message() {
+                Some(octets) => push_framed(socket.output(), &octets),
                 None => {
-                    let stream = self.streams.remove(0);
+                    let transfer = self.transfers.remove(0);
                     // Its answer is what went out: none is awaited any more.
-                    self.open = self.open.saturating_sub(1);
-                    (self.all.news)(News::Streamed(stream.task, stream.number, true));
+                    self.pending_responses = self.pending_responses.saturating_sub(1);
+                    (self.connections.on_event)(ConnectionEvent::TransferEnded(
+                        transfer.request_id,
+                        transfer.call_number,
+                        true,
+                    ));
                 }
             }
         }
     }
 
     /// Takes the whole messages that came; tells whether there was any.
-    fn messages(&mut self, buffer: &mut Vec<u8>) -> Result<bool, CloseReason> {
+    fn read_messages(&mut self, buffer: &mut Vec<u8>) -> Result<bool, CloseReason> {
         let mut at = 0;
-        while let Some(head) = buffer.get(at..at + 2).filter(|_| self.open < OPEN_MOST) {
+        while let Some(head) =
+            buffer.get(at..at + 2).filter(|_| self.pending_responses < MAX_PENDING_RESPONSES)
+        {
             let length = usize::from(u16::from_be_bytes([head[0], head[1]]));
-            if length < crate::codec::HEAD {
+            if length < crate::codec::HEADER_BYTES {
                 return Err(CloseReason::Malformed);
             }
             let Some(octets) = buffer.get(at + 2..at + 2 + length) else { break };
-            self.open += 1;
-            (self.all.news)(News::Came(octets.to_vec(), self.from, self.tcp.clone()));
+            self.pending_responses += 1;
+            (self.connections.on_event)(ConnectionEvent::MessageReceived(
+                octets.to_vec(),
+                self.from,
+                self.handle.clone(),
+            ));
             at += 2 + length;
         }
         buffer.drain(..at);
@@ -276,7 +302,7 @@
     }
 }
 
-fn put(out: &mut Vec<u8>, octets: &[u8]) {
+fn push_framed(out: &mut Vec<u8>, octets: &[u8]) {
     out.extend((octets.len() as u16).to_be_bytes());
     out.extend_from_slice(octets);
 }
--- a/crates/frontends/dns/src/control.rs
+++ b/crates/frontends/dns/src/control.rs
@@ -9,7 +9,7 @@
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verb {
+pub enum Command {
     /// Take no updates for this zone.
     Freeze(String),
     /// Take them again.
@@ -22,7 +22,7 @@
     Status,
 }
 
-impl Verb {
+impl Command {
     /// As one line.
     pub fn line(&self) -> String {
         match self {
@@ -53,12 +53,12 @@
 }
 
 /// One that waits for an answer is told so after this.
-const PATIENCE: Duration = Duration::from_secs(60);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Listens for as long as the program runs. One left by a program that is gone is taken over.
 pub fn listen(
     state: &Path,
-    heard: impl Fn(Verb, Sender<String>) + Send + Clone + 'static,
+    on_command: impl Fn(Command, Sender<String>) + Send + Clone + 'static,
 ) -> std::io::Result<()> {
     let path = path(state);
     if UnixStream::connect(&path).is_ok() {
@@ -68,23 +68,25 @@
     let listener = UnixListener::bind(&path)?;
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let heard = heard.clone();
+            let on_command = on_command.clone();
             std::thread::spawn(move || {
                 let mut line = String::new();
                 let mut reader = BufReader::new(&stream);
                 if reader.read_line(&mut line).is_err() {
                     return;
                 }
-                let said = match Verb::parse(&line) {
-                    Some(verb) => {
-                        let (answer, answered) = std::sync::mpsc::channel();
-                        heard(verb, answer);
-                        answered.recv_timeout(PATIENCE).unwrap_or_else(|_| error("no answer in time"))
+                let reply = match Command::parse(&line) {
+                    Some(command) => {
+                        let (reply_sender, reply_receiver) = std::sync::mpsc::channel();
+                        on_command(command, reply_sender);
+                        reply_receiver
+                            .recv_timeout(RESPONSE_TIMEOUT)
+                            .unwrap_or_else(|_| error("no answer in time"))
                     }
                     None => error("not understood"),
                 };
                 // Who asked may be gone.
-                let _ = writeln!(&stream, "{said}");
+                let _ = writeln!(&stream, "{reply}");
             });
         }
     });
@@ -92,15 +94,15 @@
 }
 
 /// An error as JSON.
-pub fn error(what: &str) -> String {
-    format!("{{\"error\":\"{}\"}}", what.replace('\\', "\\\\").replace('"', "\\\""))
+pub fn error(message: &str) -> String {
+    format!("{{\"error\":\"{}\"}}", message.replace('\\', "\\\\").replace('"', "\\\""))
 }
 
 /// Asks a running server.
-pub fn ask(state: &Path, verb: &Verb) -> std::io::Result<String> {
+pub fn send(state: &Path, command: &Command) -> std::io::Result<String> {
     let mut stream = UnixStream::connect(path(state))?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    writeln!(stream, "{}", verb.line())?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+    writeln!(stream, "{}", command.line())?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line)?;
     Ok(line.trim_end().to_owned())
--- a/crates/frontends/dns/src/log_writer.rs
+++ b/crates/frontends/dns/src/log_writer.rs
@@ -7,7 +7,7 @@
 pub use lynxtally_net::directory::DirectoryStorage;
 
 /// What the log's thread is to make durable.
-pub struct Job {
+pub struct AppendJob {
     /// Whose it is.
     pub zone: usize,
     /// What.
@@ -16,24 +16,24 @@
 
 /// Works until nobody sends any more; `done` hears of each zone up to which number its entries are durable, or
 /// that the log failed.
-pub fn work(
+pub fn run(
     mut folder: impl Storage,
-    jobs: &Receiver<Job>,
-    mut done: impl FnMut(usize, Result<u64, String>),
+    jobs: &Receiver<AppendJob>,
+    mut on_durable: impl FnMut(usize, Result<u64, String>),
 ) {
     let mut failed: BTreeMap<usize, String> = BTreeMap::new();
-    while let Ok(first) = jobs.recv() {
-        let mut all = vec![first];
-        all.extend(jobs.try_iter());
-        let (mut files, mut reached): (BTreeMap<String, usize>, BTreeMap<usize, u64>) = Default::default();
-        for Job { zone, batch } in all {
+    while let Ok(first_job) = jobs.recv() {
+        let mut waiting = vec![first_job];
+        waiting.extend(jobs.try_iter());
+        let (mut files, mut written): (BTreeMap<String, usize>, BTreeMap<usize, u64>) = Default::default();
+        for AppendJob { zone, batch } in waiting {
             if failed.contains_key(&zone) {
                 continue;
             }
             match folder.append(&batch.file, &batch.bytes) {
                 Ok(()) => {
                     files.insert(batch.file, zone);
-                    reached.insert(zone, batch.durable_below);
+                    written.insert(zone, batch.durable_below);
                 }
                 Err(why) => {
                     failed.insert(zone, format!("{}: {why}", batch.file));
@@ -46,11 +46,11 @@
                 failed.insert(zone, format!("{file}: {why}"));
             }
         }
-        for (zone, up_to) in reached {
-            done(zone, failed.get(&zone).map_or(Ok(up_to), |why| Err(why.clone())));
+        for (zone, durable_below) in written {
+            on_durable(zone, failed.get(&zone).map_or(Ok(durable_below), |why| Err(why.clone())));
         }
         for (zone, why) in &failed {
-            done(*zone, Err(why.clone()));
+            on_durable(*zone, Err(why.clone()));
         }
     }
 }
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -2,13 +2,15 @@
 //! be made durable, streamed or done aside. It makes no choice.
 
 use crate::client::{self, Client};
-use crate::codec::{Asked, Bad, Body, Code, Reason, Room, MESSAGE_MOST};
-use crate::connection::{Connections, News, Order, Via};
-use crate::control::{self, Verb};
+use crate::codec::{
+    ExtendedError, Request, RequestBody, RequestError, ResponseCode, ResponseLimits, MAX_MESSAGE_BYTES,
+};
+use crate::connection::{ConnectionCommand, ConnectionEvent, Connections, ResponsePath};
+use crate::control::{self, Command};
 use crate::cookie;
-use crate::executor::{Ask, Counts, Serving, ZoneState};
-use crate::log_writer::{self, DirectoryStorage, Job};
-use crate::settings::{self, stage, Checked};
+use crate::executor::{ExecutorCounts, RequestContext, ZoneExecutor, ZoneState};
+use crate::log_writer::{self, AppendJob, DirectoryStorage};
+use crate::settings::{self, class, CheckedSettings};
 use crate::tsig::Keys;
 use crate::udp;
 use lynxtally::{CallOutcome, Instant, Policy, Span};
@@ -43,119 +45,118 @@
 
 const STACK_WORDS: usize = 0x4000;
 /// Batches of datagrams, and other messages, in one turn at most.
-const BATCHES: usize = 2;
-const MESSAGES: usize = 64;
+const MAX_BATCHES_PER_TURN: usize = 2;
+const MAX_EVENTS_PER_TURN: usize = 64;
 /// A base that nothing names yet stays for so long; its entry is on the log within seconds.
-const BASE_KEPT: Duration = Duration::from_secs(600);
+const MIN_BASE_AGE: Duration = Duration::from_secs(600);
 /// Idle connections are looked for this often.
-const SWEEP: Span = Span::from_millis(1000);
+const IDLE_CHECK_INTERVAL: Span = Span::from_millis(1000);
 
 /// What the owner hears.
-pub enum Heard {
+pub enum ServerEvent {
     /// Of connections.
-    Tcp(News),
-    /// Entries of a zone are durable up to a number, or its log failed.
-    Durable(usize, Result<u64, String>),
+    Connection(ConnectionEvent),
+    /// Entries of a zone are durable up to a call_number, or its log failed.
+    LogDurable(usize, Result<u64, String>),
     /// A file was read again.
-    Reread(usize, Result<(String, Box<PreparedReload>), String>, Option<Sender<String>>),
+    FileRead(usize, Result<(String, Box<PreparedReload>), String>, Option<Sender<String>>),
     /// A snapshot was written, or not.
-    Snapshot(usize, Result<(), String>),
+    SnapshotWritten(usize, Result<(), String>),
     /// A primary told its serial.
-    Serial(usize, Result<Serial, String>),
+    PrimarySerial(usize, Result<Serial, String>),
     /// A transfer came.
-    Followed(usize, Result<Followed, String>),
+    TransferReceived(usize, Result<TransferOutcome, String>),
     /// A secondary heard of a version.
-    Noticed(usize, usize, Serial),
+    NotifyAcknowledged(usize, usize, Serial),
     /// An operator says something.
-    Control(Verb, Sender<String>),
+    Command(Command, Sender<String>),
     /// The notice to leave.
-    Leave,
+    Shutdown,
 }
 
 /// What a transfer brought.
-pub enum Followed {
+pub enum TransferOutcome {
     /// Nothing newer.
-    Nothing(Serial),
+    UpToDate(Serial),
     /// A version, the file that holds it, and what changed.
-    Whole(String, Box<Zone>, Box<Change>),
+    Full(String, Box<Zone>, Box<Change>),
     /// What changed.
-    Changes(Vec<Change>),
+    Incremental(Vec<Change>),
 }
 
 /// What falls due here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
-    Sweep,
+enum TimerKey {
+    CloseIdle,
     Zone(usize),
-    Exit,
+    ForceExit,
 }
 
 /// What is done aside, so that no answer waits for it.
-enum Aside {
-    Reread {
+enum BackgroundJob {
+    ReadZoneFile {
         zone: usize,
-        settings: Box<settings::Zone>,
-        outline: Box<ReloadInput>,
-        answer: Option<Sender<String>>,
+        settings: Box<settings::ZoneSettings>,
+        reload_input: Box<ReloadInput>,
+        reply_sender: Option<Sender<String>>,
     },
-    Snapshot {
+    WriteSnapshot {
         zone: usize,
         name: String,
         rotation: Rotation,
         store: Box<ZoneStore>,
     },
-    Drop(#[allow(dead_code)] Vec<Zone>),
+    DropZones(#[allow(dead_code)] Vec<Zone>),
 }
 
 /// Where final answers go.
-struct Desk {
+struct ResponseSender {
     sockets: Vec<Arc<UdpSocket>>,
-    out: Vec<Vec<(SocketAddr, Vec<u8>)>>,
-    lost: u64,
+    outgoing: Vec<Vec<(SocketAddr, Vec<u8>)>>,
+    dropped: u64,
 }
 
-impl Desk {
-    fn put(&mut self, via: &Via, to: SocketAddr, octets: Vec<u8>) -> bool {
+impl ResponseSender {
+    fn send(&mut self, via: &ResponsePath, to: SocketAddr, octets: Vec<u8>) -> bool {
         match via {
-            Via::Udp(socket) => {
-                self.out[*socket].push((to, octets));
+            ResponsePath::Udp(socket) => {
+                self.outgoing[*socket].push((to, octets));
                 true
             }
-            Via::Tcp(tcp) => tcp.0.push(Order::Answer(octets)),
+            ResponsePath::Tcp(connection) => connection.0.push(ConnectionCommand::Respond(octets)),
         }
     }
 
     fn flush(&mut self) {
-        for (socket, out) in self.sockets.iter().zip(&mut self.out) {
-            if !out.is_empty() {
-                self.lost += (out.len() - udp::send(socket, out)) as u64;
-                out.clear();
+        for (socket, outgoing) in self.sockets.iter().zip(&mut self.outgoing) {
+            if !outgoing.is_empty() {
+                self.dropped += (outgoing.len() - udp::send(socket, outgoing)) as u64;
+                outgoing.clear();
             }
         }
     }
 }
 
-impl Responder<Arc<Ask<Via>>> for Desk {
-    fn respond(&mut self, ask: Arc<Ask<Via>>, answer: FinalResponse) -> bool {
-        use crate::executor::Peer;
-        let streaming = ask.streaming.load(Ordering::Relaxed);
-        let octets = match answer {
+impl Responder<Arc<RequestContext<ResponsePath>>> for ResponseSender {
+    fn respond(&mut self, context: Arc<RequestContext<ResponsePath>>, response: FinalResponse) -> bool {
+        use crate::executor::Transport;
+        let streaming = context.streaming.load(Ordering::Relaxed);
+        let octets = match response {
             // What went out on the connection is the answer.
             FinalResponse::Completed(octets) if octets.is_empty() => return true,
             FinalResponse::Completed(octets) => octets,
             _ if streaming => {
-                ask.peer.cut();
+                context.peer.abort();
                 return true;
             }
-            FinalResponse::Rejected { retry_after: hold_off, .. } => {
-                let text = format!("busy; come back in {} ms", (hold_off.micros() / 1000).max(1));
-                ask.code(Code::FAIL, Some((Reason::NotReady, text)))
-            }
-            FinalResponse::Failed => {
-                ask.code(Code::FAIL, Some((Reason::Other, "not done in time".to_owned())))
+            FinalResponse::Rejected { retry_after, .. } => {
+                let text = format!("busy; come back in {} ms", (retry_after.micros() / 1000).max(1));
+                context.code(ResponseCode::SERVFAIL, Some((ExtendedError::NotReady, text)))
             }
+            FinalResponse::Failed => context
+                .code(ResponseCode::SERVFAIL, Some((ExtendedError::Other, "not done in time".to_owned()))),
         };
-        self.put(&ask.peer, ask.from, octets)
+        self.send(&context.peer, context.from, octets)
     }
 
     fn log(&mut self, text: &str) {
@@ -164,223 +165,231 @@
 }
 
 /// What the owner is to hear, and how it is woken where it sleeps.
-struct Inbox {
-    waiting: Mutex<VecDeque<Heard>>,
+struct QueueState {
+    pending: Mutex<VecDeque<ServerEvent>>,
     asleep: AtomicBool,
-    bell: EventFd,
+    wakeup: EventFd,
 }
 
 /// A server's handle on itself: who wants it to hear something.
 #[derive(Clone)]
-pub struct Ear(Arc<Inbox>);
+pub struct EventQueue(Arc<QueueState>);
 
-impl Ear {
+impl EventQueue {
     fn new() -> Result<Self, String> {
-        let bell = EventFd::from_flags(EfdFlags::EFD_NONBLOCK)
+        let wakeup = EventFd::from_flags(EfdFlags::EFD_NONBLOCK)
             .map_err(|fault| format!("no event can be made: {fault}"))?;
-        Ok(Self(Arc::new(Inbox { waiting: Mutex::default(), asleep: AtomicBool::new(false), bell })))
+        Ok(Self(Arc::new(QueueState { pending: Mutex::default(), asleep: AtomicBool::new(false), wakeup })))
     }
 
     /// Has the owner hear something.
-    pub fn say(&self, heard: Heard) {
-        lock(&self.0.waiting).push_back(heard);
+    pub fn push(&self, event: ServerEvent) {
+        lock(&self.0.pending).push_back(event);
         if self.0.asleep.swap(false, Ordering::SeqCst) {
             // A full counter wakes as well.
-            let _ = self.0.bell.write(1);
+            let _ = self.0.wakeup.write(1);
         }
     }
 
-    fn take(&self) -> Option<Heard> {
-        lock(&self.0.waiting).pop_front()
+    fn pop(&self) -> Option<ServerEvent> {
+        lock(&self.0.pending).pop_front()
     }
 
     /// Sleeps until a datagram comes, something is said, or so long has passed.
-    fn sleep(&self, sockets: &[Arc<UdpSocket>], most: Option<Duration>) {
+    fn wait(&self, sockets: &[Arc<UdpSocket>], timeout: Option<Duration>) {
         self.0.asleep.store(true, Ordering::SeqCst);
         // What was said before that rang no bell.
-        if lock(&self.0.waiting).is_empty() {
+        if lock(&self.0.pending).is_empty() {
             let mut fds: Vec<PollFd> =
                 sockets.iter().map(|s| PollFd::new(s.as_fd(), PollFlags::POLLIN)).collect();
-            fds.push(PollFd::new(self.0.bell.as_fd(), PollFlags::POLLIN));
+            fds.push(PollFd::new(self.0.wakeup.as_fd(), PollFlags::POLLIN));
             // An interrupted sleep is a short one.
-            let _ = ppoll(&mut fds, most.map(TimeSpec::from), None);
+            let _ = ppoll(&mut fds, timeout.map(TimeSpec::from), None);
         }
         self.0.asleep.store(false, Ordering::SeqCst);
-        let _ = self.0.bell.read();
+        let _ = self.0.wakeup.read();
     }
 }
 
 /// The owner.
 pub struct Server<P> {
-    settings: Checked,
+    settings: CheckedSettings,
     clock: Clock,
-    host: Engine<P, Arc<Ask<Via>>, Arc<Ask<Via>>, Due>,
-    serving: Serving<Via>,
-    desk: Desk,
+    engine: Engine<P, Arc<RequestContext<ResponsePath>>, Arc<RequestContext<ResponsePath>>, TimerKey>,
+    executor: ZoneExecutor<ResponsePath>,
+    responses: ResponseSender,
     keys: Keys,
-    secret: cookie::Secret,
-    shares: RequestRateLimit,
-    ear: Ear,
-    log: Sender<Job>,
-    aside: Sender<Aside>,
+    cookie_secret: cookie::Secret,
+    rate_limit: RequestRateLimit,
+    events: EventQueue,
+    log_jobs: Sender<AppendJob>,
+    background_jobs: Sender<BackgroundJob>,
     connections: Arc<Connections>,
-    leaving: bool,
-    over: bool,
+    draining: bool,
+    stopped: bool,
     unreadable: u64,
-    beyond: u64,
-    tasks: [u64; 5],
+    over_share: u64,
+    requests_by_class: [u64; 5],
 }
 
 /// How a program's serving ended.
-pub struct Ended {
+pub struct ServerExit {
     /// All counters as one line of JSON.
     pub counters: String,
-    /// Whether each task read got one answer.
-    pub adds_up: bool,
+    /// Whether each request_id read got one answer.
+    pub counts_consistent: bool,
 }
 
 /// The module, as a names server has it.
-pub fn module(settings: &Checked, now: Instant) -> Policy {
+pub fn new_policy(settings: &CheckedSettings, now: Instant) -> Policy {
     Policy::new(settings.policy.clone(), rand::rng().random(), now)
 }
 
 /// A server that listens already.
-pub struct Running {
+pub struct RunningServer {
     /// What to say to it.
-    pub ear: Ear,
+    pub events: EventQueue,
     /// Where it listens, in the order of the settings.
-    pub listen: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// How it ended.
-    pub end: mpsc::Receiver<Ended>,
+    pub exit: mpsc::Receiver<ServerExit>,
 }
 
 /// Starts a server; an error is one line. `decide` makes what decides.
 pub fn start<P: Scheduler + Send + 'static>(
-    settings: Checked,
-    decide: impl FnOnce(&Checked, Instant) -> P,
-) -> Result<Running, String> {
+    settings: CheckedSettings,
+    decide: impl FnOnce(&CheckedSettings, Instant) -> P,
+) -> Result<RunningServer, String> {
     // Connections are light: one worker carries them all, bound to no core. With several, coroutines that were
     // stolen from one worker by another were seen to miss what they waited for.
     may::config().set_workers(1).set_stack_size(STACK_WORDS).set_worker_pin(false);
     let clock = Clock::default();
     let now = clock.now();
-    let (mut folder, state) = (folder(&settings.state)?, settings.state.clone());
+    let (mut folder, state) = (open_state_folder(&settings.state)?, settings.state.clone());
     let mut zones = Vec::new();
     for zone in &settings.zones {
-        zones.push(load(&mut folder, zone, &settings, now)?);
+        zones.push(load_zone(&mut folder, zone, &settings, now)?);
     }
-    let ear = Ear::new()?;
-    let (sockets, listeners, listen) = open_sockets(&settings)?;
-    let alarm = Timer::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
-    let own = ear.clone();
-    control::listen(&state, move |verb, answer| own.say(Heard::Control(verb, answer)))
-        .map_err(|fault| format!("{}: {fault}", control::path(&state).display()))?;
-    let turnstile = FairYield::start().map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
-    let own = ear.clone();
-    let news = move |news| own.say(Heard::Tcp(news));
-    let connections = Arc::new(Connections::new(settings.limits.connections, alarm, turnstile, news));
+    let events = EventQueue::new()?;
+    let (sockets, listeners, addresses) = open_sockets(&settings)?;
+    let timer = Timer::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
+    let queue = events.clone();
+    control::listen(&state, move |command, reply_sender| {
+        queue.push(ServerEvent::Command(command, reply_sender))
+    })
+    .map_err(|fault| format!("{}: {fault}", control::path(&state).display()))?;
+    let fair_yield = FairYield::start().map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
+    let queue = events.clone();
+    let on_connection_event = move |event| queue.push(ServerEvent::Connection(event));
+    let connections =
+        Arc::new(Connections::new(settings.limits.connections, timer, fair_yield, on_connection_event));
     for listener in listeners {
-        let all = connections.clone();
+        let acceptor = connections.clone();
         spawn(
             STACK_WORDS,
-            move || all.accept(listener),
+            move || acceptor.accept(listener),
             |panic| error!(%panic, "no connections are taken any more"),
         )
         .map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
     }
-    let (log, jobs) = mpsc::channel();
-    let (own, disk) = (ear.clone(), self::folder(&state)?);
+    let (log_jobs, jobs) = mpsc::channel();
+    let (queue, storage) = (events.clone(), open_state_folder(&state)?);
     std::thread::spawn(move || {
-        log_writer::work(disk, &jobs, |zone, done| own.say(Heard::Durable(zone, done)))
+        log_writer::run(storage, &jobs, |zone, result| queue.push(ServerEvent::LogDurable(zone, result)))
     });
-    let (aside, todo) = mpsc::channel();
-    let (own, at) = (ear.clone(), state.clone());
-    std::thread::spawn(move || todo.iter().for_each(|todo| do_aside(&at, todo, &own)));
-    let log_most = settings.limits.log_mb << 20;
-    let mut host = Engine::new(0);
-    host.start(now, decide(&settings, now));
-    host.set_timer(now, Due::Sweep);
-    (0..zones.len()).for_each(|at| host.set_timer(now, Due::Zone(at)));
-    let secret = settings.cookie_secret.unwrap_or_else(|| rand::rng().random());
+    let (background_jobs, jobs) = mpsc::channel();
+    let (queue, state_path) = (events.clone(), state.clone());
+    std::thread::spawn(move || jobs.iter().for_each(|job| run_background_job(&state_path, job, &queue)));
+    let max_log_bytes = settings.limits.log_mb << 20;
+    let mut engine = Engine::new(0);
+    engine.start(now, decide(&settings, now));
+    engine.set_timer(now, TimerKey::CloseIdle);
+    (0..zones.len()).for_each(|zone| engine.set_timer(now, TimerKey::Zone(zone)));
+    let cookie_secret = settings.cookie_secret.unwrap_or_else(|| rand::rng().random());
     let server = Server {
-        shares: settings.limits.shares(rand::rng().random(), now),
+        rate_limit: settings.limits.rate_limit(rand::rng().random(), now),
         keys: Keys(settings.keys.clone()),
-        secret: cookie::Secret(secret),
-        desk: Desk { out: vec![Vec::new(); sockets.len()], sockets: sockets.clone(), lost: 0 },
+        cookie_secret: cookie::Secret(cookie_secret),
+        responses: ResponseSender {
+            outgoing: vec![Vec::new(); sockets.len()],
+            sockets: sockets.clone(),
+            dropped: 0,
+        },
         settings,
         clock,
-        host,
-        serving: Serving::new(zones, log_most),
-        ear: ear.clone(),
-        log,
-        aside,
+        engine,
+        executor: ZoneExecutor::new(zones, max_log_bytes),
+        events: events.clone(),
+        log_jobs,
+        background_jobs,
         connections,
-        leaving: false,
-        over: false,
+        draining: false,
+        stopped: false,
         unreadable: 0,
-        beyond: 0,
-        tasks: [0; 5],
+        over_share: 0,
+        requests_by_class: [0; 5],
     };
-    let (ended, end) = mpsc::channel();
+    let (exit_sender, exit) = mpsc::channel();
     drop(sockets);
-    let work = move || {
+    let run_server = move || {
         let mut server = server;
-        let worked = catch_panic(|| server.work());
-        if let Err(panic) = &worked {
+        let outcome = catch_panic(|| server.run());
+        if let Err(panic) = &outcome {
             error!(%panic, "the owner failed; every open task is answered that it failed");
-            server.give_up();
+            server.fail_open_requests();
         }
         server.connections.close();
-        let adds_up = worked.is_ok() && server.host.counts().is_consistent();
+        let counts_consistent = outcome.is_ok() && server.engine.counts().is_consistent();
         let counters = server.counters();
         // Whoever hears of the end may use the addresses again.
         drop(server);
         // Who started it may be gone.
-        let _ = ended.send(Ended { counters, adds_up });
+        let _ = exit_sender.send(ServerExit { counters, counts_consistent });
     };
     std::thread::Builder::new()
         .name("names".to_owned())
-        .spawn(work)
+        .spawn(run_server)
         .map_err(|fault| format!("a thread can't be started: {fault}"))?;
-    Ok(Running { ear, listen, end })
+    Ok(RunningServer { events, addresses, exit })
 }
 
 type Sockets = (Vec<Arc<UdpSocket>>, Vec<TcpListener>, Vec<SocketAddr>);
 
 /// So often another port is tried where the system is to choose one.
-const PORTS: usize = 16;
+const PORT_ATTEMPTS: usize = 16;
 
 /// Opens the sockets, UDP and TCP on the same port.
-fn open_sockets(settings: &Checked) -> Result<Sockets, String> {
+fn open_sockets(settings: &CheckedSettings) -> Result<Sockets, String> {
     let mut all: Sockets = Default::default();
-    for at in &settings.listen {
+    for requested in &settings.listen {
         let open = || -> std::io::Result<_> {
-            let socket = udp::open(*at)?;
-            let own = socket.local_addr()?;
-            Ok((socket, lynxtally_net::listener::listen(own)?, own))
+            let socket = udp::open(*requested)?;
+            let address = socket.local_addr()?;
+            Ok((socket, lynxtally_net::listener::listen(address)?, address))
         };
-        let tries = if at.port() == 0 { PORTS } else { 1 };
+        let attempts = if requested.port() == 0 { PORT_ATTEMPTS } else { 1 };
         let mut opened = open();
-        for _ in 1..tries {
+        for _ in 1..attempts {
             if opened.is_err() {
                 opened = open();
             }
         }
-        let (socket, listener, own) = opened.map_err(|fault| format!("`listen`: {at}: {fault}"))?;
+        let (socket, listener, address) =
+            opened.map_err(|fault| format!("`listen`: {requested}: {fault}"))?;
         all.0.push(Arc::new(socket));
         all.1.push(listener);
-        all.2.push(own);
+        all.2.push(address);
     }
     Ok(all)
 }
 
 /// Opens a state folder.
-pub fn folder(state: &Path) -> Result<DirectoryStorage, String> {
+pub fn open_state_folder(state: &Path) -> Result<DirectoryStorage, String> {
     DirectoryStorage::new(state).map_err(|fault| format!("{}: {fault}", state.display()))
 }
 
 /// The name of a zone's journal.
-pub fn journal_name(zone: &settings::Zone) -> String {
+pub fn journal_name(zone: &settings::ZoneSettings) -> String {
     let text = zone.apex.to_string();
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     let stem: String = text.trim_end_matches('.').chars().map(plain).collect();
@@ -392,11 +401,11 @@
 }
 
 /// Reads a zone's file; what is refused is logged, what makes it unusable is the error.
-pub fn read_file(path: &Path, zone: &settings::Zone) -> Result<Zone, String> {
+pub fn read_zone_file(path: &Path, zone: &settings::ZoneSettings) -> Result<Zone, String> {
     let shown = path.display().to_string();
     let text = std::fs::read(path).map_err(|fault| format!("{shown}: {fault}"))?;
     let folder = path.parent().map(Path::to_owned).unwrap_or_default();
-    let mut include = |name: &str| -> Result<Vec<u8>, String> { include(&folder, name) };
+    let mut include = |name: &str| -> Result<Vec<u8>, String> { read_include(&folder, name) };
     let read = zone_file::read(&shown, &text, Some(&zone.apex), zone.file_limits, &mut include);
     for fault in &read.faults {
         warn!("{fault}");
@@ -408,7 +417,7 @@
 }
 
 /// Reads a file that a zone's file names, within its folder also where links lead.
-pub fn include(folder: &Path, name: &str) -> Result<Vec<u8>, String> {
+pub fn read_include(folder: &Path, name: &str) -> Result<Vec<u8>, String> {
     let folder = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
     let path = folder.join(name).canonicalize().map_err(|fault| fault.to_string())?;
     let folder = folder.canonicalize().map_err(|fault| fault.to_string())?;
@@ -434,10 +443,10 @@
 
 /// Takes a zone from its log, or from its file where it has none yet. A damaged log freezes the zone as far as it
 /// could be read; nothing is written to it then.
-pub fn load(
+pub fn load_zone(
     folder: &mut DirectoryStorage,
-    zone: &settings::Zone,
-    settings: &Checked,
+    zone: &settings::ZoneSettings,
+    settings: &CheckedSettings,
     now: Instant,
 ) -> Result<ZoneState, String> {
     let name = journal_name(zone);
@@ -471,14 +480,14 @@
         }
         info!(zone = %zone.apex, serial = %store.current().serial(), entries = found.entries.len(), "taken from its log");
     } else if let Some(path) = &zone.file {
-        let base = read_file(path, zone)?;
+        let base = read_zone_file(path, zone)?;
         let file = write_base(folder, &name, &base)?;
-        let made = ZoneStore::new(base, file, limits);
+        let new_store = ZoneStore::new(base, file, limits);
         let rotation = journal.rotate();
-        WriteAheadLog::write_snapshot(folder, &name, rotation, &encode(&made.snapshot()))
+        WriteAheadLog::write_snapshot(folder, &name, rotation, &encode(&new_store.snapshot()))
             .map_err(|fault| fault.to_string())?;
-        info!(zone = %zone.apex, serial = %made.current().serial(), records = made.current().records(), "read from its file");
-        store = Some(made);
+        info!(zone = %zone.apex, serial = %new_store.current().serial(), records = new_store.current().records(), "read from its file");
+        store = Some(new_store);
     }
     if let Some(what) = damage.first() {
         error!(zone = %zone.apex, what, "the log is damaged: the zone is served as far as it could be read, and frozen");
@@ -486,66 +495,68 @@
             store.freeze(FreezeReason::LogFailed(what.clone()));
         }
     }
-    let follows = !zone.primaries.is_empty();
-    if follows {
+    let is_secondary = !zone.primaries.is_empty();
+    if is_secondary {
         if let Some(store) = &mut store {
             store.freeze(FreezeReason::Secondary);
         }
     }
     let soa = store.as_ref().and_then(|store| store.current().soa());
-    let times = settings.limits.times();
+    let times = settings.limits.retry_times();
     let seed = || rand::rng().random();
-    let follower = follows.then(|| SecondaryZone::new(now, zone.primaries.len(), soa, times, seed()));
-    let notices = NotifySender::new(zone.notify.len(), times, seed());
-    Ok(ZoneState::new(zone.clone(), store, journal, follower, notices))
+    let secondary = is_secondary.then(|| SecondaryZone::new(now, zone.primaries.len(), soa, times, seed()));
+    let notify_sender = NotifySender::new(zone.notify.len(), times, seed());
+    Ok(ZoneState::new(zone.clone(), store, journal, secondary, notify_sender))
 }
 
-fn do_aside(state: &Path, todo: Aside, ear: &Ear) {
-    match todo {
-        Aside::Drop(versions) => drop(versions),
-        Aside::Snapshot { zone, name, rotation, store } => {
-            let done = folder(state).and_then(|mut folder| {
+fn run_background_job(state: &Path, job: BackgroundJob, events: &EventQueue) {
+    match job {
+        BackgroundJob::DropZones(versions) => drop(versions),
+        BackgroundJob::WriteSnapshot { zone, name, rotation, store } => {
+            let result = open_state_folder(state).and_then(|mut folder| {
                 let octets = encode(&store.snapshot());
                 WriteAheadLog::write_snapshot(&mut folder, &name, rotation, &octets)
                     .map_err(|fault| fault.to_string())?;
-                clean_bases(state, &mut folder, &name);
+                remove_unreferenced_bases(state, &mut folder, &name);
                 Ok(())
             });
-            ear.say(Heard::Snapshot(zone, done));
+            events.push(ServerEvent::SnapshotWritten(zone, result));
         }
-        Aside::Reread { zone, settings, outline, answer } => {
+        BackgroundJob::ReadZoneFile { zone, settings, reload_input, reply_sender } => {
             let path = settings.file.clone().unwrap_or_default();
-            let done = read_file(&path, &settings).and_then(|base| {
-                let ready = outline.prepare(base).map_err(|stale| format!("{}: {stale}", path.display()))?;
-                let file = write_base(&mut folder(state)?, &journal_name(&settings), &ready.base)?;
-                Ok((file, Box::new(ready)))
+            let result = read_zone_file(&path, &settings).and_then(|base| {
+                let prepared =
+                    reload_input.prepare(base).map_err(|stale| format!("{}: {stale}", path.display()))?;
+                let file =
+                    write_base(&mut open_state_folder(state)?, &journal_name(&settings), &prepared.base)?;
+                Ok((file, Box::new(prepared)))
             });
-            ear.say(Heard::Reread(zone, done, answer));
+            events.push(ServerEvent::FileRead(zone, result, reply_sender));
         }
     }
 }
 
 /// Takes away bases that no snapshot or log that is left names: all but those of the last two snapshots and the
 /// logs after them.
-fn clean_bases(state: &Path, folder: &mut DirectoryStorage, name: &str) {
+fn remove_unreferenced_bases(state: &Path, folder: &mut DirectoryStorage, name: &str) {
     let Ok(files) = folder.list() else { return };
-    let mut named = Vec::new();
+    let mut referenced = Vec::new();
     for file in files.iter().filter(|file| file.starts_with(&format!("{name}."))) {
         let Ok(Some(octets)) = folder.read(file) else { return };
         if file.ends_with(".snap") {
             let Some(sealed) = lynxtally_wal::unseal(&octets) else { return };
             let Ok(snapshot) = decode::<Snapshot>(sealed.content) else { return };
-            named.push(snapshot.base);
+            referenced.push(snapshot.base);
         } else if file.ends_with(".log") {
             // A base that an entry names stands in it as text.
-            named.push(String::from_utf8_lossy(&octets).into_owned());
+            referenced.push(String::from_utf8_lossy(&octets).into_owned());
         }
     }
     for file in files.iter().filter(|file| file.starts_with(&format!("{name}.")) && file.ends_with(".base")) {
         // One just written may be named by an entry that is on its way to the log.
         let written = std::fs::metadata(state.join(file)).and_then(|found| found.modified());
-        let young = written.is_ok_and(|at| at.elapsed().unwrap_or_default() < BASE_KEPT);
-        if !young && !named.iter().any(|text| text.contains(file.as_str())) {
+        let recent = written.is_ok_and(|modified| modified.elapsed().unwrap_or_default() < MIN_BASE_AGE);
+        if !recent && !referenced.iter().any(|text| text.contains(file.as_str())) {
             let _ = folder.remove(file);
         }
     }
@@ -554,199 +565,218 @@
 impl<P: Scheduler> Server<P> {
     /// On a thread of its own: a coroutine that always has more to do would keep its worker from ever looking
     /// for what other coroutines wait for.
-    fn work(&mut self) {
-        let mut buffers = udp::Buffers::default();
-        let sockets = self.desk.sockets.clone();
-        while !self.over {
-            self.serving.now = self.clock.now();
+    fn run(&mut self) {
+        let mut buffers = udp::ReceiveBuffers::default();
+        let sockets = self.responses.sockets.clone();
+        while !self.stopped {
+            self.executor.now = self.clock.now();
             let mut more = false;
-            for (number, socket) in sockets.iter().enumerate() {
-                for _ in 0..BATCHES {
-                    let got = buffers.receive(socket, |from, octets, stamp| {
-                        self.came(octets, from, Via::Udp(number), stamp);
+            for (socket_index, socket) in sockets.iter().enumerate() {
+                for _ in 0..MAX_BATCHES_PER_TURN {
+                    let received = buffers.receive(socket, |from, octets, received_us| {
+                        self.handle_message(octets, from, ResponsePath::Udp(socket_index), received_us);
                     });
-                    match got {
+                    match received {
                         Ok(true) => more = true,
                         Ok(false) => break,
                         Err(fault) => warn!(%fault, "datagrams can't be read"),
                     }
                 }
             }
-            for _ in 0..MESSAGES {
-                let Some(heard) = self.ear.take() else { break };
+            for _ in 0..MAX_EVENTS_PER_TURN {
+                let Some(event) = self.events.pop() else { break };
                 more = true;
-                self.hear(heard);
+                self.handle_event(event);
             }
-            self.turn();
-            if self.leaving && self.host.counts().in_flight == 0 {
+            self.run_engine();
+            if self.draining && self.engine.counts().in_flight == 0 {
                 break;
             }
             if !more {
                 let now = self.clock.now();
-                let most = self.host.next_timer().map(|at| Duration::from_micros((at - now).micros()));
-                self.ear.sleep(&sockets, most);
+                let timeout = self.engine.next_timer().map(|at| Duration::from_micros((at - now).micros()));
+                self.events.wait(&sockets, timeout);
             }
         }
-        self.desk.flush();
+        self.responses.flush();
     }
 
     /// After a failure of our own: every open task is answered that it failed.
-    fn give_up(&mut self) {
-        for ask in self.host.fail_all() {
-            let octets = ask.code(Code::FAIL, None);
-            self.desk.put(&ask.peer, ask.from, octets);
+    fn fail_open_requests(&mut self) {
+        for context in self.engine.fail_all() {
+            let octets = context.code(ResponseCode::SERVFAIL, None);
+            self.responses.send(&context.peer, context.from, octets);
         }
-        self.desk.flush();
+        self.responses.flush();
     }
 
     /// Has all that was heard decided on, carried out and sent.
-    fn turn(&mut self) {
-        let now = self.serving.now;
-        while let Some(due) = self.host.expire_timers(now, &mut self.serving) {
-            self.fall_due(due);
+    fn run_engine(&mut self) {
+        let now = self.executor.now;
+        while let Some(due) = self.engine.expire_timers(now, &mut self.executor) {
+            self.handle_timer(due);
         }
         loop {
-            let now = self.serving.now;
-            self.host.decide(now, &mut self.serving, &mut self.desk);
-            self.serving.settle_pending();
-            if self.serving.at_call.is_empty()
-                && self.serving.ended.is_empty()
-                && self.serving.called.is_empty()
+            let now = self.executor.now;
+            self.engine.decide(now, &mut self.executor, &mut self.responses);
+            self.executor.answer_durable_updates();
+            if self.executor.call_requests.is_empty()
+                && self.executor.ended_runs.is_empty()
+                && self.executor.ended_calls.is_empty()
             {
                 break;
             }
             // What ran took its time: the module learns from it.
             let now = self.clock.now();
-            self.serving.now = now;
-            for task in std::mem::take(&mut self.serving.at_call) {
-                self.host.call_requested(now, task);
+            self.executor.now = now;
+            for request_id in std::mem::take(&mut self.executor.call_requests) {
+                self.engine.call_requested(now, request_id);
             }
-            for (task, number, outcome) in std::mem::take(&mut self.serving.called) {
-                self.host.call_ended(now, task, number, outcome);
+            for (request_id, call_number, outcome) in std::mem::take(&mut self.executor.ended_calls) {
+                self.engine.call_ended(now, request_id, call_number, outcome);
             }
-            for (task, end) in std::mem::take(&mut self.serving.ended) {
-                self.host.run_ended(now, task, end, &mut self.serving, &mut self.desk);
+            for (request_id, end) in std::mem::take(&mut self.executor.ended_runs) {
+                self.engine.run_ended(now, request_id, end, &mut self.executor, &mut self.responses);
             }
         }
-        for (zone, batch) in self.serving.batches() {
+        for (zone, batch) in self.executor.batches() {
             // The thread ends only with the program.
-            let _ = self.log.send(Job { zone, batch });
+            let _ = self.log_jobs.send(AppendJob { zone, batch });
         }
-        for zone in std::mem::take(&mut self.serving.notified) {
-            self.follow(zone);
+        for zone in std::mem::take(&mut self.executor.notified_zones) {
+            self.poll_primary(zone);
         }
-        self.desk.flush();
+        self.responses.flush();
     }
 
-    /// A message was read: it becomes a task.
-    fn came(&mut self, octets: Option<&[u8]>, from: SocketAddr, via: Via, stamp: Option<u64>) {
-        let now = self.serving.now;
-        let udp = matches!(via, Via::Udp(_));
-        let read = octets.map_or(Err(Bad::Silent), Asked::read);
-        let mut asked = match read {
-            Ok(asked) => asked,
-            Err(bad) => {
+    /// A message was read: it becomes a request_id.
+    fn handle_message(
+        &mut self,
+        octets: Option<&[u8]>,
+        from: SocketAddr,
+        via: ResponsePath,
+        received_us: Option<u64>,
+    ) {
+        let now = self.executor.now;
+        let udp = matches!(via, ResponsePath::Udp(_));
+        let read = octets.map_or(Err(RequestError::Ignore), Request::read);
+        let mut request = match read {
+            Ok(request) => request,
+            Err(error) => {
                 self.unreadable += 1;
-                match (bad, &via) {
-                    (Bad::Answer(octets), via) => {
-                        self.desk.put(via, from, octets);
+                match (error, &via) {
+                    (RequestError::Respond(octets), via) => {
+                        self.responses.send(via, from, octets);
                     }
                     // A connection on which something else than questions comes has no further use.
-                    (Bad::Silent, Via::Tcp(tcp)) => {
-                        tcp.0.push(Order::Cut);
+                    (RequestError::Ignore, ResponsePath::Tcp(connection)) => {
+                        connection.0.push(ConnectionCommand::Abort);
                     }
-                    (Bad::Silent, Via::Udp(_)) => {}
+                    (RequestError::Ignore, ResponsePath::Udp(_)) => {}
                 }
                 return;
             }
         };
         let unix = (now - Instant::default()).micros() / 1_000_000;
         let mut signer = None;
-        if let (Some(signed), Some(octets)) = (&asked.signed, octets) {
-            match self.keys.check(octets, signed, unix) {
-                Ok(right) => signer = Some(right),
-                Err((bad, refusing)) => {
-                    warn!(%from, key = %signed.key, "{bad}");
-                    signer = Some(refusing);
-                    asked.body = Body::Rejected(Code::NOT_AUTH);
+        if let (Some(tsig), Some(octets)) = (&request.tsig, octets) {
+            match self.keys.verify(octets, tsig, unix) {
+                Ok(verified) => signer = Some(verified),
+                Err((error, error_signer)) => {
+                    warn!(%from, key = %tsig.key, "{error}");
+                    signer = Some(error_signer);
+                    request.body = RequestBody::Rejected(ResponseCode::NOTAUTH);
                 }
             }
         }
-        let client = asked.edns.as_ref().and_then(|edns| edns.cookie.clone());
-        let known = client
-            .as_ref()
-            .is_some_and(|(client, server)| self.secret.proves(*client, server, from.ip(), unix as u32));
-        let proven = !udp || known || signer.as_ref().is_some_and(|signer| signer.key().is_some());
-        let cookie = client.filter(|_| proven).map(|(client, _)| {
-            let mut both = [0; 24];
-            both[..8].copy_from_slice(&client);
-            both[8..].copy_from_slice(&self.secret.make(client, from.ip(), unix as u32));
-            both
+        let client_cookie = request.edns.as_ref().and_then(|edns| edns.cookie.clone());
+        let cookie_valid = client_cookie.as_ref().is_some_and(|(client, server)| {
+            self.cookie_secret.is_valid(*client, server, from.ip(), unix as u32)
+        });
+        let address_proven =
+            !udp || cookie_valid || signer.as_ref().is_some_and(|signer| signer.key().is_some());
+        let cookie = client_cookie.filter(|_| address_proven).map(|(client, _)| {
+            let mut full_cookie = [0; 24];
+            full_cookie[..8].copy_from_slice(&client);
+            full_cookie[8..].copy_from_slice(&self.cookie_secret.issue(client, from.ip(), unix as u32));
+            full_cookie
         });
-        let payload = self.settings.limits.payload;
-        let most = match udp {
-            false => MESSAGE_MOST,
+        let udp_payload_bytes = self.settings.limits.payload;
+        let max_bytes = match udp {
+            false => MAX_MESSAGE_BYTES,
             // Nobody is flooded through us: to where nothing is proven no more goes than came.
-            true if self.settings.limits.proof && !proven => asked.length,
-            true => asked.payload(usize::from(payload)),
+            true if self.settings.limits.proof && !address_proven => request.length,
+            true => request.max_udp_response_bytes(usize::from(udp_payload_bytes)),
         };
-        let stage = match &asked.body {
-            Body::Update { .. } => stage::UPDATE,
-            Body::Transfer(_) if !udp => stage::TRANSFER,
-            Body::Notify(_) => stage::NOTIFY,
-            _ if self.shares.exceeds_share(now, prefix(from.ip())) => {
-                self.beyond += 1;
-                stage::BEYOND
+        let class = match &request.body {
+            RequestBody::Update { .. } => class::UPDATE,
+            RequestBody::Transfer(_) if !udp => class::TRANSFER,
+            RequestBody::Notify(_) => class::NOTIFY,
+            _ if self.rate_limit.exceeds_share(now, prefix(from.ip())) => {
+                self.over_share += 1;
+                class::BEYOND
             }
-            _ => stage::QUERY,
+            _ => class::QUERY,
         };
-        self.tasks[stage] += 1;
-        let entry = IncomingRequest {
-            class: stage,
+        self.requests_by_class[class] += 1;
+        let incoming = IncomingRequest {
+            class,
             caller: prefix(from.ip()),
-            receive_delay: stamp.map_or(Span::ZERO, |stamp| now - Instant::from_micros(stamp)),
-            memory_kb: 0.5 + asked.length as f64 / 512.0,
+            receive_delay: received_us
+                .map_or(Span::ZERO, |received_us| now - Instant::from_micros(received_us)),
+            memory_kb: 0.5 + request.length as f64 / 512.0,
             ..IncomingRequest::default()
         };
-        let room = Room { most, payload };
-        let ask =
-            Arc::new(Ask { asked, peer: via, from, signer, room, cookie, streaming: AtomicBool::new(false) });
-        if let Err(Rejection { reply_to: ask, .. }) = self.host.submit(now, None, entry, ask.clone(), ask) {
-            let octets = ask.code(Code::FAIL, None);
-            self.desk.put(&ask.peer, from, octets);
+        let limits = ResponseLimits { max_bytes, udp_payload_bytes };
+        let context = Arc::new(RequestContext {
+            request,
+            peer: via,
+            from,
+            signer,
+            limits,
+            cookie,
+            streaming: AtomicBool::new(false),
+        });
+        if let Err(Rejection { reply_to: context, .. }) =
+            self.engine.submit(now, None, incoming, context.clone(), context)
+        {
+            let octets = context.code(ResponseCode::SERVFAIL, None);
+            self.responses.send(&context.peer, from, octets);
         }
     }
 
-    fn hear(&mut self, heard: Heard) {
-        let now = self.serving.now;
-        match heard {
-            Heard::Tcp(News::Came(octets, from, tcp)) => self.came(Some(&octets), from, Via::Tcp(tcp), None),
-            Heard::Tcp(News::Ended(tcp, _)) => {
-                let own = |ask: &Arc<Ask<Via>>| matches!(&ask.peer, Via::Tcp(other) if Arc::ptr_eq(&other.0, &tcp.0));
-                for task in self.host.awaiting_reply(own) {
-                    self.host.caller_gone(now, task, |_| true);
+    fn handle_event(&mut self, event: ServerEvent) {
+        let now = self.executor.now;
+        match event {
+            ServerEvent::Connection(ConnectionEvent::MessageReceived(octets, from, connection)) => {
+                self.handle_message(Some(&octets), from, ResponsePath::Tcp(connection), None)
+            }
+            ServerEvent::Connection(ConnectionEvent::Closed(connection, _)) => {
+                let same_connection = |context: &Arc<RequestContext<ResponsePath>>| matches!(&context.peer, ResponsePath::Tcp(other) if Arc::ptr_eq(&other.0, &connection.0));
+                for request_id in self.engine.awaiting_reply(same_connection) {
+                    self.engine.caller_gone(now, request_id, |_| true);
                 }
             }
-            Heard::Tcp(News::Streamed(task, number, well)) => {
-                let outcome = if well { CallOutcome::Succeeded } else { CallOutcome::MaybeExecuted };
-                self.serving.called.push((task, number, outcome));
-                let end = if well { RunEnd::Completed(Vec::new()) } else { RunEnd::Failed };
-                self.serving.ended.push((task, end));
+            ServerEvent::Connection(ConnectionEvent::TransferEnded(request_id, call_number, completed)) => {
+                let outcome = if completed { CallOutcome::Succeeded } else { CallOutcome::MaybeExecuted };
+                self.executor.ended_calls.push((request_id, call_number, outcome));
+                let end = if completed { RunEnd::Completed(Vec::new()) } else { RunEnd::Failed };
+                self.executor.ended_runs.push((request_id, end));
             }
-            Heard::Durable(zone, Ok(up_to)) => {
-                if self.serving.durable(zone, up_to) {
-                    self.host.set_timer(now, Due::Zone(zone));
+            ServerEvent::LogDurable(zone, Ok(durable_below)) => {
+                if self.executor.entries_durable(zone, durable_below) {
+                    self.engine.set_timer(now, TimerKey::Zone(zone));
                 }
-                self.rotate(zone, false);
+                self.rotate_log(zone, false);
             }
-            Heard::Durable(zone, Err(why)) => self.serving.log_failed(zone, &why),
-            Heard::Reread(zone, done, answer) => {
-                self.serving.zones[zone].reading = false;
-                let apex = self.serving.zones[zone].settings.apex.clone();
-                let said = match done {
-                    Ok((file, ready)) => {
-                        let retired = self.serving.rebase(zone, file, *ready);
-                        let _ = self.aside.send(Aside::Drop(retired));
+            ServerEvent::LogDurable(zone, Err(why)) => self.executor.log_failed(zone, &why),
+            ServerEvent::FileRead(zone, result, reply_sender) => {
+                self.executor.zones[zone].file_read_running = false;
+                let apex = self.executor.zones[zone].settings.apex.clone();
+                let reply = match result {
+                    Ok((file, prepared)) => {
+                        let retired = self.executor.apply_reload(zone, file, *prepared);
+                        let _ = self.background_jobs.send(BackgroundJob::DropZones(retired));
                         info!(zone = %apex, "the file was read again");
                         "{\"reread\":true}".to_owned()
                     }
@@ -756,258 +786,290 @@
                     }
                 };
                 // Who asked may be gone.
-                let _ = answer.map(|answer| answer.send(said));
+                let _ = reply_sender.map(|reply_sender| reply_sender.send(reply));
             }
-            Heard::Snapshot(zone, done) => {
-                self.serving.zones[zone].snapshotting = false;
-                if let Err(why) = done {
-                    warn!(zone = %self.serving.zones[zone].settings.apex, why, "no snapshot; the log goes on growing");
+            ServerEvent::SnapshotWritten(zone, result) => {
+                self.executor.zones[zone].snapshot_running = false;
+                if let Err(why) = result {
+                    warn!(zone = %self.executor.zones[zone].settings.apex, why, "no snapshot; the log goes on growing");
                 }
             }
-            Heard::Serial(zone, Ok(serial)) => {
-                let step = self.serving.zones[zone].follower.as_mut().and_then(|f| f.serial(now, serial));
-                self.step(zone, step);
-                self.host.set_timer(now, Due::Zone(zone));
+            ServerEvent::PrimarySerial(zone, Ok(serial)) => {
+                let action = self.executor.zones[zone]
+                    .secondary
+                    .as_mut()
+                    .and_then(|secondary| secondary.serial(now, serial));
+                self.start_secondary_action(zone, action);
+                self.engine.set_timer(now, TimerKey::Zone(zone));
             }
-            Heard::Serial(zone, Err(why)) | Heard::Followed(zone, Err(why)) => {
-                let zone_state = &mut self.serving.zones[zone];
+            ServerEvent::PrimarySerial(zone, Err(why)) | ServerEvent::TransferReceived(zone, Err(why)) => {
+                let zone_state = &mut self.executor.zones[zone];
                 info!(zone = %zone_state.settings.apex, why, "a primary could not be followed");
-                if let Some(follower) = &mut zone_state.follower {
-                    follower.failed(now);
+                if let Some(secondary) = &mut zone_state.secondary {
+                    secondary.failed(now);
                 }
-                self.host.set_timer(now, Due::Zone(zone));
+                self.engine.set_timer(now, TimerKey::Zone(zone));
             }
-            Heard::Followed(zone, Ok(followed)) => self.followed(zone, followed),
-            Heard::Noticed(zone, target, serial) => {
-                self.serving.zones[zone].notices.heard(target, Some(serial));
+            ServerEvent::TransferReceived(zone, Ok(outcome)) => self.handle_transfer(zone, outcome),
+            ServerEvent::NotifyAcknowledged(zone, target, serial) => {
+                self.executor.zones[zone].notify_sender.heard(target, Some(serial));
             }
-            Heard::Control(verb, answer) => self.control(verb, answer),
-            Heard::Leave => {
-                let stop = Span::from_micros(self.settings.stop.as_micros() as u64);
-                if self.host.begin_drain(now, stop) {
-                    info!(stop_ms = self.settings.stop.as_millis() as u64, "notice to leave");
-                    self.leaving = true;
-                    self.host.set_timer(now + (stop - self.host.timer_period()), Due::Exit);
+            ServerEvent::Command(command, reply_sender) => self.handle_command(command, reply_sender),
+            ServerEvent::Shutdown => {
+                let stop = Span::from_micros(self.settings.stop_timeout.as_micros() as u64);
+                if self.engine.begin_drain(now, stop) {
+                    info!(stop_ms = self.settings.stop_timeout.as_millis() as u64, "notice to leave");
+                    self.draining = true;
+                    self.engine.set_timer(now + (stop - self.engine.timer_period()), TimerKey::ForceExit);
                 }
             }
         }
     }
 
-    fn rotate(&mut self, zone: usize, asked: bool) {
-        if let Some((rotation, store)) = self.serving.rotate(zone, asked) {
-            let name = journal_name(&self.serving.zones[zone].settings);
-            let _ = self.aside.send(Aside::Snapshot { zone, name, rotation, store: Box::new(store) });
+    fn rotate_log(&mut self, zone: usize, force: bool) {
+        if let Some((rotation, store)) = self.executor.rotate_log(zone, force) {
+            let name = journal_name(&self.executor.zones[zone].settings);
+            let _ = self.background_jobs.send(BackgroundJob::WriteSnapshot {
+                zone,
+                name,
+                rotation,
+                store: Box::new(store),
+            });
         }
     }
 
-    fn control(&mut self, verb: Verb, answer: Sender<String>) {
+    fn handle_command(&mut self, command: Command, reply_sender: Sender<String>) {
         let zone_of = |text: &str| {
             let apex: lynxtally_zones::Name = text.parse().ok()?;
-            self.serving.zone(apex.wire())
+            self.executor.zone(apex.wire())
         };
         let unknown = || control::error("no such zone");
-        let said = match verb {
-            Verb::Status => self.counters(),
-            Verb::Freeze(zone) => match zone_of(&zone).and_then(|at| self.serving.zones[at].store.as_mut()) {
-                Some(store) => {
-                    store.freeze(FreezeReason::Operator);
-                    "{\"frozen\":true}".to_owned()
+        let reply = match command {
+            Command::Status => self.counters(),
+            Command::Freeze(zone) => {
+                match zone_of(&zone).and_then(|zone_index| self.executor.zones[zone_index].store.as_mut()) {
+                    Some(store) => {
+                        store.freeze(FreezeReason::Operator);
+                        "{\"frozen\":true}".to_owned()
+                    }
+                    None => unknown(),
                 }
-                None => unknown(),
-            },
-            Verb::Thaw(zone) => match zone_of(&zone).and_then(|at| self.serving.zones[at].store.as_mut()) {
-                Some(store) => match store.thaw() {
-                    true => "{\"frozen\":false}".to_owned(),
-                    false => control::error(&store.frozen().map_or(String::new(), ToString::to_string)),
-                },
-                None => unknown(),
-            },
-            Verb::Reread(zone) => match zone_of(&zone) {
-                Some(at) => match self.reread(at, Some(answer.clone())) {
+            }
+            Command::Thaw(zone) => {
+                match zone_of(&zone).and_then(|zone_index| self.executor.zones[zone_index].store.as_mut()) {
+                    Some(store) => match store.thaw() {
+                        true => "{\"frozen\":false}".to_owned(),
+                        false => control::error(&store.frozen().map_or(String::new(), ToString::to_string)),
+                    },
+                    None => unknown(),
+                }
+            }
+            Command::Reread(zone) => match zone_of(&zone) {
+                Some(zone_index) => match self.start_file_read(zone_index, Some(reply_sender.clone())) {
                     Ok(()) => return,
                     Err(what) => control::error(what),
                 },
                 None => unknown(),
             },
-            Verb::Compact(zone) => match zone_of(&zone) {
-                Some(at) => {
-                    self.rotate(at, true);
+            Command::Compact(zone) => match zone_of(&zone) {
+                Some(zone_index) => {
+                    self.rotate_log(zone_index, true);
                     "{\"compacting\":true}".to_owned()
                 }
                 None => unknown(),
             },
         };
         // Who asked may be gone.
-        let _ = answer.send(said);
+        let _ = reply_sender.send(reply);
     }
 
-    fn reread(&mut self, at: usize, answer: Option<Sender<String>>) -> Result<(), &'static str> {
-        let zone = &mut self.serving.zones[at];
+    fn start_file_read(
+        &mut self,
+        zone_index: usize,
+        reply_sender: Option<Sender<String>>,
+    ) -> Result<(), &'static str> {
+        let zone = &mut self.executor.zones[zone_index];
         let (Some(store), Some(_)) = (&zone.store, &zone.settings.file) else {
             return Err("the zone has no file");
         };
-        if zone.reading {
+        if zone.file_read_running {
             return Err("the file is being read already");
         }
         if matches!(store.frozen(), Some(FreezeReason::LogFailed(_))) {
             return Err("the zone's log failed");
         }
-        zone.reading = true;
-        let (settings, outline) = (Box::new(zone.settings.clone()), Box::new(store.reload_input()));
-        let _ = self.aside.send(Aside::Reread { zone: at, settings, outline, answer });
+        zone.file_read_running = true;
+        let (settings, reload_input) = (Box::new(zone.settings.clone()), Box::new(store.reload_input()));
+        let _ = self.background_jobs.send(BackgroundJob::ReadZoneFile {
+            zone: zone_index,
+            settings,
+            reload_input,
+            reply_sender,
+        });
         Ok(())
     }
 
-    fn fall_due(&mut self, due: Due) {
-        let now = self.serving.now;
+    fn handle_timer(&mut self, due: TimerKey) {
+        let now = self.executor.now;
         match due {
-            Due::Sweep => {
-                self.connections.close_idle(self.leaving);
-                self.host.set_timer(now + SWEEP, Due::Sweep);
+            TimerKey::CloseIdle => {
+                self.connections.close_idle(self.draining);
+                self.engine.set_timer(now + IDLE_CHECK_INTERVAL, TimerKey::CloseIdle);
             }
-            Due::Exit => self.over = true,
-            Due::Zone(at) => {
-                self.serving.lapse(at);
-                self.follow(at);
-                self.notify(at);
-                let zone = &self.serving.zones[at];
+            TimerKey::ForceExit => self.stopped = true,
+            TimerKey::Zone(zone_index) => {
+                self.executor.expire_leases(zone_index);
+                self.poll_primary(zone_index);
+                self.send_notifies(zone_index);
+                let zone = &self.executor.zones[zone_index];
                 let next = [
                     zone.store.as_ref().filter(|k| k.frozen().is_none()).and_then(|k| k.leases().next()),
-                    zone.follower.as_ref().map(SecondaryZone::next_due),
-                    zone.notices.next_due(),
+                    zone.secondary.as_ref().map(SecondaryZone::next_due),
+                    zone.notify_sender.next_due(),
                 ];
-                if let Some(at_time) = next.into_iter().flatten().min() {
+                if let Some(due_at) = next.into_iter().flatten().min() {
                     // Not sooner than the clock's grain: what is due now was just looked at.
-                    self.host.set_timer(at_time.max(now + Span::from_millis(10)), Due::Zone(at));
+                    self.engine
+                        .set_timer(due_at.max(now + Span::from_millis(10)), TimerKey::Zone(zone_index));
                 }
             }
         }
     }
 
-    fn follow(&mut self, at: usize) {
-        let step = self.serving.follow_due(at);
-        self.step(at, step);
+    fn poll_primary(&mut self, zone_index: usize) {
+        let action = self.executor.next_secondary_action(zone_index);
+        self.start_secondary_action(zone_index, action);
     }
 
     /// Has a primary asked, on a thread of its own: a large transfer must hold up no answer.
-    fn step(&mut self, at: usize, step: Option<SecondaryAction>) {
-        let (primary, from) = match step {
+    fn start_secondary_action(&mut self, zone_index: usize, action: Option<SecondaryAction>) {
+        let (primary, from) = match action {
             Some(SecondaryAction::QuerySerial(primary)) => (primary, None),
             Some(SecondaryAction::Transfer(primary, from)) => (primary, Some(from)),
             Some(SecondaryAction::Expire) | None => return,
         };
-        let zone = &self.serving.zones[at];
+        let zone = &self.executor.zones[zone_index];
         let settings = &zone.settings;
         let client = Client {
             server: settings.primaries[primary % settings.primaries.len()],
             key: settings.key.clone(),
-            patience: Duration::from_secs(5),
+            timeout: Duration::from_secs(5),
         };
-        let (apex, ear, state) = (settings.apex.clone(), self.ear.clone(), self.settings.state.clone());
-        let (name, most) = (journal_name(settings), self.settings.limits.records);
+        let (apex, events, state) = (settings.apex.clone(), self.events.clone(), self.settings.state.clone());
+        let (name, max_records) = (journal_name(settings), self.settings.limits.records);
         let have = zone.store.as_ref().map(|store| store.current().clone());
         let id = rand::rng().random();
         std::thread::spawn(move || {
             let Some(from) = from else {
                 let serial = client.serial(&apex, id).map_err(|fault| format!("{}: {fault}", client.server));
-                return ear.say(Heard::Serial(at, serial));
+                return events.push(ServerEvent::PrimarySerial(zone_index, serial));
             };
             let soa = have.as_ref().filter(|_| from.is_some()).and_then(|zone| zone.soa_record());
-            let brought = client.transfer(&apex, soa.as_ref(), most, id);
-            let done = brought.map_err(|fault| format!("{}: {fault}", client.server)).and_then(|brought| {
-                Ok(match brought {
-                    TransferResult::UpToDate(serial) => Followed::Nothing(serial),
-                    TransferResult::Incremental(changes) => Followed::Changes(changes),
-                    TransferResult::Full(records) => {
-                        let serial = have.as_ref().map(|zone| zone.serial());
-                        let new = version(&apex, serial, &records)
-                            .map_err(|fault| format!("{}: {fault}", client.server))?;
-                        let file = write_base(&mut folder(&state)?, &name, &new)?;
-                        let change = have.map_or_else(Change::default, |old| between(&old, &new));
-                        Followed::Whole(file, Box::new(new), Box::new(change))
-                    }
-                })
-            });
-            ear.say(Heard::Followed(at, done));
+            let transferred = client.transfer(&apex, soa.as_ref(), max_records, id);
+            let result =
+                transferred.map_err(|fault| format!("{}: {fault}", client.server)).and_then(|transferred| {
+                    Ok(match transferred {
+                        TransferResult::UpToDate(serial) => TransferOutcome::UpToDate(serial),
+                        TransferResult::Incremental(changes) => TransferOutcome::Incremental(changes),
+                        TransferResult::Full(records) => {
+                            let serial = have.as_ref().map(|zone| zone.serial());
+                            let new = version(&apex, serial, &records)
+                                .map_err(|fault| format!("{}: {fault}", client.server))?;
+                            let file = write_base(&mut open_state_folder(&state)?, &name, &new)?;
+                            let change = have.map_or_else(Change::default, |old| between(&old, &new));
+                            TransferOutcome::Full(file, Box::new(new), Box::new(change))
+                        }
+                    })
+                });
+            events.push(ServerEvent::TransferReceived(zone_index, result));
         });
     }
 
-    fn followed(&mut self, at: usize, followed: Followed) {
-        let now = self.serving.now;
-        let brought = match followed {
-            Followed::Nothing(serial) => {
-                let step = self.serving.zones[at].follower.as_mut().and_then(|f| f.serial(now, serial));
+    fn handle_transfer(&mut self, zone_index: usize, outcome: TransferOutcome) {
+        let now = self.executor.now;
+        let transferred = match outcome {
+            TransferOutcome::UpToDate(serial) => {
+                let action = self.executor.zones[zone_index]
+                    .secondary
+                    .as_mut()
+                    .and_then(|secondary| secondary.serial(now, serial));
                 // The primary has no way to say it by changes: the whole zone then.
-                if step.is_some() {
-                    self.serving.zones[at].follower.iter_mut().for_each(|f| f.misfit(now));
+                if action.is_some() {
+                    self.executor.zones[zone_index]
+                        .secondary
+                        .iter_mut()
+                        .for_each(|secondary| secondary.misfit(now));
                 }
                 false
             }
-            Followed::Changes(changes) => {
-                let fits = self.serving.follow_changes(at, &changes);
+            TransferOutcome::Incremental(changes) => {
+                let fits = self.executor.apply_incremental_transfer(zone_index, &changes);
                 if !fits {
-                    self.serving.zones[at].follower.iter_mut().for_each(|f| f.misfit(now));
+                    self.executor.zones[zone_index]
+                        .secondary
+                        .iter_mut()
+                        .for_each(|secondary| secondary.misfit(now));
                 }
                 fits
             }
-            Followed::Whole(file, zone, change) => {
-                let first = self.serving.zones[at].store.is_none();
+            TransferOutcome::Full(file, zone, change) => {
+                let is_first_version = self.executor.zones[zone_index].store.is_none();
                 let limits = self.settings.limits;
-                let retired = self.serving.follow(at, file, *zone, *change, &limits);
-                let _ = self.aside.send(Aside::Drop(retired));
-                if first {
+                let retired = self.executor.apply_full_transfer(zone_index, file, *zone, *change, &limits);
+                let _ = self.background_jobs.send(BackgroundJob::DropZones(retired));
+                if is_first_version {
                     // A zone's first snapshot is what its log stands on.
-                    self.first_snapshot(at);
+                    self.write_first_snapshot(zone_index);
                 }
                 true
             }
         };
-        let zone = &mut self.serving.zones[at];
-        if let (true, Some(follower), Some(store)) = (brought, &mut zone.follower, &zone.store) {
+        let zone = &mut self.executor.zones[zone_index];
+        if let (true, Some(secondary), Some(store)) = (transferred, &mut zone.secondary, &zone.store) {
             if let Some(soa) = store.latest().soa() {
                 info!(zone = %zone.settings.apex, serial = %soa.serial, "followed its primary");
-                follower.took(now, soa);
+                secondary.took(now, soa);
             }
         }
-        self.host.set_timer(now, Due::Zone(at));
+        self.engine.set_timer(now, TimerKey::Zone(zone_index));
     }
 
-    fn first_snapshot(&mut self, at: usize) {
-        let zone = &mut self.serving.zones[at];
+    fn write_first_snapshot(&mut self, zone_index: usize) {
+        let zone = &mut self.executor.zones[zone_index];
         let Some(store) = &zone.store else { return };
         let (name, octets) = (journal_name(&zone.settings), encode(&store.snapshot()));
         let rotation = Rotation { generation: 0, first_entry: 0 };
-        let done = folder(&self.settings.state).and_then(|mut folder| {
+        let result = open_state_folder(&self.settings.state).and_then(|mut folder| {
             WriteAheadLog::write_snapshot(&mut folder, &name, rotation, &octets)
                 .map_err(|fault| fault.to_string())
         });
-        if let Err(why) = done {
-            self.serving.log_failed(at, &why);
+        if let Err(why) = result {
+            self.executor.log_failed(zone_index, &why);
         }
     }
 
     /// Tells secondaries of new versions, each on a thread of its own for as long as it takes.
-    fn notify(&mut self, at: usize) {
-        let now = self.serving.now;
-        let zone = &mut self.serving.zones[at];
-        let due = zone.notices.due(now);
+    fn send_notifies(&mut self, zone_index: usize) {
+        let now = self.executor.now;
+        let zone = &mut self.executor.zones[zone_index];
+        let due = zone.notify_sender.due(now);
         let soa = zone.store.as_ref().and_then(|store| store.current().soa_record());
         let Some(soa) = soa else { return };
         for (target, serial) in due {
-            let (ear, soa, apex) = (self.ear.clone(), soa.clone(), zone.settings.apex.clone());
-            let (server, patience) = (zone.settings.notify[target], Duration::from_secs(2));
+            let (events, soa, apex) = (self.events.clone(), soa.clone(), zone.settings.apex.clone());
+            let (server, timeout) = (zone.settings.notify[target], Duration::from_secs(2));
             // A secondary knows its primary by the address at which it listens.
             let from = Some(self.settings.listen[0].ip());
             let id = rand::rng().random();
             std::thread::spawn(move || {
-                let question = crate::codec::Question {
+                let question = crate::codec::OutgoingRequest {
                     opcode: 4,
                     soa: Some(&soa),
                     ..client::query(id, &apex, soa.kind)
                 };
-                let client = Client { server, key: None, patience };
-                if client.ask_by_datagram_from(from, &question).is_ok_and(|answered| answered.code == 0) {
-                    ear.say(Heard::Noticed(at, target, serial));
+                let client = Client { server, key: None, timeout };
+                if client.exchange_udp_from(from, &question).is_ok_and(|answered| answered.code == 0) {
+                    events.push(ServerEvent::NotifyAcknowledged(zone_index, target, serial));
                 }
             });
         }
@@ -1015,32 +1077,35 @@
 
     /// All counters as one line of JSON.
     fn counters(&self) -> String {
-        let tally = self.host.counts();
-        let Counts { codes, repeats, versions, lapsed, transfers } = self.serving.counts;
+        let counts = self.engine.counts();
+        let ExecutorCounts { codes, repeats, versions, lapsed, transfers } = self.executor.counts;
         let codes: Vec<String> = codes
             .iter()
             .enumerate()
             .filter(|(_, count)| **count > 0)
-            .map(|(code, count)| format!("\"{}\":{count}", Code(code as u16)))
+            .map(|(code, count)| format!("\"{}\":{count}", ResponseCode(code as u16)))
+            .collect();
+        let requests_by_class: Vec<String> = class::NAMES
+            .iter()
+            .zip(&self.requests_by_class)
+            .map(|(name, count)| format!("\"{name}\":{count}"))
             .collect();
-        let tasks: Vec<String> =
-            stage::NAMES.iter().zip(&self.tasks).map(|(name, count)| format!("\"{name}\":{count}")).collect();
-        let zones: Vec<String> = self.serving.zones.iter().map(zone_status).collect();
+        let zones: Vec<String> = self.executor.zones.iter().map(zone_status).collect();
         format!(
             "{{\"tasks\":{{{}}},\"read\":{},\"finished\":{},\"rejected\":{},\"abandoned\":{},\"caller_gone\":{},\
              \"open\":{},\"answers_lost\":{},\"unreadable\":{},\"beyond_share\":{},\"codes\":{{{}}},\
              \"repeats\":{repeats},\"versions\":{versions},\"lapsed\":{lapsed},\"transfers\":{transfers},\
              \"connections\":{},\"zones\":[{}]}}",
-            tasks.join(","),
-            tally.received,
-            tally.completed,
-            tally.rejected,
-            tally.failed,
-            tally.caller_gone,
-            tally.in_flight,
-            tally.undelivered + self.desk.lost,
+            requests_by_class.join(","),
+            counts.received,
+            counts.completed,
+            counts.rejected,
+            counts.failed,
+            counts.caller_gone,
+            counts.in_flight,
+            counts.undelivered + self.responses.dropped,
             self.unreadable,
-            self.beyond,
+            self.over_share,
             codes.join(","),
             self.connections.len(),
             zones.join(","),
@@ -1051,14 +1116,14 @@
 fn zone_status(zone: &ZoneState) -> String {
     let apex = &zone.settings.apex;
     let Some(store) = &zone.store else { return format!("{{\"apex\":\"{apex}\",\"serial\":null}}") };
-    let live = store.current();
+    let current = store.current();
     let frozen = store.frozen().map_or(String::new(), |why| why.to_string().replace('"', "'"));
     format!(
         "{{\"apex\":\"{apex}\",\"serial\":{},\"records\":{},\"names\":{},\"leases\":{},\"suspect\":{},\
          \"log_octets\":{},\"frozen\":\"{frozen}\",\"served\":{}}}",
-        live.serial(),
-        live.records(),
-        live.names(),
+        current.serial(),
+        current.records(),
+        current.names(),
         store.leases().len(),
         store.leases().suspect().is_some(),
         zone.journal.bytes_since_snapshot(),
--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -18,35 +18,35 @@
 
 /// A key of the settings, and what is wrong with it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct SettingsError {
     /// The key's path.
     pub key: String,
     /// What is wrong.
-    pub what: String,
+    pub problem: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "`{}` {}", self.key, self.what)
+        write!(f, "`{}` {}", self.key, self.problem)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SettingsError {}
 
-fn fault<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { key: key.into(), what: what.into() })
+fn error<T>(key: impl Into<String>, problem: impl Into<String>) -> Result<T, SettingsError> {
+    Err(SettingsError { key: key.into(), problem: problem.into() })
 }
 
 /// The settings as they stand.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct File {
+#[serde(rename = "File", deny_unknown_fields)]
+pub struct RawSettings {
     /// Where questions come, over UDP and TCP.
     pub listen: Vec<SocketAddr>,
     /// The folder for logs and bases; it must last.
     pub state: PathBuf,
     /// The zones.
-    pub zones: Vec<ZoneFile>,
+    pub zones: Vec<RawZoneSettings>,
     /// Files with keys, one a line.
     #[serde(default)]
     pub keys: Vec<PathBuf>,
@@ -54,7 +54,7 @@
     pub cookie_secret: Option<PathBuf>,
     /// The stages.
     #[serde(default)]
-    pub stages: Stages,
+    pub stages: ClassesSettings,
     /// Bounds.
     #[serde(default)]
     pub limits: Limits,
@@ -76,8 +76,8 @@
 
 /// A zone.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ZoneFile {
+#[serde(rename = "ZoneFile", deny_unknown_fields)]
+pub struct RawZoneSettings {
     /// Its topmost name.
     pub apex: String,
     /// Its file; a zone that follows primaries has none.
@@ -92,10 +92,10 @@
     pub notify: Vec<SocketAddr>,
     /// Who may have the zone whole.
     #[serde(default)]
-    pub transfer: Transfer,
+    pub transfer: TransferAccess,
     /// Who may change what.
     #[serde(default)]
-    pub updates: Vec<GrantFile>,
+    pub updates: Vec<RawGrant>,
     /// With more refused records than this a file is of no use.
     #[serde(default = "refused_most")]
     pub refused_most: usize,
@@ -107,8 +107,8 @@
 
 /// Who may have a zone whole.
 #[derive(Clone, Debug, Default, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Transfer {
+#[serde(rename = "Transfer", deny_unknown_fields)]
+pub struct TransferAccess {
     /// Holders of these keys.
     #[serde(default)]
     pub keys: Vec<String>,
@@ -119,8 +119,8 @@
 
 /// Who may change what.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct GrantFile {
+#[serde(rename = "GrantFile", deny_unknown_fields)]
+pub struct RawGrant {
     /// The holder of this key.
     pub key: String,
     /// This name only.
@@ -136,8 +136,8 @@
 
 /// One stage.
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Stage {
+#[serde(rename = "Stage", deny_unknown_fields)]
+pub struct ClassSettings {
     /// What an answer in time earns.
     pub utility: f64,
     /// When it is wanted, in milliseconds.
@@ -148,35 +148,35 @@
 
 /// The stages of the front, in the order of their indices.
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Stages {
+#[serde(rename = "Stages", deny_unknown_fields, default)]
+pub struct ClassesSettings {
     /// Questions.
-    pub query: Stage,
+    pub query: ClassSettings,
     /// Questions beyond their prefix's share.
-    pub beyond: Stage,
+    pub beyond: ClassSettings,
     /// Updates.
-    pub update: Stage,
+    pub update: ClassSettings,
     /// Transfers.
-    pub transfer: Stage,
+    pub transfer: ClassSettings,
     /// Notices.
-    pub notify: Stage,
+    pub notify: ClassSettings,
 }
 
-impl Default for Stages {
+impl Default for ClassesSettings {
     fn default() -> Self {
-        let stage = |utility, due_ms, limit_ms| Stage { utility, due_ms, limit_ms };
+        let class = |utility, due_ms, limit_ms| ClassSettings { utility, due_ms, limit_ms };
         Self {
-            query: stage(1.0, 200, 2000),
-            beyond: stage(0.02, 200, 2000),
-            update: stage(50.0, 1000, 5000),
-            transfer: stage(20.0, 60_000, 120_000),
-            notify: stage(20.0, 1000, 5000),
+            query: class(1.0, 200, 2000),
+            beyond: class(0.02, 200, 2000),
+            update: class(50.0, 1000, 5000),
+            transfer: class(20.0, 60_000, 120_000),
+            notify: class(20.0, 1000, 5000),
         }
     }
 }
 
 /// The stages' indices.
-pub mod stage {
+pub mod class {
     /// Questions.
     pub const QUERY: usize = 0;
     /// Questions beyond their prefix's share.
@@ -245,7 +245,7 @@
 
 /// A zone's settings, checked.
 #[derive(Clone, Debug)]
-pub struct Zone {
+pub struct ZoneSettings {
     /// Its topmost name.
     pub apex: Name,
     /// Its file.
@@ -268,13 +268,13 @@
 
 /// All settings, checked.
 #[derive(Clone, Debug)]
-pub struct Checked {
+pub struct CheckedSettings {
     /// Where questions come.
     pub listen: Vec<SocketAddr>,
     /// The folder that lasts.
     pub state: PathBuf,
     /// The zones.
-    pub zones: Vec<Zone>,
+    pub zones: Vec<ZoneSettings>,
     /// The keys.
     pub keys: Vec<Arc<Key>>,
     /// The cookies' secret.
@@ -284,30 +284,32 @@
     /// Bounds.
     pub limits: Limits,
     /// How long after the notice to leave the program is killed.
-    pub stop: Duration,
+    pub stop_timeout: Duration,
 }
 
 /// Tasks that the executor has under way at once: a batch is run and then settled. One core is seen as so many
 /// slower ones, so that the module decides once a batch and not once a question.
-pub const BATCH: u32 = 32;
+pub const VIRTUAL_CORES: u32 = 32;
 /// A task that runs takes this many times the memory of one that is held.
-const RUN_MEMORY: f64 = 2.0;
+const RUNNING_MEMORY_FACTOR: f64 = 2.0;
 
-impl File {
+impl RawSettings {
     /// Checks all; reads the files of keys.
-    pub fn check(self) -> Result<Checked, Fault> {
+    pub fn check(self) -> Result<CheckedSettings, SettingsError> {
         let mut keys = Vec::new();
         for (n, path) in self.keys.iter().enumerate() {
-            keys.extend(read_keys(path).map_err(|what| Fault { key: format!("keys[{n}]"), what })?);
+            keys.extend(
+                read_keys(path).map_err(|problem| SettingsError { key: format!("keys[{n}]"), problem })?,
+            );
         }
         if self.listen.is_empty() {
-            return fault("listen", "is empty; an address such as 127.0.0.1:53 is expected");
+            return error("listen", "is empty; an address such as 127.0.0.1:53 is expected");
         }
-        let mut zones: Vec<Zone> = Vec::new();
+        let mut zones: Vec<ZoneSettings> = Vec::new();
         for (n, zone) in self.zones.iter().enumerate() {
             let zone = zone.check(&format!("zones[{n}]"), &keys)?;
             if zones.iter().any(|other| other.apex == zone.apex) {
-                return fault(
+                return error(
                     format!("zones[{n}].apex"),
                     format!("is {}, which stands above too", zone.apex),
                 );
@@ -315,31 +317,33 @@
             zones.push(zone);
         }
         if zones.is_empty() {
-            return fault("zones", "is empty");
+            return error("zones", "is empty");
         }
-        for (name, stage) in stage::NAMES.into_iter().zip(self.stages.all()) {
-            if !(stage.utility > 0.0 && stage.utility.is_finite()) {
-                return fault(
+        for (name, class) in class::NAMES.into_iter().zip(self.stages.all()) {
+            if !(class.utility > 0.0 && class.utility.is_finite()) {
+                return error(
                     format!("stages.{name}.utility"),
-                    format!("is {}; above 0 is expected", stage.utility),
+                    format!("is {}; above 0 is expected", class.utility),
                 );
             }
-            if stage.due_ms == 0 || stage.limit_ms < stage.due_ms {
-                let what = format!("is {}; at least due_ms, and that above 0, is expected", stage.limit_ms);
-                return fault(format!("stages.{name}.limit_ms"), what);
+            if class.due_ms == 0 || class.limit_ms < class.due_ms {
+                let problem =
+                    format!("is {}; at least due_ms, and that above 0, is expected", class.limit_ms);
+                return error(format!("stages.{name}.limit_ms"), problem);
             }
         }
         self.limits.check()?;
         if self.grace_ms >= self.stop_ms {
-            return fault("grace_ms", format!("is {}; less than stop_ms is expected", self.grace_ms));
+            return error("grace_ms", format!("is {}; less than stop_ms is expected", self.grace_ms));
         }
         let cookie_secret = match &self.cookie_secret {
             None => None,
-            Some(path) => {
-                Some(read_secret(path).map_err(|what| Fault { key: "cookie_secret".to_owned(), what })?)
-            }
+            Some(path) => Some(
+                read_secret(path)
+                    .map_err(|problem| SettingsError { key: "cookie_secret".to_owned(), problem })?,
+            ),
         };
-        Ok(Checked {
+        Ok(CheckedSettings {
             policy: self.policy(),
             listen: self.listen,
             state: self.state,
@@ -347,33 +351,33 @@
             keys,
             cookie_secret,
             limits: self.limits,
-            stop: Duration::from_millis(self.stop_ms),
+            stop_timeout: Duration::from_millis(self.stop_ms),
         })
     }
 
     /// What the module is told: the front's stages, on one core in so many parts.
     fn policy(&self) -> Settings {
-        let stages = self.stages.all().map(|stage| RequestClass {
-            utility: stage.utility,
+        let classes = self.stages.all().map(|class| RequestClass {
+            utility: class.utility,
             late_utility_fraction: 0.0,
-            latency_objective: Span::from_millis(stage.due_ms),
-            deadline: Span::from_millis(stage.limit_ms),
+            latency_objective: Span::from_millis(class.due_ms),
+            deadline: Span::from_millis(class.limit_ms),
             effect: Effect::Idempotent,
             deduplication_window: Span::ZERO,
             calls_downstream: false,
             degraded_utility_fraction: 0.0,
         });
-        let mut stages = stages.to_vec();
-        for at in [stage::UPDATE, stage::TRANSFER] {
+        let mut classes = classes.to_vec();
+        for at in [class::UPDATE, class::TRANSFER] {
             // They wait for the disk or a peer, what they began can't be begun again, and a late answer is
             // better than none.
-            (stages[at].calls_downstream, stages[at].effect, stages[at].late_utility_fraction) =
+            (classes[at].calls_downstream, classes[at].effect, classes[at].late_utility_fraction) =
                 (true, Effect::NonIdempotent, 0.5);
         }
         Settings {
-            cores: BATCH,
+            cores: VIRTUAL_CORES,
             memory_kb: (self.limits.memory_mb * 1024) as f64,
-            running_memory_factor: RUN_MEMORY,
+            running_memory_factor: RUNNING_MEMORY_FACTOR,
             idempotency_key_kb: 0.1,
             cold_start: false,
             cold_capacity_fraction: 1.0,
@@ -381,7 +385,7 @@
             // Waits hold no core here; memory bounds how many there are.
             max_running_per_core: 4096.0,
             drain_grace: Span::from_millis(self.grace_ms),
-            classes: stages,
+            classes,
             tenant_quotas: Vec::new(),
             over_quota_utility_fraction: 1.0,
             utility_per_work: false,
@@ -399,23 +403,23 @@
     }
 }
 
-impl Stages {
-    fn all(&self) -> [Stage; 5] {
+impl ClassesSettings {
+    fn all(&self) -> [ClassSettings; 5] {
         [self.query, self.beyond, self.update, self.transfer, self.notify]
     }
 }
 
 impl Limits {
-    fn check(&self) -> Result<(), Fault> {
-        let part = |key: &str, value: f64| match value > 0.0 && value <= 1.0 {
+    fn check(&self) -> Result<(), SettingsError> {
+        let check_fraction = |key: &str, value: f64| match value > 0.0 && value <= 1.0 {
             true => Ok(()),
-            false => fault(format!("limits.{key}"), format!("is {value}; above 0 and at most 1 is expected")),
+            false => error(format!("limits.{key}"), format!("is {value}; above 0 and at most 1 is expected")),
         };
-        part("prefix_share", self.prefix_share)?;
-        part("lease_share", self.lease_share)?;
-        part("lease_suspect", self.lease_suspect)?;
+        check_fraction("prefix_share", self.prefix_share)?;
+        check_fraction("lease_share", self.lease_share)?;
+        check_fraction("lease_suspect", self.lease_suspect)?;
         if !(512..=4096).contains(&self.payload) {
-            return fault("limits.payload", format!("is {}; 512 to 4096 is expected", self.payload));
+            return error("limits.payload", format!("is {}; 512 to 4096 is expected", self.payload));
         }
         for (key, value) in [
             ("memory_mb", self.memory_mb),
@@ -425,7 +429,7 @@
             ("lease_least_s", self.lease_least_s),
         ] {
             if value == 0 {
-                return fault(format!("limits.{key}"), "is 0; at least 1 is expected");
+                return error(format!("limits.{key}"), "is 0; at least 1 is expected");
             }
         }
         Ok(())
@@ -447,40 +451,40 @@
     }
 
     /// Who asks how much, by prefix.
-    pub fn shares(&self, key: u64, now: lynxtally::Instant) -> RequestRateLimit {
+    pub fn rate_limit(&self, key: u64, now: lynxtally::Instant) -> RequestRateLimit {
         // A count stands for about two turns of half a second, so for about a second.
         let sketch = CountMinSketch::new(1 << 12, Span::from_millis(500), key, now);
         RequestRateLimit::new(sketch, self.prefix_share, self.prefix_least)
     }
 
     /// How a secondary paces itself where its zone is not known yet.
-    pub fn times(&self) -> RetryTimes {
+    pub fn retry_times(&self) -> RetryTimes {
         RetryTimes::default()
     }
 }
 
-fn name(key: String, text: &str) -> Result<Name, Fault> {
-    text.parse().map_err(|bad| Fault { key, what: format!("is {text:?}: {bad}") })
+fn parse_name(key: String, text: &str) -> Result<Name, SettingsError> {
+    text.parse().map_err(|bad| SettingsError { key, problem: format!("is {text:?}: {bad}") })
 }
 
-impl ZoneFile {
-    fn check(&self, at: &str, keys: &[Arc<Key>]) -> Result<Zone, Fault> {
-        let known = |key: String, text: &str| {
-            let parsed = name(key.clone(), text)?;
-            match keys.iter().find(|known| known.name == parsed) {
-                Some(known) => Ok(known.clone()),
-                None => fault(key, format!("is {text:?}, and no file of `keys` has that key")),
+impl RawZoneSettings {
+    fn check(&self, at: &str, keys: &[Arc<Key>]) -> Result<ZoneSettings, SettingsError> {
+        let find_key = |key: String, text: &str| {
+            let parsed = parse_name(key.clone(), text)?;
+            match keys.iter().find(|find_key| find_key.name == parsed) {
+                Some(find_key) => Ok(find_key.clone()),
+                None => error(key, format!("is {text:?}, and no file of `keys` has that key")),
             }
         };
         match (&self.file, self.primaries.is_empty()) {
-            (None, true) => return fault(format!("{at}.file"), "is missing, and there are no primaries"),
+            (None, true) => return error(format!("{at}.file"), "is missing, and there are no primaries"),
             (Some(_), false) => {
-                return fault(format!("{at}.primaries"), "is given beside a file; a zone has one source");
+                return error(format!("{at}.primaries"), "is given beside a file; a zone has one source");
             }
             _ => {}
         }
         if !self.primaries.is_empty() && !self.updates.is_empty() {
-            return fault(
+            return error(
                 format!("{at}.updates"),
                 "is given for a zone that follows primaries; it takes none",
             );
@@ -489,29 +493,29 @@
         for (n, grant) in self.updates.iter().enumerate() {
             let at = format!("{at}.updates[{n}]");
             let scope = match (&grant.name, &grant.tree, &grant.below) {
-                (Some(text), None, None) => Scope::Exact(name(format!("{at}.name"), text)?),
-                (None, Some(text), None) => Scope::Tree(name(format!("{at}.tree"), text)?),
-                (None, None, Some(text)) => Scope::Below(name(format!("{at}.below"), text)?),
-                _ => return fault(at, "has to have one of name, tree and below"),
+                (Some(text), None, None) => Scope::Exact(parse_name(format!("{at}.name"), text)?),
+                (None, Some(text), None) => Scope::Tree(parse_name(format!("{at}.tree"), text)?),
+                (None, None, Some(text)) => Scope::Below(parse_name(format!("{at}.below"), text)?),
+                _ => return error(at, "has to have one of name, tree and below"),
             };
             let mut kinds = Vec::new();
             for (k, text) in grant.kinds.iter().enumerate() {
                 match RecordType::parse(text).filter(|kind| !kind.is_meta()) {
                     Some(kind) => kinds.push(kind),
                     None => {
-                        return fault(format!("{at}.kinds[{k}]"), format!("is {text:?}; no kind of record"))
+                        return error(format!("{at}.kinds[{k}]"), format!("is {text:?}; no kind of record"))
                     }
                 }
             }
-            grants.push(Grant { key: known(format!("{at}.key"), &grant.key)?.name.clone(), scope, kinds });
+            grants.push(Grant { key: find_key(format!("{at}.key"), &grant.key)?.name.clone(), scope, kinds });
         }
         let mut transfer_keys = Vec::new();
         for (n, key) in self.transfer.keys.iter().enumerate() {
-            transfer_keys.push(known(format!("{at}.transfer.keys[{n}]"), key)?.name.clone());
+            transfer_keys.push(find_key(format!("{at}.transfer.keys[{n}]"), key)?.name.clone());
         }
-        let key = self.key.as_ref().map(|key| known(format!("{at}.key"), key)).transpose()?;
-        Ok(Zone {
-            apex: name(format!("{at}.apex"), &self.apex)?,
+        let key = self.key.as_ref().map(|key| find_key(format!("{at}.key"), key)).transpose()?;
+        Ok(ZoneSettings {
+            apex: parse_name(format!("{at}.apex"), &self.apex)?,
             file: self.file.clone(),
             primaries: self.primaries.clone(),
             key,
@@ -528,7 +532,7 @@
 }
 
 /// A file that only its owner may read.
-fn private(path: &Path) -> Result<String, String> {
+fn read_private_file(path: &Path) -> Result<String, String> {
     let shown = path.display();
     let mode = std::fs::metadata(path).map_err(|why| format!("is {shown}: {why}"))?.permissions().mode();
     if mode & 0o077 != 0 {
@@ -543,10 +547,10 @@
 /// Reads a file of keys, one a line; two may have one name while one takes the other's place.
 pub fn read_keys(path: &Path) -> Result<Vec<Arc<Key>>, String> {
     let mut keys = Vec::new();
-    for (n, line) in private(path)?.lines().enumerate() {
+    for (n, line) in read_private_file(path)?.lines().enumerate() {
         if !line.trim().is_empty() && !line.trim_start().starts_with('#') {
-            let key =
-                Key::parse(line).map_err(|what| format!("is {}: line {}: {what}", path.display(), n + 1))?;
+            let key = Key::parse(line)
+                .map_err(|problem| format!("is {}: line {}: {problem}", path.display(), n + 1))?;
             keys.push(Arc::new(key));
         }
     }
@@ -557,7 +561,7 @@
 }
 
 fn read_secret(path: &Path) -> Result<[u8; 16], String> {
-    let text = private(path)?.trim().to_ascii_lowercase();
+    let text = read_private_file(path)?.trim().to_ascii_lowercase();
     let octets = data_encoding::HEXLOWER.decode(text.as_bytes()).ok();
     octets
         .and_then(|octets| octets.try_into().ok())
