--- a/crates/frontends/dns/src/udp.rs
+++ b/crates/frontends/dns/src/udp.rs
@@ -9,17 +9,17 @@
 use std::os::fd::AsRawFd;
 
 /// Datagrams in one batch, and the longest one that is taken.
-const BATCH: usize = 32;
-const LONGEST: usize = 4096;
+const DATAGRAMS_PER_BATCH: usize = 32;
+const MAX_DATAGRAM_BYTES: usize = 4096;
 /// What the system keeps of datagrams that nobody has read: about so many small ones wait no longer than their
 /// due time, and what does not fit was never read.
-const WAITING: usize = 512 * 1024;
+const RECEIVE_BUFFER_BYTES: usize = 512 * 1024;
 
 /// Opens a socket whose datagrams carry the time at which they came.
 pub fn open(at: SocketAddr) -> io::Result<UdpSocket> {
     use socket2::{Domain, Socket, Type};
     let socket = Socket::new(Domain::for_address(at), Type::DGRAM, None)?;
-    socket.set_recv_buffer_size(WAITING)?;
+    socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
     socket.bind(&at.into())?;
     socket.set_nonblocking(true)?;
     setsockopt(&socket, sockopt::ReceiveTimestampns, &true)?;
@@ -27,11 +27,11 @@
 }
 
 /// Room for one batch.
-pub struct Buffers(Vec<Vec<u8>>);
+pub struct ReceiveBuffers(Vec<Vec<u8>>);
 
-impl Default for Buffers {
+impl Default for ReceiveBuffers {
     fn default() -> Self {
-        Self(vec![vec![0; LONGEST]; BATCH])
+        Self(vec![vec![0; MAX_DATAGRAM_BYTES]; DATAGRAMS_PER_BATCH])
     }
 }
 
@@ -40,29 +40,29 @@
     v4.or_else(|| from.as_sockaddr_in6().map(|v6| SocketAddr::new(v6.ip().into(), v6.port())))
 }
 
-impl Buffers {
+impl ReceiveBuffers {
     /// Takes what waits, one batch at most: who sent it, its octets (none where it was too long), and when it
     /// came in Unix microseconds. Tells whether more may wait.
     pub fn receive(
         &mut self,
         socket: &UdpSocket,
-        mut take: impl FnMut(SocketAddr, Option<&[u8]>, Option<u64>),
+        mut on_datagram: impl FnMut(SocketAddr, Option<&[u8]>, Option<u64>),
     ) -> io::Result<bool> {
         let space = nix::cmsg_space!(nix::sys::time::TimeSpec);
-        let mut headers = MultiHeaders::<SockaddrStorage>::preallocate(BATCH, Some(space));
+        let mut headers = MultiHeaders::<SockaddrStorage>::preallocate(DATAGRAMS_PER_BATCH, Some(space));
         let mut slices: Vec<[IoSliceMut; 1]> =
-            self.0.iter_mut().map(|room| [IoSliceMut::new(room)]).collect();
+            self.0.iter_mut().map(|buffer| [IoSliceMut::new(buffer)]).collect();
         let fd = socket.as_raw_fd();
-        let got = match recvmmsg(fd, &mut headers, slices.iter_mut(), MsgFlags::MSG_DONTWAIT, None) {
-            Ok(got) => got,
+        let received = match recvmmsg(fd, &mut headers, slices.iter_mut(), MsgFlags::MSG_DONTWAIT, None) {
+            Ok(received) => received,
             Err(nix::errno::Errno::EAGAIN) => return Ok(false),
             Err(nix::errno::Errno::EINTR) => return Ok(true),
             Err(fault) => return Err(fault.into()),
         };
         let mut count = 0;
-        for message in got {
+        for message in received {
             count += 1;
-            let stamp = message.cmsgs().ok().and_then(|mut all| {
+            let received_us = message.cmsgs().ok().and_then(|mut all| {
                 all.find_map(|cmsg| match cmsg {
                     ControlMessageOwned::ScmTimestampns(at) => {
                         Some(at.tv_sec() as u64 * 1_000_000 + at.tv_nsec() as u64 / 1000)
@@ -70,40 +70,46 @@
                     _ => None,
                 })
             });
-            let whole = !message.flags.contains(MsgFlags::MSG_TRUNC);
+            let complete = !message.flags.contains(MsgFlags::MSG_TRUNC);
             if let Some(from) = message.address.as_ref().and_then(address) {
-                let octets = message.iovs().next().filter(|_| whole);
-                take(from, octets, stamp);
+                let octets = message.iovs().next().filter(|_| complete);
+                on_datagram(from, octets, received_us);
             }
         }
-        Ok(count == BATCH)
+        Ok(count == DATAGRAMS_PER_BATCH)
     }
 }
 
 /// Sends datagrams; tells how many the system took. What it has no room for is lost, as on any wire.
-pub fn send(socket: &UdpSocket, all: &[(SocketAddr, Vec<u8>)]) -> usize {
+pub fn send(socket: &UdpSocket, datagrams: &[(SocketAddr, Vec<u8>)]) -> usize {
     let mut sent = 0;
-    for batch in all.chunks(BATCH) {
+    for batch in datagrams.chunks(DATAGRAMS_PER_BATCH) {
         let addresses: Vec<Option<SockaddrStorage>> =
             batch.iter().map(|(to, _)| Some(SockaddrStorage::from(*to))).collect();
         let slices: Vec<[IoSlice; 1]> = batch.iter().map(|(_, octets)| [IoSlice::new(octets)]).collect();
-        let mut from = 0;
-        while from < batch.len() {
-            let mut headers = MultiHeaders::<SockaddrStorage>::preallocate(batch.len() - from, None);
-            let none: [ControlMessage; 0] = [];
+        let mut next = 0;
+        while next < batch.len() {
+            let mut headers = MultiHeaders::<SockaddrStorage>::preallocate(batch.len() - next, None);
+            let no_control_messages: [ControlMessage; 0] = [];
             let flags = MsgFlags::MSG_DONTWAIT;
-            let went =
-                sendmmsg(socket.as_raw_fd(), &mut headers, &slices[from..], &addresses[from..], none, flags);
-            match went.map(Iterator::count) {
+            let result = sendmmsg(
+                socket.as_raw_fd(),
+                &mut headers,
+                &slices[next..],
+                &addresses[next..],
+                no_control_messages,
+                flags,
+            );
+            match result.map(Iterator::count) {
                 Ok(0) => break,
                 Ok(count) => {
-                    from += count;
+                    next += count;
                     sent += count;
                 }
                 Err(nix::errno::Errno::EINTR) => {}
                 Err(nix::errno::Errno::EAGAIN) => return sent,
                 // One that can't be sent must not keep the others back.
-                Err(_) => from += 1,
+                Err(_) => next += 1,
             }
         }
     }
--- a/crates/testing/test-doubles/src/names.rs
+++ b/crates/testing/test-doubles/src/names.rs
@@ -1,7 +1,7 @@
 //! Resolvers and updaters that a names server meets, over loopback.
 
-use lynxtally_dns::client::{query, Client, Open};
-use lynxtally_dns::codec::{Answered, Question};
+use lynxtally_dns::client::{query, Client, ClientConnection};
+use lynxtally_dns::codec::{OutgoingRequest, Response};
 use lynxtally_dns::tsig::{Key, Signer};
 use lynxtally_zones::update::{UpdateClass, UpdateRecord};
 use lynxtally_zones::{Name, RecordType};
@@ -35,12 +35,12 @@
     }
 
     /// Asks; datagrams that answer something else are passed over.
-    pub fn ask(&mut self, name: &Name, kind: RecordType) -> io::Result<Answered> {
+    pub fn ask(&mut self, name: &Name, kind: RecordType) -> io::Result<Response> {
         self.id = self.id.wrapping_add(1);
         self.socket.send(&query(self.id, name, kind).write(None))?;
         loop {
             let length = self.socket.recv(&mut self.room)?;
-            match Answered::read(&self.room[..length]) {
+            match Response::read(&self.room[..length]) {
                 Some(answered) if answered.id == self.id => return Ok(answered),
                 _ => {}
             }
@@ -51,7 +51,7 @@
 /// An updater that keeps one connection.
 pub struct Updater {
     client: Client,
-    open: Open,
+    open: ClientConnection,
     zone: Name,
     id: u16,
 }
@@ -59,24 +59,29 @@
 impl Updater {
     /// One that signs with a key.
     pub fn new(server: SocketAddr, key: Arc<Key>, zone: Name, id: u16) -> io::Result<Self> {
-        let client = Client { server, key: Some(key), patience: PATIENCE };
+        let client = Client { server, key: Some(key), timeout: PATIENCE };
         Ok(Self { open: client.connect()?, client, zone, id })
     }
 
     /// A signed update, as octets: to be sent once or more often.
     pub fn message(&mut self, needs: &[UpdateRecord], edits: &[UpdateRecord], lease: Option<u32>) -> Vec<u8> {
         self.id = self.id.wrapping_add(1);
-        let question =
-            Question { opcode: 5, needs, edits, lease, ..query(self.id, &self.zone, RecordType::SOA) };
+        let question = OutgoingRequest {
+            opcode: 5,
+            prerequisites: needs,
+            updates: edits,
+            lease,
+            ..query(self.id, &self.zone, RecordType::SOA)
+        };
         let key = self.client.key.clone().expect("it has one");
-        question.write(Some(&mut Signer::asking(key, lynxtally_dns::client::unix_now())))
+        question.write(Some(&mut Signer::for_request(key, lynxtally_dns::client::unix_now())))
     }
 
     /// Sends octets and takes the answer to them.
-    pub fn exchange(&mut self, octets: &[u8]) -> io::Result<Answered> {
+    pub fn exchange(&mut self, octets: &[u8]) -> io::Result<Response> {
         self.open.send(octets)?;
         let answer = self.open.receive()?;
-        Answered::read(&answer).ok_or_else(|| io::Error::other("no answer"))
+        Response::read(&answer).ok_or_else(|| io::Error::other("no answer"))
     }
 
     /// Sends an update; tells its code.
