--- a/crates/frontends/dns/src/connection.rs
+++ b/crates/frontends/dns/src/connection.rs
@@ -1,5 +1,5 @@
-//! Connections over TCP: messages behind their length (RFC 1035 section 4.2.2), several on one connection, and
-//! answers in whatever order they are ready (RFC 7766).
+//! TCP connections of clients: messages prefixed by their length (RFC 1035 section 4.2.2), several at once on one
+//! connection, and responses in the order in which they are ready (RFC 7766).
 
 use crate::executor::{OutgoingTransfer, Transport};
 use lynxtally::RequestId;
@@ -16,47 +16,46 @@
 use std::time::Duration;
 use tracing::{debug, warn};
 
-/// Writing a message of a transfer needs more of it than anything else; only what is touched takes memory.
+/// Stack of a connection's coroutine, sized for writing a transfer message. Only touched pages take memory.
 const STACK_WORDS: usize = 0x4000;
-/// Messages on one connection that wait for their answers, and octets that wait to be written, at most. What
-/// comes beyond is read later.
+/// Limits of one connection: requests without a response, and bytes not yet written. At a limit it is not read.
 const MAX_PENDING_RESPONSES: usize = 64;
 const MAX_OUTPUT_BYTES: usize = 128 * 1024;
-/// A connection that carries nothing for so long is closed (RFC 7766 section 6.2.3 leaves it to the server).
+/// A connection that is idle for so long is closed (RFC 7766 section 6.2.3 leaves the time to the server).
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What a connection is told.
+/// A command of the server thread to a connection.
 pub enum ConnectionCommand {
-    /// An answer.
+    /// Send a response.
     Respond(Vec<u8>),
-    /// A transfer.
+    /// Send the messages of a transfer.
     StartTransfer(Box<OutgoingTransfer>),
-    /// What is under way can't be ended well.
+    /// Close at once, because a transfer can't be completed or the client sends no requests.
     Abort,
-    /// Close where nothing is under way.
+    /// Close if the connection is idle.
     Close(CloseReason),
 }
 
-/// What the owner hears of connections.
+/// What a connection reports to the server thread.
 pub enum ConnectionEvent {
-    /// A message came.
+    /// A message was received from this address.
     MessageReceived(Vec<u8>, SocketAddr, ConnectionHandle),
-    /// A connection ended; what is open on it nobody waits for.
+    /// The connection closed; the client of its open requests is gone.
     Closed(ConnectionHandle, CloseReason),
-    /// A transfer ended, well or not.
+    /// A transfer ended: its request, its call, and whether it was sent completely.
     TransferEnded(RequestId, u64, bool),
 }
 
-/// A connection, as the owner knows it.
+/// The server thread's handle on a connection.
 #[derive(Clone)]
 pub struct ConnectionHandle(pub Arc<Mailbox<ConnectionCommand>>);
 
-/// Where an answer evicted.
+/// How a response reaches its client.
 #[derive(Clone)]
 pub enum ResponsePath {
-    /// A datagram, by the number of the socket.
+    /// As a datagram, from the socket with this index.
     Udp(usize),
-    /// A connection.
+    /// On a TCP connection.
     Tcp(ConnectionHandle),
 }
 
@@ -77,7 +76,7 @@
     }
 }
 
-/// All connections.
+/// All open TCP connections and the listeners.
 pub struct Connections {
     table: ConnectionTable<ConnectionHandle>,
     listeners: ListenerSet,
@@ -86,7 +85,7 @@
 }
 
 impl Connections {
-    /// So many at most; `news` hears of all that comes.
+    /// At most `max_connections` at once; `on_event` receives the events of all connections.
     pub fn new(
         max_connections: usize,
         timer: Timer,
@@ -101,41 +100,41 @@
         }
     }
 
-    /// How many there are.
+    /// The number of open connections.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether there are none.
+    /// Whether no connection is open.
     pub fn is_empty(&self) -> bool {
         self.table.is_empty()
     }
 
-    /// Has those closed that carried nothing for long, or for any time at all.
+    /// Closes the connections that were idle for [`IDLE_TIMEOUT`], or with `all` every idle one.
     pub fn close_idle(&self, all: bool) {
         for handle in self.table.idle_for(if all { Duration::ZERO } else { IDLE_TIMEOUT }) {
             handle.0.push(ConnectionCommand::Close(CloseReason::IdleTimeout));
         }
     }
 
-    /// Takes no connections any more, and has all that rest closed; waits until nobody listens.
+    /// Stops accepting, waits until the listeners are closed, and closes all idle connections.
     pub fn close(&self) {
         self.close_idle(true);
         self.listeners.close();
         self.close_idle(true);
     }
 
-    /// Takes connections until they are closed.
+    /// Accepts connections until [`Self::close`].
     pub fn accept(self: &Arc<Self>, listener: TcpListener) {
         self.listeners.accept(listener, |stream, from| self.open(stream, from));
     }
 
-    /// Where the table is full, the one that rests longest evicted, else the new one.
+    /// Serves a new connection. If the table is full, the longest idle one is closed for it, or the new one if all are busy.
     fn open(self: &Arc<Self>, stream: TcpStream, from: SocketAddr) {
         let Ok(socket) = net::Connection::new(stream) else { return };
         let handle = ConnectionHandle(Arc::default());
         let Ok(Inserted { number, evicted }) = self.table.insert(handle.clone()) else {
-            return debug!(%from, "no room for a connection");
+            return debug!(%from, "connection refused: the table is full of busy connections");
         };
         if let Some(evicted) = evicted {
             evicted.0.push(ConnectionCommand::Close(CloseReason::Evicted));
@@ -157,7 +156,7 @@
         };
         let connections = self.clone();
         let on_panic = move |panic: Panic| {
-            warn!(%panic, "a connection's coroutine failed");
+            warn!(%panic, "connection closed: its coroutine panicked");
             connections.table.remove(number);
             (connections.on_event)(ConnectionEvent::Closed(handle.clone(), CloseReason::InternalError));
         };
@@ -172,7 +171,7 @@
     number: u64,
     from: SocketAddr,
     handle: &'a ConnectionHandle,
-    /// Messages whose answers are awaited.
+    /// Requests that have no response yet.
     pending_responses: usize,
     transfers: Vec<OutgoingTransfer>,
 }
@@ -237,7 +236,7 @@
                 return reason;
             }
             self.connections.table.set_idle(self.number, idle && buffer.is_empty());
-            // More may be there to be read or written without a further sign of it.
+            // A full buffer or a limit left data unread, for which the socket reports no further event.
             let room =
                 self.pending_responses < MAX_PENDING_RESPONSES && socket.output().len() < MAX_OUTPUT_BYTES;
             let more = received
@@ -246,7 +245,7 @@
                     && filled == ReadProgress::BufferFull
                     && buffer.len() < 2 + crate::codec::MAX_MESSAGE_BYTES);
             if more || (!self.transfers.is_empty() && socket.is_flushed()) {
-                // A coroutine that only yields is the next again, for as long as its transfer lasts.
+                // A plain yield would run this coroutine next again, and keep the others waiting for a whole transfer.
                 socket.yield_to_others(&self.connections.fair_yield);
             } else {
                 socket.wait();
@@ -254,7 +253,7 @@
         }
     }
 
-    /// Adds messages of the transfers under way, no more than can wait to be written.
+    /// Adds messages of the current transfers to the output, until it is half full.
     fn write_transfers(&mut self, socket: &mut net::Connection) {
         while socket.output().len() < MAX_OUTPUT_BYTES / 2 {
             let Some(transfer) = self.transfers.first_mut() else { return };
@@ -262,7 +261,7 @@
                 Some(octets) => push_framed(socket.output(), &octets),
                 None => {
                     let transfer = self.transfers.remove(0);
-                    // Its answer is what went out: none is awaited any more.
+                    // The transfer's messages were the response.
                     self.pending_responses = self.pending_responses.saturating_sub(1);
                     (self.connections.on_event)(ConnectionEvent::TransferEnded(
                         transfer.request_id,
@@ -274,7 +273,7 @@
         }
     }
 
-    /// Takes the whole messages that came; tells whether there was any.
+    /// Reports the complete messages in the buffer; true if there was one.
     fn read_messages(&mut self, buffer: &mut Vec<u8>) -> Result<bool, CloseReason> {
         let mut at = 0;
         while let Some(head) =
@@ -295,7 +294,7 @@
         }
         buffer.drain(..at);
         if buffer.is_empty() {
-            // What rests needs no buffer.
+            // An idle connection keeps no buffer.
             *buffer = Vec::new();
         }
         Ok(at > 0)
--- a/crates/frontends/dns/src/executor.rs
+++ b/crates/frontends/dns/src/executor.rs
@@ -1,5 +1,5 @@
-//! The executor of the front: zones, what they answer, and what waits for the log. It knows no socket; what is
-//! to be made durable, streamed or done aside it leaves for the driver.
+//! Executes DNS requests on the zones: lookups, updates, transfers and NOTIFY. An update is answered once its log
+//! entry is durable. Sockets, log writes and slow jobs are left to the server thread.
 
 use crate::codec::{
     self, ExtendedError, Request, RequestBody, ResponseCode, ResponseContent, ResponseLimits,
@@ -24,41 +24,41 @@
 use std::sync::Arc;
 use tracing::{error, info, warn};
 
-/// Where an answer goes.
+/// How a response reaches its client.
 pub trait Transport: Clone {
-    /// Has a transfer sent on its connection; false where there is none.
+    /// Starts a transfer on the client's TCP connection; false if there is none.
     fn start_transfer(&self, transfer: Box<OutgoingTransfer>) -> bool;
-    /// Cuts the connection, as what went out on it can't be ended well.
+    /// Closes the connection at once, because a transfer on it can't be completed.
     fn abort(&self);
 }
 
-/// One message and all that is known of it: what the host holds on both sides.
+/// A request with all that is needed to answer it. The engine holds it for the executor and for the responder.
 pub struct RequestContext<P> {
-    /// The message.
+    /// The parsed message.
     pub request: Request,
-    /// Where its answer goes.
+    /// Where its response is sent.
     pub peer: P,
-    /// Who sent it.
+    /// The client's address.
     pub from: SocketAddr,
-    /// What signs its answer.
+    /// Signs the response, if the request was signed.
     pub signer: Option<Signer>,
-    /// How long the answer may be.
+    /// The size limits of the response.
     pub limits: ResponseLimits,
-    /// The cookie that goes along.
+    /// The client and server cookie for the response.
     pub cookie: Option<[u8; 24]>,
-    /// Whether a transfer has begun to go out.
+    /// Whether a transfer has been started for it.
     pub streaming: AtomicBool,
 }
 
 impl<P> RequestContext<P> {
-    /// Writes an answer to it.
+    /// Writes a response with this content.
     pub fn write(&self, content: &ResponseContent) -> Vec<u8> {
         let mut signer = self.signer.clone();
         let content = ResponseContent { cookie: self.cookie, ..content.clone() };
         codec::write_response(&self.request, &content, self.limits, signer.as_mut())
     }
 
-    /// Writes an answer that has nothing but a code and a reason.
+    /// Writes a response without records: a code and an extended error.
     pub fn code(&self, code: ResponseCode, reason: Option<(ExtendedError, String)>) -> Vec<u8> {
         self.write(&ResponseContent { code: Some(code), reason, ..ResponseContent::default() })
     }
@@ -68,17 +68,17 @@
     }
 }
 
-/// A transfer as it goes out: from one version, however long it takes.
+/// A transfer that is being sent. All of it comes from one version of the zone.
 pub struct OutgoingTransfer {
-    /// The request_id and its call, for its end.
+    /// The request that asked for it.
     pub request_id: RequestId,
-    /// See there.
+    /// The call of that request, whose end is reported when the transfer ends.
     pub call_number: u64,
-    /// What is sent.
+    /// Produces the messages.
     pub writer: codec::TransferWriter,
 }
 
-/// An update that waits to be durable.
+/// An update that is answered once all log entries below `durable_below` are durable.
 struct PendingUpdate {
     request_id: RequestId,
     call_number: u64,
@@ -87,24 +87,24 @@
     lease: Option<Span>,
 }
 
-/// One zone.
+/// A zone with its log and its replication state.
 pub struct ZoneState {
     /// Its settings.
     pub settings: settings::ZoneSettings,
-    /// Its versions; none before a secondary has one.
+    /// Its versions; `None` for a secondary before its first transfer.
     pub store: Option<ZoneStore>,
-    /// Its log.
+    /// Its write-ahead log.
     pub journal: WriteAheadLog,
-    /// Where it follows primaries.
+    /// The refresh state, if the zone is a secondary.
     pub secondary: Option<SecondaryZone>,
-    /// Who is told of new versions.
+    /// Which secondaries are due a NOTIFY.
     pub notify_sender: NotifySender,
-    /// Whether its file is being read again.
+    /// Whether its zone file is being read for a reload.
     pub file_read_running: bool,
     pending_updates: VecDeque<PendingUpdate>,
-    /// Up to which number its entries are durable.
+    /// All log entries below this number are durable.
     durable_below: u64,
-    /// A snapshot is wanted once all is durable; updates wait for that.
+    /// Whether the log is to be rotated once all its entries are durable. Until then updates are deferred.
     rotation_requested: bool,
     /// Whether a snapshot is being written.
     pub snapshot_running: bool,
@@ -112,7 +112,7 @@
 }
 
 impl ZoneState {
-    /// A zone as it was found.
+    /// A zone as loaded at the start.
     pub fn new(
         settings: settings::ZoneSettings,
         store: Option<ZoneStore>,
@@ -136,13 +136,13 @@
         }
     }
 
-    /// The version that answers come from; none where it may not be served.
+    /// The version that queries are answered from; `None` if there is none or it has expired.
     pub fn served(&self) -> Option<&Arc<Zone>> {
         let fit = self.secondary.as_ref().is_none_or(SecondaryZone::serves);
         self.store.as_ref().filter(|_| fit).map(ZoneStore::current)
     }
 
-    /// Puts an entry on the log.
+    /// Appends an entry to the log.
     fn append_entry(&mut self, entry: &ZoneLogEntry) {
         let entry_number = self.journal.append(&encode(entry));
         if let Some(store) = &mut self.store {
@@ -151,44 +151,44 @@
     }
 }
 
-/// Counters of the front.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExecutorCounts {
-    /// Answers by their code.
+    /// Responses by response code.
     pub codes: [u64; 17],
-    /// Updates that were repeats.
+    /// Updates that repeated an earlier one and got its result.
     pub repeats: u64,
-    /// Versions that came into force.
+    /// Zone versions that became durable and were served.
     pub versions: u64,
-    /// Records that lapsed.
+    /// Records removed because their lease expired.
     pub lapsed: u64,
-    /// Transfers begun.
+    /// Transfers started.
     pub transfers: u64,
 }
 
-/// The executor.
+/// The executor of DNS requests.
 pub struct ZoneExecutor<P> {
     /// The zones.
     pub zones: Vec<ZoneState>,
     by_apex: HashMap<Box<[u8]>, usize>,
-    /// Runs that ended, for the host.
+    /// Runs that ended, to be reported to the engine.
     pub ended_runs: Vec<(RequestId, RunEnd)>,
-    /// Runs that stand at a call.
+    /// Requests that need a call: an update that waits for the log, or a transfer.
     pub call_requests: Vec<RequestId>,
-    /// Calls that ended.
+    /// Calls that ended, to be reported to the engine.
     pub ended_calls: Vec<(RequestId, u64, CallOutcome)>,
-    /// Notices from primaries, for the driver.
+    /// Zones for which a primary sent a NOTIFY, to be refreshed by the server thread.
     pub notified_zones: Vec<usize>,
-    /// The time of this turn.
+    /// The current time, set by the server thread.
     pub now: Instant,
-    /// Counters.
+    /// Counters since the start.
     pub counts: ExecutorCounts,
     contexts: HashMap<RequestId, Arc<RequestContext<P>>>,
     max_log_bytes: u64,
 }
 
 impl<P: Transport> ZoneExecutor<P> {
-    /// Serves these zones; logs longer than so many octets are shortened.
+    /// Serves these zones. A log longer than `max_log_bytes` is replaced by a snapshot.
     pub fn new(zones: Vec<ZoneState>, max_log_bytes: u64) -> Self {
         let by_apex =
             zones.iter().enumerate().map(|(n, zone)| (zone.settings.apex.wire().into(), n)).collect();
@@ -206,12 +206,12 @@
         }
     }
 
-    /// The zone with this apex.
+    /// The index of the zone with this apex, in wire format.
     pub fn zone(&self, apex: &[u8]) -> Option<usize> {
         self.by_apex.get(apex).copied()
     }
 
-    /// The zone that a name is in: the longest one.
+    /// The zone that a name belongs to: the one with the longest matching apex.
     fn closest_zone(&self, name: &[u8]) -> Option<usize> {
         let mut offset = 0;
         loop {
@@ -262,7 +262,7 @@
         })
     }
 
-    /// A transfer: none where it can go out, else the answer that it can't.
+    /// Checks a transfer request: `None` if the transfer may start, else the response that refuses or replaces it.
     fn transfer(&self, context: &RequestContext<P>, from: Option<Serial>, over_tcp: bool) -> Option<Vec<u8>> {
         let refuse = |code, reason: ExtendedError, text: &str| {
             Some(context.code(code, Some((reason, text.to_owned()))))
@@ -292,7 +292,7 @@
         if from.is_none() {
             return refuse(ResponseCode::FORMERR, ExtendedError::NotSupported, "whole transfers go over TCP");
         }
-        // Over UDP the newest SOA says whether anything changed (RFC 1995 section 2).
+        // Over UDP only the current SOA is sent, which says whether anything changed (RFC 1995 section 2).
         let soa = version.soa_record().map(|soa| ResponseSet {
             owner: Cow::Owned(soa.name.wire().to_vec()),
             kind: soa.kind,
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Judges an update and puts it on the log; what can't be is answered at once.
+    /// Checks and applies an update and appends it to the log. A request that can't be an update is answered at once.
     fn update(&mut self, request_id: RequestId, call_number: u64, context: &RequestContext<P>) {
         let RequestBody::Update { prerequisites, updates, digest } = &context.request.body else { return };
         let Some(zone_index) = self.zone(context.request.name.wire()) else {
@@ -403,7 +403,7 @@
         self.ended_runs.push((request_id, RunEnd::Completed(octets)));
     }
 
-    /// Answers the updates whose entries are durable.
+    /// Answers the pending updates whose log entries are durable.
     pub fn answer_durable_updates(&mut self) {
         for zone_index in 0..self.zones.len() {
             let durable_below = self.zones[zone_index].durable_below;
@@ -425,7 +425,7 @@
         }
     }
 
-    /// All entries of a zone below this number are durable. Tells whether another version is in force now.
+    /// Records that a zone's log entries below this number are durable. True if that put a new version in force.
     pub fn entries_durable(&mut self, zone_index: usize, durable_below: u64) -> bool {
         let (now, zone) = (self.now, &mut self.zones[zone_index]);
         zone.durable_below = zone.durable_below.max(durable_below);
@@ -439,31 +439,31 @@
         new_version
     }
 
-    /// A zone's log failed: nothing that waits for it will be durable, and it takes nothing more.
+    /// Freezes a zone whose log failed and fails its pending updates.
     pub fn log_failed(&mut self, zone_index: usize, why: &str) {
         let zone = &mut self.zones[zone_index];
         if matches!(zone.store.as_ref().and_then(ZoneStore::frozen), Some(FreezeReason::LogFailed(_))) {
             return;
         }
-        error!(zone = %zone.settings.apex, why, "the log failed; the zone takes no updates and serves what it has");
+        error!(zone = %zone.settings.apex, why, "zone log failed: refusing updates and serving the last durable version");
         if let Some(store) = &mut zone.store {
             store.log_failed(why.to_owned());
         }
-        // They may be on the disk or not: nobody can promise either.
+        // Whether their entries reached the disk is unknown.
         for PendingUpdate { request_id, call_number, .. } in zone.pending_updates.drain(..) {
             self.ended_calls.push((request_id, call_number, CallOutcome::MaybeExecuted));
             self.ended_runs.push((request_id, RunEnd::Failed));
         }
     }
 
-    /// What is to be made durable, by zone.
+    /// The log entries to write, by zone index.
     pub fn batches(&mut self) -> Vec<(usize, Batch)> {
         let batches = self.zones.iter_mut().enumerate();
         batches.filter_map(|(zone_index, zone)| Some((zone_index, zone.journal.take_batch()?))).collect()
     }
 
-    /// Begins a generation of the log where it is long and all of it is durable; the store goes out as it
-    /// stands, for the snapshot. What waited for that is judged.
+    /// Starts a new log generation if the log is too long or `force` is set, once all entries are durable. Returns a copy
+    /// of the store for the snapshot, and applies the updates that were deferred.
     pub fn rotate_log(&mut self, zone_index: usize, force: bool) -> Option<(Rotation, ZoneStore)> {
         let (max_log_bytes, zone) = (self.max_log_bytes, &mut self.zones[zone_index]);
         zone.rotation_requested |=
@@ -483,7 +483,7 @@
         Some((rotation, store))
     }
 
-    /// Takes out what ran out of its lease.
+    /// Removes the records whose lease expired.
     pub fn expire_leases(&mut self, zone_index: usize) {
         let (now, zone) = (self.now, &mut self.zones[zone_index]);
         if zone.rotation_requested {
@@ -493,32 +493,34 @@
         let (entry, expiry) = store.expire_leases(now);
         let apex = &zone.settings.apex;
         match expiry.turned {
-            Some(true) => warn!(%apex, "many leases ran out together: the path is suspect, all names stay"),
-            Some(false) => info!(%apex, "leases are renewed again: names lapse as before"),
+            Some(true) => {
+                warn!(%apex, "many leases expired together, the network path to their holders may be down: expired records are kept")
+            }
+            Some(false) => info!(%apex, "leases are renewed again: expired records are removed again"),
             None => {}
         }
         self.counts.lapsed += expiry.gone.len() as u64;
         for (name, kind, data) in &expiry.gone {
-            info!(%apex, "lapsed: {name} {kind} {}", kind.write(data));
+            info!(%apex, "lease expired, record removed: {name} {kind} {}", kind.write(data));
         }
         if let Some(entry) = entry {
             zone.append_entry(&entry);
         }
     }
 
-    /// Takes a file over that was read again. Versions that are not needed any more come out.
+    /// Applies a reloaded zone file. Returns the versions that are no longer needed, to be dropped in the background.
     pub fn apply_reload(&mut self, zone_index: usize, file: String, prepared: PreparedReload) -> Vec<Zone> {
         let zone = &mut self.zones[zone_index];
         let Some(store) = &mut zone.store else { return Vec::new() };
         let (entry, conflicts, retired) = store.reload(file, prepared);
         for conflict in conflicts {
-            warn!(zone = %zone.settings.apex, "file and updates meet: {conflict}");
+            warn!(zone = %zone.settings.apex, "zone file conflicts with dynamic updates: {conflict}");
         }
         zone.append_entry(&entry);
         retired
     }
 
-    /// Takes a whole version from a primary over.
+    /// Applies a full transfer from a primary. Returns the versions that are no longer needed.
     pub fn apply_full_transfer(
         &mut self,
         zone_index: usize,
@@ -544,7 +546,7 @@
         }
     }
 
-    /// Takes changes from a primary over; false where they don't fit.
+    /// Applies an incremental transfer from a primary; false if it doesn't match the current version.
     pub fn apply_incremental_transfer(&mut self, zone_index: usize, changes: &[Change]) -> bool {
         let zone = &mut self.zones[zone_index];
         let Some(store) = &mut zone.store else { return false };
@@ -554,36 +556,36 @@
                 true
             }
             Err(mismatch) => {
-                warn!(zone = %zone.settings.apex, "changes don't fit: {mismatch}; the whole zone is asked for");
+                warn!(zone = %zone.settings.apex, "incremental transfer can't be applied: {mismatch}; requesting a full transfer");
                 false
             }
         }
     }
 
-    /// What a secondary's zone does next.
+    /// The refresh step that is due for a secondary zone.
     pub fn next_secondary_action(&mut self, zone_index: usize) -> Option<SecondaryAction> {
         let (now, zone) = (self.now, &mut self.zones[zone_index]);
         let action = zone.secondary.as_mut()?.due(now);
         if action == Some(SecondaryAction::Expire) {
-            warn!(zone = %zone.settings.apex, "no primary was heard for as long as the zone allows; it is not served");
+            warn!(zone = %zone.settings.apex, "secondary zone expired: no primary answered within the SOA expire time; queries get SERVFAIL");
         }
         action
     }
 
-    /// A call that can't be made now nor later ends its run; it counts as made.
+    /// Fails a request whose call can't be made. The call counts as possibly executed, so that it is not retried.
     fn fail_call(&mut self, request_id: RequestId, call_number: u64) -> bool {
         self.ended_calls.push((request_id, call_number, CallOutcome::MaybeExecuted));
         self.ended_runs.push((request_id, RunEnd::Failed));
         true
     }
 
-    /// A message is known by its request_id from now on, for as long as it waits for something.
+    /// Keeps a request's context until the request is released.
     fn keep_context(&mut self, request_id: RequestId, context: &Arc<RequestContext<P>>) {
         self.contexts.insert(request_id, context.clone());
     }
 }
 
-/// The code that says why an update was refused.
+/// The response code for a refused update (RFC 2136 section 2.2).
 fn update_response_code(error: UpdateError) -> ResponseCode {
     match error {
         UpdateError::Malformed => ResponseCode::FORMERR,
@@ -633,7 +635,7 @@
             RequestBody::Transfer(from) => {
                 let zone = self.zone(work.request.name.wire()).map(|zone_index| &self.zones[zone_index]);
                 let version = zone.and_then(|zone| Some((zone, zone.served()?.clone())));
-                // Expired since it was let in: told that it failed, not tried again and again.
+                // The zone expired after the request was admitted: the request fails and is not retried.
                 let Some((zone, version)) = version else { return self.fail_call(request_id, call_number) };
                 let changes = from.and_then(|from| zone.store.as_ref()?.changes_since(from));
                 let from = *from;
@@ -641,7 +643,7 @@
                     codec::TransferWriter::new(&work.request, version, from, changes, work.signer.clone());
                 work.streaming.store(true, Ordering::Relaxed);
                 self.counts.transfers += 1;
-                // Where the connection is gone meanwhile, the owner hears of it soon.
+                // If the connection has closed, its `Closed` event follows.
                 work.peer.start_transfer(Box::new(OutgoingTransfer { request_id, call_number, writer }))
                     || self.fail_call(request_id, call_number)
             }
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -1,5 +1,5 @@
-//! The server: one thread owns the host and the zones, reads datagrams by the batch, and hands out what is to
-//! be made durable, streamed or done aside. It makes no choice.
+//! The DNS server. One thread owns the engine and the zones: it reads datagrams in batches, handles events, and passes
+//! log writes, transfers and slow jobs to other threads. What is run or rejected is decided by the scheduler.
 
 use crate::client::{self, Client};
 use crate::codec::{
@@ -44,47 +44,48 @@
 use tracing::{error, info, warn};
 
 const STACK_WORDS: usize = 0x4000;
-/// Batches of datagrams, and other messages, in one turn at most.
+/// Limits on what one pass of the server loop reads per socket, in batches of datagrams, and from the event queue.
 const MAX_BATCHES_PER_TURN: usize = 2;
 const MAX_EVENTS_PER_TURN: usize = 64;
-/// A base that nothing names yet stays for so long; its entry is on the log within seconds.
+/// A base file that nothing references is kept for so long: the log entry that names it is written within seconds.
 const MIN_BASE_AGE: Duration = Duration::from_secs(600);
-/// Idle connections are looked for this often.
+/// How often idle connections are looked for.
 const IDLE_CHECK_INTERVAL: Span = Span::from_millis(1000);
 
-/// What the owner hears.
+/// An event for the server thread. Zones are given by their index.
 pub enum ServerEvent {
-    /// Of connections.
+    /// A TCP connection received a message, closed, or finished a transfer.
     Connection(ConnectionEvent),
-    /// Entries of a zone are durable up to a call_number, or its log failed.
+    /// All entries of a zone's log below this number are durable, or writing the log failed.
     LogDurable(usize, Result<u64, String>),
-    /// A file was read again.
+    /// A zone file was read for a reload: the name of its base file and the prepared version, or why it was refused.
+    /// The sender returns the result to the operator's program that asked.
     FileRead(usize, Result<(String, Box<PreparedReload>), String>, Option<Sender<String>>),
-    /// A snapshot was written, or not.
+    /// A zone's snapshot was written, or writing it failed.
     SnapshotWritten(usize, Result<(), String>),
-    /// A primary told its serial.
+    /// A primary returned its serial, or the query failed.
     PrimarySerial(usize, Result<Serial, String>),
-    /// A transfer came.
+    /// A transfer from a primary ended.
     TransferReceived(usize, Result<TransferOutcome, String>),
-    /// A secondary heard of a version.
+    /// A secondary acknowledged the NOTIFY of a serial: zone, index of the secondary, serial.
     NotifyAcknowledged(usize, usize, Serial),
-    /// An operator says something.
+    /// An operator's command; its reply is sent to the sender.
     Command(Command, Sender<String>),
-    /// The notice to leave.
+    /// Finish the open requests and stop.
     Shutdown,
 }
 
-/// What a transfer brought.
+/// The result of a transfer from a primary.
 pub enum TransferOutcome {
-    /// Nothing newer.
+    /// The primary has nothing newer than this serial.
     UpToDate(Serial),
-    /// A version, the file that holds it, and what changed.
+    /// A full version: its base file, its records, and the change from the version before.
     Full(String, Box<Zone>, Box<Change>),
-    /// What changed.
+    /// The changes since the version that the secondary has.
     Incremental(Vec<Change>),
 }
 
-/// What falls due here.
+/// The timers of the server; a zone has one for leases, refresh and NOTIFY.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum TimerKey {
     CloseIdle,
@@ -92,7 +93,7 @@
     ForceExit,
 }
 
-/// What is done aside, so that no answer waits for it.
+/// A job for the background thread, so that no response waits for it.
 enum BackgroundJob {
     ReadZoneFile {
         zone: usize,
@@ -109,7 +110,7 @@
     DropZones(#[allow(dead_code)] Vec<Zone>),
 }
 
-/// Where final answers go.
+/// Sends final responses: datagrams are collected and sent by [`Self::flush`], TCP responses go to their connection.
 struct ResponseSender {
     sockets: Vec<Arc<UdpSocket>>,
     outgoing: Vec<Vec<(SocketAddr, Vec<u8>)>>,
@@ -142,7 +143,7 @@
         use crate::executor::Transport;
         let streaming = context.streaming.load(Ordering::Relaxed);
         let octets = match response {
-            // What went out on the connection is the answer.
+            // A finished transfer: its messages were the response.
             FinalResponse::Completed(octets) if octets.is_empty() => return true,
             FinalResponse::Completed(octets) => octets,
             _ if streaming => {
@@ -164,29 +165,29 @@
     }
 }
 
-/// What the owner is to hear, and how it is woken where it sleeps.
+/// The events that wait for the server thread, and how it is woken.
 struct QueueState {
     pending: Mutex<VecDeque<ServerEvent>>,
     asleep: AtomicBool,
     wakeup: EventFd,
 }
 
-/// A server's handle on itself: who wants it to hear something.
+/// The queue of events for the server thread.
 #[derive(Clone)]
 pub struct EventQueue(Arc<QueueState>);
 
 impl EventQueue {
     fn new() -> Result<Self, String> {
         let wakeup = EventFd::from_flags(EfdFlags::EFD_NONBLOCK)
-            .map_err(|fault| format!("no event can be made: {fault}"))?;
+            .map_err(|fault| format!("eventfd can't be created: {fault}"))?;
         Ok(Self(Arc::new(QueueState { pending: Mutex::default(), asleep: AtomicBool::new(false), wakeup })))
     }
 
-    /// Has the owner hear something.
+    /// Adds an event and wakes the server thread.
     pub fn push(&self, event: ServerEvent) {
         lock(&self.0.pending).push_back(event);
         if self.0.asleep.swap(false, Ordering::SeqCst) {
-            // A full counter wakes as well.
+            // The write fails only where the counter is full, and then the event is readable already.
             let _ = self.0.wakeup.write(1);
         }
     }
@@ -195,15 +196,15 @@
         lock(&self.0.pending).pop_front()
     }
 
-    /// Sleeps until a datagram comes, something is said, or so long has passed.
+    /// Waits until a datagram arrives, an event is added, or the timeout passes.
     fn wait(&self, sockets: &[Arc<UdpSocket>], timeout: Option<Duration>) {
         self.0.asleep.store(true, Ordering::SeqCst);
-        // What was said before that rang no bell.
+        // An event that was added before `asleep` was set did not signal `wakeup`.
         if lock(&self.0.pending).is_empty() {
             let mut fds: Vec<PollFd> =
                 sockets.iter().map(|s| PollFd::new(s.as_fd(), PollFlags::POLLIN)).collect();
             fds.push(PollFd::new(self.0.wakeup.as_fd(), PollFlags::POLLIN));
-            // An interrupted sleep is a short one.
+            // An error, such as EINTR, only ends the wait early.
             let _ = ppoll(&mut fds, timeout.map(TimeSpec::from), None);
         }
         self.0.asleep.store(false, Ordering::SeqCst);
@@ -211,7 +212,7 @@
     }
 }
 
-/// The owner.
+/// The state of the server thread.
 pub struct Server<P> {
     settings: CheckedSettings,
     clock: Clock,
@@ -232,36 +233,36 @@
     requests_by_class: [u64; 5],
 }
 
-/// How a program's serving ended.
+/// What a server reports when it has stopped.
 pub struct ServerExit {
     /// All counters as one line of JSON.
     pub counters: String,
-    /// Whether each request_id read got one answer.
+    /// Whether every request that was read got exactly one response.
     pub counts_consistent: bool,
 }
 
-/// The module, as a names server has it.
+/// The scheduler for a DNS server's settings.
 pub fn new_policy(settings: &CheckedSettings, now: Instant) -> Policy {
     Policy::new(settings.policy.clone(), rand::rng().random(), now)
 }
 
-/// A server that listens already.
+/// A server that listens and runs on its own thread.
 pub struct RunningServer {
-    /// What to say to it.
+    /// The queue for commands to the server.
     pub events: EventQueue,
-    /// Where it listens, in the order of the settings.
+    /// The addresses that it listens on, in the order of the settings.
     pub addresses: Vec<SocketAddr>,
-    /// How it ended.
+    /// Receives one value when the server has stopped.
     pub exit: mpsc::Receiver<ServerExit>,
 }
 
-/// Starts a server; an error is one line. `decide` makes what decides.
+/// Loads the zones and starts a server; `decide` creates its scheduler. An error is one line of text.
 pub fn start<P: Scheduler + Send + 'static>(
     settings: CheckedSettings,
     decide: impl FnOnce(&CheckedSettings, Instant) -> P,
 ) -> Result<RunningServer, String> {
-    // Connections are light: one worker carries them all, bound to no core. With several, coroutines that were
-    // stolen from one worker by another were seen to miss what they waited for.
+    // One worker, pinned to no core, is enough for all connections. With several workers, coroutines that one worker
+    // stole from another were seen to miss the events that they waited for.
     may::config().set_workers(1).set_stack_size(STACK_WORDS).set_worker_pin(false);
     let clock = Clock::default();
     let now = clock.now();
@@ -272,7 +273,7 @@
     }
     let events = EventQueue::new()?;
     let (sockets, listeners, addresses) = open_sockets(&settings)?;
-    let timer = Timer::start().map_err(|fault| format!("a thread can't be started: {fault}"))?;
+    let timer = Timer::start().map_err(|fault| format!("the timer thread can't be started: {fault}"))?;
     let queue = events.clone();
     control::listen(&state, move |command, reply_sender| {
         queue.push(ServerEvent::Command(command, reply_sender))
@@ -288,7 +289,7 @@
         spawn(
             STACK_WORDS,
             move || acceptor.accept(listener),
-            |panic| error!(%panic, "no connections are taken any more"),
+            |panic| error!(%panic, "accept coroutine panicked: this listener accepts no more TCP connections"),
         )
         .map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
     }
@@ -335,15 +336,15 @@
         let mut server = server;
         let outcome = catch_panic(|| server.run());
         if let Err(panic) = &outcome {
-            error!(%panic, "the owner failed; every open task is answered that it failed");
+            error!(%panic, "server thread panicked: answering every open request with SERVFAIL and stopping");
             server.fail_open_requests();
         }
         server.connections.close();
         let counts_consistent = outcome.is_ok() && server.engine.counts().is_consistent();
         let counters = server.counters();
-        // Whoever hears of the end may use the addresses again.
+        // The sockets are closed before the exit is reported, so that the addresses can be bound again.
         drop(server);
-        // Who started it may be gone.
+        // Nobody may be waiting for the exit.
         let _ = exit_sender.send(ServerExit { counters, counts_consistent });
     };
     std::thread::Builder::new()
@@ -355,10 +356,10 @@
 
 type Sockets = (Vec<Arc<UdpSocket>>, Vec<TcpListener>, Vec<SocketAddr>);
 
-/// So often another port is tried where the system is to choose one.
+/// How many ports are tried where the system chooses one: the UDP port that it gives may be taken for TCP.
 const PORT_ATTEMPTS: usize = 16;
 
-/// Opens the sockets, UDP and TCP on the same port.
+/// Opens a UDP and a TCP socket on the same port for each address of the settings.
 fn open_sockets(settings: &CheckedSettings) -> Result<Sockets, String> {
     let mut all: Sockets = Default::default();
     for requested in &settings.listen {
@@ -383,12 +384,12 @@
     Ok(all)
 }
 
-/// Opens a state folder.
+/// Opens the folder that holds the zones' logs, snapshots and base files.
 pub fn open_state_folder(state: &Path) -> Result<DirectoryStorage, String> {
     DirectoryStorage::new(state).map_err(|fault| format!("{}: {fault}", state.display()))
 }
 
-/// The name of a zone's journal.
+/// The file name stem of a zone's log: its apex, with characters other than letters, digits and `-` as `_`.
 pub fn journal_name(zone: &settings::ZoneSettings) -> String {
     let text = zone.apex.to_string();
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
@@ -400,7 +401,7 @@
     }
 }
 
-/// Reads a zone's file; what is refused is logged, what makes it unusable is the error.
+/// Reads a zone file. Refused records are logged; the error says why the whole file can't be used.
 pub fn read_zone_file(path: &Path, zone: &settings::ZoneSettings) -> Result<Zone, String> {
     let shown = path.display().to_string();
     let text = std::fs::read(path).map_err(|fault| format!("{shown}: {fault}"))?;
@@ -416,7 +417,7 @@
     }
 }
 
-/// Reads a file that a zone's file names, within its folder also where links lead.
+/// Reads a file that a zone file includes. After symbolic links are resolved it must be in the zone file's folder.
 pub fn read_include(folder: &Path, name: &str) -> Result<Vec<u8>, String> {
     let folder = if folder.as_os_str().is_empty() { Path::new(".") } else { folder };
     let path = folder.join(name).canonicalize().map_err(|fault| fault.to_string())?;
@@ -427,7 +428,7 @@
     std::fs::read(path).map_err(|fault| fault.to_string())
 }
 
-/// Writes a base to its own file; tells its name.
+/// Writes a full version of a zone to a base file and returns the file's name.
 fn write_base(folder: &mut DirectoryStorage, name: &str, zone: &Zone) -> Result<String, String> {
     let file = format!("{name}.{:016x}.base", rand::rng().random::<u64>());
     let octets = lynxtally_wal::seal(u64::from(zone.serial().0), &encode_base(zone));
@@ -435,14 +436,14 @@
     Ok(file)
 }
 
-/// Reads it.
+/// Reads a base file; `None` if it is missing or damaged.
 pub fn read_base(folder: &mut DirectoryStorage, file: &str) -> Option<Zone> {
     let octets = folder.read(file).ok()??;
     decode_base(lynxtally_wal::unseal(&octets)?.content)
 }
 
-/// Takes a zone from its log, or from its file where it has none yet. A damaged log freezes the zone as far as it
-/// could be read; nothing is written to it then.
+/// Loads a zone from its log, or from its zone file if it has no log yet. With a damaged log the zone is frozen at the
+/// last readable entry, and nothing more is written to the log.
 pub fn load_zone(
     folder: &mut DirectoryStorage,
     zone: &settings::ZoneSettings,
@@ -453,13 +454,13 @@
     let (mut journal, found) = WriteAheadLog::open(folder, &name).map_err(|fault| fault.to_string())?;
     let limits = settings.limits.zone_store_limits();
     if let Some(cut) = &found.torn_tail {
-        warn!(zone = %zone.apex, file = cut.file, at = cut.offset, octets = cut.length, "an entry that broke off was cut off");
+        warn!(zone = %zone.apex, file = cut.file, at = cut.offset, octets = cut.length, "zone log ended in an incomplete entry, which was truncated");
     }
     let mut damage: Vec<String> = found.damage.iter().map(ToString::to_string).collect();
     let mut store = match found.snapshot {
         None if found.entries.is_empty() => None,
         None => {
-            damage.push(format!("{name}: entries without a snapshot"));
+            damage.push(format!("{name}: the log has entries but no snapshot"));
             None
         }
         Some(octets) => {
@@ -478,7 +479,7 @@
                 break;
             }
         }
-        info!(zone = %zone.apex, serial = %store.current().serial(), entries = found.entries.len(), "taken from its log");
+        info!(zone = %zone.apex, serial = %store.current().serial(), entries = found.entries.len(), "zone loaded from its log");
     } else if let Some(path) = &zone.file {
         let base = read_zone_file(path, zone)?;
         let file = write_base(folder, &name, &base)?;
@@ -486,11 +487,11 @@
         let rotation = journal.rotate();
         WriteAheadLog::write_snapshot(folder, &name, rotation, &encode(&new_store.snapshot()))
             .map_err(|fault| fault.to_string())?;
-        info!(zone = %zone.apex, serial = %new_store.current().serial(), records = new_store.current().records(), "read from its file");
+        info!(zone = %zone.apex, serial = %new_store.current().serial(), records = new_store.current().records(), "zone loaded from its zone file");
         store = Some(new_store);
     }
     if let Some(what) = damage.first() {
-        error!(zone = %zone.apex, what, "the log is damaged: the zone is served as far as it could be read, and frozen");
+        error!(zone = %zone.apex, what, "zone log is damaged: serving the zone as of the last readable entry and refusing updates");
         if let Some(store) = &mut store {
             store.freeze(FreezeReason::LogFailed(what.clone()));
         }
@@ -536,8 +537,7 @@
     }
 }
 
-/// Takes away bases that no snapshot or log that is left names: all but those of the last two snapshots and the
-/// logs after them.
+/// Deletes base files that no remaining snapshot or log names. The last two snapshots and the logs after them remain.
 fn remove_unreferenced_bases(state: &Path, folder: &mut DirectoryStorage, name: &str) {
     let Ok(files) = folder.list() else { return };
     let mut referenced = Vec::new();
@@ -548,12 +548,12 @@
             let Ok(snapshot) = decode::<Snapshot>(sealed.content) else { return };
             referenced.push(snapshot.base);
         } else if file.ends_with(".log") {
-            // A base that an entry names stands in it as text.
+            // A log entry holds the name of its base file as plain text.
             referenced.push(String::from_utf8_lossy(&octets).into_owned());
         }
     }
     for file in files.iter().filter(|file| file.starts_with(&format!("{name}.")) && file.ends_with(".base")) {
-        // One just written may be named by an entry that is on its way to the log.
+        // A recent base file may be named by an entry that is not yet written to the log.
         let written = std::fs::metadata(state.join(file)).and_then(|found| found.modified());
         let recent = written.is_ok_and(|modified| modified.elapsed().unwrap_or_default() < MIN_BASE_AGE);
         if !recent && !referenced.iter().any(|text| text.contains(file.as_str())) {
@@ -563,8 +563,8 @@
 }
 
 impl<P: Scheduler> Server<P> {
-    /// On a thread of its own: a coroutine that always has more to do would keep its worker from ever looking
-    /// for what other coroutines wait for.
+    /// The server loop. It needs a thread of its own: as a coroutine that always has work it would keep its worker from
+    /// polling for the events that other coroutines wait for.
     fn run(&mut self) {
         let mut buffers = udp::ReceiveBuffers::default();
         let sockets = self.responses.sockets.clone();
@@ -579,7 +579,7 @@
                     match received {
                         Ok(true) => more = true,
                         Ok(false) => break,
-                        Err(fault) => warn!(%fault, "datagrams can't be read"),
+                        Err(fault) => warn!(%fault, "receiving UDP datagrams failed"),
                     }
                 }
             }
@@ -601,7 +601,7 @@
         self.responses.flush();
     }
 
-    /// After a failure of our own: every open task is answered that it failed.
+    /// Answers every open request with SERVFAIL after the server thread panicked.
     fn fail_open_requests(&mut self) {
         for context in self.engine.fail_all() {
             let octets = context.code(ResponseCode::SERVFAIL, None);
@@ -610,7 +610,7 @@
         self.responses.flush();
     }
 
-    /// Has all that was heard decided on, carried out and sent.
+    /// Has the engine decide on what was received until nothing is left, then sends log batches and responses.
     fn run_engine(&mut self) {
         let now = self.executor.now;
         while let Some(due) = self.engine.expire_timers(now, &mut self.executor) {
@@ -626,7 +626,7 @@
             {
                 break;
             }
-            // What ran took its time: the module learns from it.
+            // The runs above took time that the scheduler has to account for.
             let now = self.clock.now();
             self.executor.now = now;
             for request_id in std::mem::take(&mut self.executor.call_requests) {
@@ -640,7 +640,7 @@
             }
         }
         for (zone, batch) in self.executor.batches() {
-            // The thread ends only with the program.
+            // The log thread runs as long as the program: the send can't fail.
             let _ = self.log_jobs.send(AppendJob { zone, batch });
         }
         for zone in std::mem::take(&mut self.executor.notified_zones) {
@@ -649,7 +649,7 @@
         self.responses.flush();
     }
 
-    /// A message was read: it becomes a request_id.
+    /// Reads a message, verifies its TSIG and cookie, and submits it to the engine as a request.
     fn handle_message(
         &mut self,
         octets: Option<&[u8]>,
@@ -668,7 +668,7 @@
                     (RequestError::Respond(octets), via) => {
                         self.responses.send(via, from, octets);
                     }
-                    // A connection on which something else than questions comes has no further use.
+                    // A client that sends anything but DNS requests gets its connection closed.
                     (RequestError::Ignore, ResponsePath::Tcp(connection)) => {
                         connection.0.push(ConnectionCommand::Abort);
                     }
@@ -683,7 +683,7 @@
             match self.keys.verify(octets, tsig, unix) {
                 Ok(verified) => signer = Some(verified),
                 Err((error, error_signer)) => {
-                    warn!(%from, key = %tsig.key, "{error}");
+                    warn!(%from, key = %tsig.key, "TSIG check failed, request refused: {error}");
                     signer = Some(error_signer);
                     request.body = RequestBody::Rejected(ResponseCode::NOTAUTH);
                 }
@@ -704,7 +704,7 @@
         let udp_payload_bytes = self.settings.limits.payload;
         let max_bytes = match udp {
             false => MAX_MESSAGE_BYTES,
-            // Nobody is flooded through us: to where nothing is proven no more goes than came.
+            // Prevents amplification to a spoofed address: without proof the response is no longer than the request.
             true if self.settings.limits.proof && !address_proven => request.length,
             true => request.max_udp_response_bytes(usize::from(udp_payload_bytes)),
         };
@@ -777,21 +777,21 @@
                     Ok((file, prepared)) => {
                         let retired = self.executor.apply_reload(zone, file, *prepared);
                         let _ = self.background_jobs.send(BackgroundJob::DropZones(retired));
-                        info!(zone = %apex, "the file was read again");
+                        info!(zone = %apex, "zone file reloaded");
                         "{\"reread\":true}".to_owned()
                     }
                     Err(why) => {
-                        warn!(zone = %apex, why, "the file was not taken; the version in force stays");
+                        warn!(zone = %apex, why, "zone file not reloaded; the current version of the zone stays in force");
                         control::error(&why)
                     }
                 };
-                // Who asked may be gone.
+                // The operator's program may have disconnected.
                 let _ = reply_sender.map(|reply_sender| reply_sender.send(reply));
             }
             ServerEvent::SnapshotWritten(zone, result) => {
                 self.executor.zones[zone].snapshot_running = false;
                 if let Err(why) = result {
-                    warn!(zone = %self.executor.zones[zone].settings.apex, why, "no snapshot; the log goes on growing");
+                    warn!(zone = %self.executor.zones[zone].settings.apex, why, "writing the zone's snapshot failed; its log keeps growing");
                 }
             }
             ServerEvent::PrimarySerial(zone, Ok(serial)) => {
@@ -804,7 +804,7 @@
             }
             ServerEvent::PrimarySerial(zone, Err(why)) | ServerEvent::TransferReceived(zone, Err(why)) => {
                 let zone_state = &mut self.executor.zones[zone];
-                info!(zone = %zone_state.settings.apex, why, "a primary could not be followed");
+                info!(zone = %zone_state.settings.apex, why, "refreshing the zone from a primary failed; it will be retried");
                 if let Some(secondary) = &mut zone_state.secondary {
                     secondary.failed(now);
                 }
@@ -818,7 +818,10 @@
             ServerEvent::Shutdown => {
                 let stop = Span::from_micros(self.settings.stop_timeout.as_micros() as u64);
                 if self.engine.begin_drain(now, stop) {
-                    info!(stop_ms = self.settings.stop_timeout.as_millis() as u64, "notice to leave");
+                    info!(
+                        stop_ms = self.settings.stop_timeout.as_millis() as u64,
+                        "shutdown requested: finishing open requests"
+                    );
                     self.draining = true;
                     self.engine.set_timer(now + (stop - self.engine.timer_period()), TimerKey::ForceExit);
                 }
@@ -879,7 +882,7 @@
                 None => unknown(),
             },
         };
-        // Who asked may be gone.
+        // The operator's program may have disconnected.
         let _ = reply_sender.send(reply);
     }
 
@@ -928,7 +931,7 @@
                     zone.notify_sender.next_due(),
                 ];
                 if let Some(due_at) = next.into_iter().flatten().min() {
-                    // Not sooner than the clock's grain: what is due now was just looked at.
+                    // What is due now was just handled; the pause keeps the timer from firing in a loop.
                     self.engine
                         .set_timer(due_at.max(now + Span::from_millis(10)), TimerKey::Zone(zone_index));
                 }
@@ -941,7 +944,7 @@
         self.start_secondary_action(zone_index, action);
     }
 
-    /// Has a primary asked, on a thread of its own: a large transfer must hold up no answer.
+    /// Queries a primary on a thread of its own, so that a large transfer delays no response.
     fn start_secondary_action(&mut self, zone_index: usize, action: Option<SecondaryAction>) {
         let (primary, from) = match action {
             Some(SecondaryAction::QuerySerial(primary)) => (primary, None),
@@ -993,7 +996,7 @@
                     .secondary
                     .as_mut()
                     .and_then(|secondary| secondary.serial(now, serial));
-                // The primary has no way to say it by changes: the whole zone then.
+                // The primary has a newer serial but sent no changes: a full transfer is requested next.
                 if action.is_some() {
                     self.executor.zones[zone_index]
                         .secondary
@@ -1018,7 +1021,7 @@
                 let retired = self.executor.apply_full_transfer(zone_index, file, *zone, *change, &limits);
                 let _ = self.background_jobs.send(BackgroundJob::DropZones(retired));
                 if is_first_version {
-                    // A zone's first snapshot is what its log stands on.
+                    // A log can only be replayed on top of a snapshot.
                     self.write_first_snapshot(zone_index);
                 }
                 true
@@ -1027,7 +1030,7 @@
         let zone = &mut self.executor.zones[zone_index];
         if let (true, Some(secondary), Some(store)) = (transferred, &mut zone.secondary, &zone.store) {
             if let Some(soa) = store.latest().soa() {
-                info!(zone = %zone.settings.apex, serial = %soa.serial, "followed its primary");
+                info!(zone = %zone.settings.apex, serial = %soa.serial, "zone updated from its primary");
                 secondary.took(now, soa);
             }
         }
@@ -1048,7 +1051,7 @@
         }
     }
 
-    /// Tells secondaries of new versions, each on a thread of its own for as long as it takes.
+    /// Sends NOTIFY to the secondaries that are due, each on a thread of its own that waits for the response.
     fn send_notifies(&mut self, zone_index: usize) {
         let now = self.executor.now;
         let zone = &mut self.executor.zones[zone_index];
@@ -1058,7 +1061,7 @@
         for (target, serial) in due {
             let (events, soa, apex) = (self.events.clone(), soa.clone(), zone.settings.apex.clone());
             let (server, timeout) = (zone.settings.notify[target], Duration::from_secs(2));
-            // A secondary knows its primary by the address at which it listens.
+            // Secondaries accept a NOTIFY only from the address that they know as their primary's.
             let from = Some(self.settings.listen[0].ip());
             let id = rand::rng().random();
             std::thread::spawn(move || {
