--- a/crates/frontends/dns/src/client.rs
+++ b/crates/frontends/dns/src/client.rs
@@ -1,4 +1,4 @@
-//! Questions of our own, over plain blocking sockets with time bounds: for secondaries, notices and operators.
+//! A DNS client on blocking sockets with timeouts, for secondaries, for NOTIFY and for the operator's program.
 
 use crate::codec::{OutgoingRequest, Response};
 use crate::tsig::{Key, Signer};
@@ -11,18 +11,18 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Why a question got no answer that can be used.
+/// Why a request got no usable response.
 #[derive(Debug)]
 pub enum ClientError {
-    /// The connection.
+    /// A socket failed or timed out.
     Io(io::Error),
-    /// What came can't be read, or answers something else.
+    /// The response can't be parsed, or answers another request.
     InvalidResponse(&'static str),
-    /// The signature.
+    /// The response's TSIG is missing or wrong.
     Signature(String),
-    /// The server refuses: the code, and its reason where it gave one.
+    /// The server returned this error code, with the text of its extended error if there was one.
     ErrorResponse(u16, String),
-    /// A transfer can't be used.
+    /// The content of a transfer is invalid.
     InvalidTransfer(String),
 }
 
@@ -35,8 +35,8 @@
             Self::ErrorResponse(code, reason) => {
                 let code = crate::codec::ResponseCode(*code);
                 match reason.as_str() {
-                    "" => write!(f, "the server says {code}"),
-                    reason => write!(f, "the server says {code}: {reason}"),
+                    "" => write!(f, "the server returned {code}"),
+                    reason => write!(f, "the server returned {code}: {reason}"),
                 }
             }
         }
@@ -51,36 +51,36 @@
     }
 }
 
-/// The system's time in Unix seconds.
+/// The system time in Unix seconds.
 pub fn unix_now() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |past| past.as_secs())
 }
 
-/// One that asks a server.
+/// A client of one server.
 #[derive(Clone, Debug)]
 pub struct Client {
-    /// The server.
+    /// The server's address.
     pub server: SocketAddr,
-    /// The key that signs.
+    /// The TSIG key that signs requests.
     pub key: Option<Arc<Key>>,
-    /// How long one answer is waited for.
+    /// How long to wait for a connection and for each response.
     pub timeout: Duration,
 }
 
-/// A connection that carries messages.
+/// A TCP connection to a server.
 pub struct ClientConnection {
     stream: TcpStream,
 }
 
 impl ClientConnection {
-    /// Sends a message.
+    /// Sends a message, prefixed by its length.
     pub fn send(&mut self, octets: &[u8]) -> io::Result<()> {
         let mut framed = (octets.len() as u16).to_be_bytes().to_vec();
         framed.extend_from_slice(octets);
         self.stream.write_all(&framed)
     }
 
-    /// Takes the next message.
+    /// Receives the next message.
     pub fn receive(&mut self) -> io::Result<Vec<u8>> {
         let mut head = [0; 2];
         self.stream.read_exact(&mut head)?;
@@ -95,7 +95,7 @@
         self.key.clone().map(|key| Signer::for_request(key, unix_now()))
     }
 
-    /// Connects.
+    /// Opens a TCP connection to the server.
     pub fn connect(&self) -> io::Result<ClientConnection> {
         let stream = TcpStream::connect_timeout(&self.server, self.timeout)?;
         stream.set_read_timeout(Some(self.timeout))?;
@@ -106,9 +106,9 @@
 
     fn read_response(octets: &[u8], id: u16, signer: &mut Option<Signer>) -> Result<Response, ClientError> {
         let response =
-            Response::read(octets).ok_or(ClientError::InvalidResponse("what came is no answer"))?;
+            Response::read(octets).ok_or(ClientError::InvalidResponse("the reply is not a DNS response"))?;
         if response.id != id {
-            return Err(ClientError::InvalidResponse("an answer to another question came"));
+            return Err(ClientError::InvalidResponse("the response has the ID of another request"));
         }
         if let Some(signer) = signer {
             match &response.tsig {
@@ -116,7 +116,7 @@
                     signer.verify_response(octets, tsig, unix_now()).map_err(ClientError::Signature)?
                 }
                 None if response.code == 0 => {
-                    return Err(ClientError::Signature("the answer is not signed".to_owned()))
+                    return Err(ClientError::Signature("the response is not signed".to_owned()))
                 }
                 None => {}
             }
@@ -124,7 +124,7 @@
         Ok(response)
     }
 
-    /// Asks over a connection.
+    /// Sends a request over TCP and returns the response.
     pub fn exchange_tcp(&self, request: &OutgoingRequest) -> Result<Response, ClientError> {
         let mut signer = self.signer();
         let octets = request.write(signer.as_mut());
@@ -133,12 +133,12 @@
         Self::read_response(&connection.receive()?, request.id, &mut signer)
     }
 
-    /// Asks by datagram; a cut answer is asked for again over a connection.
+    /// Sends a request over UDP and returns the response; after a truncated one the request is repeated over TCP.
     pub fn exchange_udp(&self, request: &OutgoingRequest) -> Result<Response, ClientError> {
         self.exchange_udp_from(None, request)
     }
 
-    /// The same from one of this machine's addresses, by which the other side knows us.
+    /// As [`Self::exchange_udp`], from a given local address where the server checks the sender's address.
     pub fn exchange_udp_from(
         &self,
         from: Option<IpAddr>,
@@ -164,7 +164,7 @@
         Ok(response)
     }
 
-    /// A server's serial of a zone.
+    /// Queries the server's serial of a zone.
     pub fn serial(&self, zone: &Name, id: u16) -> Result<Serial, ClientError> {
         let response = self.exchange_tcp(&query(id, zone, RecordType::SOA))?;
         check_response_code(&response)?;
@@ -173,10 +173,10 @@
         let soa = soa.and_then(|record| lynxtally_zones::Soa::of(&record.data));
         soa.filter(|_| response.authoritative)
             .map(|soa| soa.serial)
-            .ok_or(ClientError::InvalidResponse("no SOA came"))
+            .ok_or(ClientError::InvalidResponse("the response has no authoritative SOA record of the zone"))
     }
 
-    /// Has a zone, or what changed since a version, transferred.
+    /// Transfers a zone in full, or the changes since `current_soa` if one is given, of at most `max_records` records.
     pub fn transfer(
         &self,
         zone: &Name,
@@ -203,7 +203,7 @@
                 return Ok(up_to_date);
             }
             if reader.is_complete() {
-                return reader.finish().ok_or(ClientError::InvalidResponse("a transfer broke off"));
+                return reader.finish().ok_or(ClientError::InvalidResponse("the transfer is incomplete"));
             }
         }
     }
@@ -219,7 +219,7 @@
     }
 }
 
-/// A plain question.
+/// A query for the records of one type at a name.
 pub fn query(id: u16, name: &Name, kind: RecordType) -> OutgoingRequest<'_> {
     OutgoingRequest {
         id,
--- a/crates/frontends/dns/src/codec.rs
+++ b/crates/frontends/dns/src/codec.rs
@@ -1,5 +1,5 @@
-//! Messages as octets (RFC 1035 section 4, RFC 2136, RFC 6891) and as small typed values. It knows no socket.
-//! Reading and writing stand on the library `domain`; what is checked for range is checked here, once.
+//! Parses and writes DNS messages (RFC 1035 section 4, RFC 2136, RFC 6891), on top of the `domain` library. All range
+//! checks of received messages are made here.
 
 use crate::tsig::{Signer, TsigRecord};
 use domain::base::iana::{Class, Opcode, Rcode, Rtype};
@@ -18,11 +18,11 @@
 use std::iter::once;
 use std::sync::Arc;
 
-/// The shortest message, and the longest over UDP without another word (RFC 1035 section 4.2.1).
+/// The length of the header, which is the shortest message.
 pub const HEADER_BYTES: usize = 12;
-/// See there.
+/// The longest UDP response to a client that sends no EDNS (RFC 1035 section 4.2.1).
 pub const MAX_UDP_BYTES_WITHOUT_EDNS: usize = 512;
-/// The longest message at all.
+/// The longest message over TCP.
 pub const MAX_MESSAGE_BYTES: usize = 65_535;
 
 const TYPE_OPT: u16 = 41;
@@ -31,34 +31,34 @@
 const OPTION_UPDATE_LEASE: u16 = 2;
 const OPTION_EXTENDED_ERROR: u16 = 15;
 
-/// Result codes, by RFC 1035, 2136, 6891 and 8945.
+/// A response code (RFC 1035, 2136, 6891 and 8945).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseCode(pub u16);
 
 impl ResponseCode {
     /// No error.
     pub const NOERROR: Self = Self(0);
-    /// It can't be read.
+    /// The request is malformed.
     pub const FORMERR: Self = Self(1);
-    /// Failed here.
+    /// The server failed, or can't answer now.
     pub const SERVFAIL: Self = Self(2);
-    /// The name is not there.
+    /// The name does not exist.
     pub const NXDOMAIN: Self = Self(3);
-    /// Not done here.
+    /// The kind of request is not implemented.
     pub const NOTIMP: Self = Self(4);
-    /// Refused.
+    /// Refused by policy.
     pub const REFUSED: Self = Self(5);
-    /// A name is there that must not be.
+    /// A name exists that should not.
     pub const YXDOMAIN: Self = Self(6);
-    /// A set is there that must not be.
+    /// An RRset exists that should not.
     pub const YXRRSET: Self = Self(7);
-    /// A set is missing.
+    /// An RRset that should exist does not.
     pub const NXRRSET: Self = Self(8);
     /// Not authoritative, or not authenticated.
     pub const NOTAUTH: Self = Self(9);
-    /// Not in the zone.
+    /// A name is outside the zone.
     pub const NOTZONE: Self = Self(10);
-    /// A version of EDNS that is not known here.
+    /// The EDNS version is not supported.
     pub const BADVERS: Self = Self(16);
 }
 
@@ -75,93 +75,93 @@
     }
 }
 
-/// Why a refusal: RFC 8914's codes.
+/// Extended DNS error codes (RFC 8914).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u16)]
 pub enum ExtendedError {
-    /// Another one; the text says which.
+    /// Another error, described by the text.
     Other = 0,
-    /// The zone is known and can't be served now.
+    /// The zone can't be served now.
     NotReady = 14,
-    /// Who asks may not.
+    /// The client is not allowed to do this.
     Prohibited = 18,
-    /// Not a zone of this server.
+    /// The server is not authoritative for the zone.
     NotAuthoritative = 20,
-    /// Not done here.
+    /// The operation is not supported.
     NotSupported = 21,
 }
 
-/// What a message asks.
+/// What a request asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestBody {
-    /// A question.
+    /// A query.
     Query,
-    /// A transfer of the whole zone, or of what changed since a version.
+    /// A transfer: of the full zone (AXFR), or of the changes since a serial (IXFR).
     Transfer(Option<Serial>),
-    /// A newer version may be there.
+    /// A NOTIFY: the primary may have a newer version, with this serial if it is given.
     Notify(Option<Serial>),
-    /// An update.
+    /// A dynamic update.
     Update {
         /// The prerequisites.
         prerequisites: Vec<UpdateRecord>,
         /// The updates.
         updates: Vec<UpdateRecord>,
-        /// By what a repeat is known.
+        /// Identifies a repeat of the same update.
         digest: [u8; 16],
     },
-    /// It is whole, but not for this server: the code says why.
+    /// A well-formed request that is refused with this code.
     Rejected(ResponseCode),
 }
 
-/// What EDNS says.
+/// The EDNS record of a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Edns {
-    /// The longest answer that can be taken over UDP.
+    /// The longest UDP response that the client accepts.
     pub udp_payload_bytes: u16,
-    /// The version.
+    /// The EDNS version.
     pub version: u8,
-    /// The client's cookie and the server's, if it brings one.
+    /// The client cookie, and the server cookie, which is empty if the client has none yet.
     pub cookie: Option<([u8; 8], SmallVec<[u8; 16]>)>,
-    /// For how many seconds an update's records are to be held.
+    /// The lease that an update asks for its records, in seconds.
     pub lease: Option<u32>,
 }
 
-/// One message, read.
+/// A parsed request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its number.
+    /// The message ID.
     pub id: u16,
-    /// The kind of message.
+    /// The opcode.
     pub opcode: u8,
-    /// Whether recursion is wished for; it comes back as it was.
+    /// The RD flag, which the response copies.
     pub recursion_desired: bool,
-    /// The name asked for, or the zone.
+    /// The name that is asked for; in an update the zone.
     pub name: Name,
-    /// The kind asked for.
+    /// The record type that is asked for.
     pub kind: RecordType,
-    /// The question as it came.
+    /// The question section as received.
     pub question_octets: SmallVec<[u8; 48]>,
-    /// What EDNS says.
+    /// The EDNS record of a message.
     pub edns: Option<Edns>,
-    /// What is asked.
+    /// What is asked for.
     pub body: RequestBody,
-    /// Its TSIG.
+    /// The TSIG record.
     pub tsig: Option<TsigRecord>,
-    /// How long the message is.
+    /// The length of the message.
     pub length: usize,
 }
 
-/// Why octets are not answered with more than a code, or not at all.
+/// What to do with a message that is not a valid request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestError {
-    /// Too short to have a number, or an answer itself: nothing goes back.
+    /// Send nothing: the message is shorter than a header, or is itself a response.
     Ignore,
-    /// It can't be read; this goes back.
+    /// Send this response: the message is malformed.
     Respond(Vec<u8>),
 }
 
 impl Request {
-    /// Reads a message. Looping, truncated and hostile ones end here, with work bounded by their length.
+    /// Parses a request. The work is bounded by the message's length, also for compression loops and truncated messages.
     pub fn read(octets: &[u8]) -> Result<Self, RequestError> {
         if octets.len() < HEADER_BYTES || octets[2] & 0x80 != 0 {
             return Err(RequestError::Ignore);
@@ -227,14 +227,14 @@
         Some(request)
     }
 
-    /// Reads the last section; tells where its TSIG begins.
+    /// Parses the additional section. Returns the offset of the TSIG record, or the message's length if there is none.
     fn additional(&mut self, message: &Message<[u8]>, octets: &[u8]) -> Option<usize> {
         let mut records_left = message.additional().ok()?;
         let mut at = records_left.pos();
         while let Some(record) = records_left.next() {
             let record = record.ok()?;
             match record.rtype().to_int() {
-                // One TSIG, and nothing behind it (RFC 8945 section 5.1).
+                // Only one TSIG record is permitted, as the last record (RFC 8945 section 5.1).
                 _ if self.tsig.is_some() => return None,
                 TYPE_OPT if self.edns.is_none() => self.edns = Some(edns(&record)?),
                 TYPE_OPT => return None,
@@ -248,11 +248,11 @@
             at = records_left.pos();
         }
         let end = self.tsig.as_ref().map_or(octets.len(), |tsig| tsig.offset);
-        // What stands behind the last record is none of the message's.
+        // A message with data after the last record is malformed.
         (at == octets.len()).then_some(end)
     }
 
-    /// How long an answer over UDP may be: as the client and this server allow.
+    /// The longest UDP response that both the client and this server allow.
     pub fn max_udp_response_bytes(&self, max_bytes: usize) -> usize {
         self.edns.as_ref().map_or(MAX_UDP_BYTES_WITHOUT_EDNS, |edns| {
             usize::from(edns.udp_payload_bytes).clamp(MAX_UDP_BYTES_WITHOUT_EDNS, max_bytes)
@@ -283,7 +283,7 @@
         let code = u16::from_be_bytes([head[0], head[1]]);
         let (value, after) = after.split_at_checked(usize::from(u16::from_be_bytes([head[2], head[3]])))?;
         match (code, value.len()) {
-            // RFC 7873 section 5.2.2: other lengths are malformed.
+            // Cookies of other lengths are malformed (RFC 7873 section 5.2.2).
             (OPTION_COOKIE, 8 | 16..=40) => {
                 edns.cookie = Some((value[..8].try_into().ok()?, SmallVec::from_slice(&value[8..])));
             }
@@ -299,9 +299,9 @@
     rest.is_empty().then_some(edns)
 }
 
-/// A record's data without pointers.
+/// A record's data with compressed names expanded.
 fn data_of(record: &Parsed) -> Option<Vec<u8>> {
-    // Of these kinds the names may be compressed (RFC 3597 section 4).
+    // The record types whose data may hold compressed names (RFC 3597 section 4).
     const COMPRESSED: [u16; 12] = [2, 5, 6, 12, 14, 15, 17, 18, 33, 35, 36, 39];
     let plain = record.to_record::<UnknownRecordData<_>>().ok()??;
     if record.rdlen() == 0 || !COMPRESSED.contains(&record.rtype().to_int()) {
@@ -336,20 +336,20 @@
     lynxtally_zones::Soa::of(&data_of(record)?).map(|soa| soa.serial)
 }
 
-/// By what a repeated update is known: who signed it, and its octets but for the signature.
+/// Identifies a repeated update: a hash of the key's name and of the message without its signature.
 fn update_digest(octets: &[u8], end: usize, tsig: &Option<TsigRecord>) -> [u8; 16] {
     let mut hash = Sha256::new();
     if let Some(tsig) = tsig {
         hash.update(tsig.key.wire());
     }
-    // The count of additional records differs by the signature alone.
+    // The count of additional records is left out: it includes the TSIG record.
     hash.update(&octets[..10]);
     hash.update(&octets[HEADER_BYTES..end]);
     let digest = hash.finalize();
     digest[..16].try_into().expect("32 octets")
 }
 
-/// An answer of nothing but a head, to what can't be read.
+/// A response that is only a header, for a malformed request.
 fn header_only_response(octets: &[u8], code: ResponseCode) -> Vec<u8> {
     let mut answer = vec![0; HEADER_BYTES];
     answer[..2].copy_from_slice(&octets[..2]);
@@ -358,40 +358,40 @@
     answer
 }
 
-/// What an answer says.
+/// The content of a response to write.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseContent<'a> {
-    /// The code.
+    /// The response code; `None` means NOERROR.
     pub code: Option<ResponseCode>,
-    /// Whether this server has the zone.
+    /// Whether the server is authoritative for the answer.
     pub authoritative: bool,
-    /// The sections.
+    /// The answer section.
     pub answer: &'a [ResponseSet<'a>],
-    /// See there.
+    /// The authority section.
     pub authority: &'a [ResponseSet<'a>],
-    /// See there.
+    /// The additional section, without EDNS and TSIG.
     pub additional: &'a [ResponseSet<'a>],
-    /// Why, in more words.
+    /// The extended error and its text.
     pub reason: Option<(ExtendedError, String)>,
-    /// The client's cookie and the server's, which proves the client from now on.
+    /// The client cookie followed by the server cookie, which proves the client's address in later requests.
     pub cookie: Option<[u8; 24]>,
-    /// For how many seconds an update's records are held.
+    /// The lease granted to an update's records, in seconds.
     pub lease: Option<u32>,
 }
 
-/// How an answer is cut to what may go out.
+/// The size limits of a response.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseLimits {
-    /// The longest it may be.
+    /// The longest response; a longer one is truncated.
     pub max_bytes: usize,
-    /// What this server takes over UDP; goes out with EDNS.
+    /// The longest UDP message that this server accepts, announced by EDNS.
     pub udp_payload_bytes: u16,
 }
 
 type Builder = AdditionalBuilder<StaticCompressor<Vec<u8>>>;
 
-/// Writes an answer. What does not fit is left out: additional records without a word, others with the mark of
-/// truncation.
+/// Writes a response. Additional records that don't fit are left out; if others don't fit, the response has no records and
+/// the TC flag.
 pub fn write_response(
     request: &Request,
     content: &ResponseContent,
@@ -400,7 +400,7 @@
 ) -> Vec<u8> {
     let signature = signer.as_ref().map_or(0, |signer| signer.record_bytes());
     let max_bytes = limits.max_bytes.min(MAX_MESSAGE_BYTES).saturating_sub(signature);
-    // The last section's options are reserved for.
+    // A truncated response has no cookie and no extended error, so that it fits into small limits.
     let build_with = |truncated: bool| {
         let included = if truncated {
             ResponseContent { reason: None, cookie: None, ..content.clone() }
@@ -439,14 +439,14 @@
     header.set_aa(content.authoritative);
     header.set_tc(truncated);
     header.set_rcode(Rcode::masked_from_int(code.0 as u8));
-    // The library stops short of its limit; what reaches it exactly fits too.
+    // The library's limit is exclusive.
     builder.set_push_limit(max_bytes + 1);
     let mut question = builder.question();
     let name = domain::base::Name::from_octets(&request.question_octets[..request.question_octets.len() - 4]);
     let class = Class::from_int(u16::from_be_bytes(*request.question_octets.last_chunk::<2>()?));
     match name {
         Ok(name) => question.push((name, Rtype::from_int(request.kind.0), class)).ok()?,
-        // A compressed question can't be; it is answered with its name written out.
+        // The question's name is compressed: it is written in full.
         Err(_) => {
             let name = domain::base::Name::from_octets(request.name.wire()).ok()?;
             question.push((name, Rtype::from_int(request.kind.0), class)).ok()?;
@@ -465,7 +465,7 @@
         push_edns(&mut additional, content, code, limits.udp_payload_bytes)?;
     }
     if !truncated {
-        // What goes along may be left out (RFC 2181 section 9).
+        // Additional records may be left out without the TC flag (RFC 2181 section 9).
         let _ = push_records(content.additional, |record| additional.push(record));
     }
     Some(additional.finish().into_target())
@@ -518,22 +518,22 @@
         .ok()
 }
 
-/// A message of a transfer is filled up to here.
+/// The size up to which a transfer's message is filled.
 const TRANSFER_MESSAGE_BYTES: usize = 16 * 1024;
 
-/// A transfer as it goes out, one message at a time (RFC 5936, RFC 1995). All of it comes from one version.
+/// Writes a transfer, one message at a time (RFC 5936, RFC 1995). All of it comes from one version of the zone.
 pub struct TransferWriter {
     id: u16,
     question_octets: SmallVec<[u8; 48]>,
     kind: RecordType,
     records: Box<dyn Iterator<Item = Record> + Send>,
-    /// One that found no room in the last message.
+    /// A record that did not fit into the last message.
     deferred_record: Option<Record>,
     first: bool,
     signer: Option<Signer>,
 }
 
-/// The records of one side of a change, its SOA first.
+/// The removed or the added records of a change, with the SOA first as IXFR requires.
 fn soa_first(records: &[Record]) -> impl Iterator<Item = Record> + use<> {
     let mut records = records.to_vec();
     records.sort_by_key(|record| record.kind != RecordType::SOA);
@@ -541,7 +541,7 @@
 }
 
 impl TransferWriter {
-    /// Of a whole version, or of what leads to it from the one asked from, where that is known and shorter.
+    /// A transfer of `version` in full, or of `changes` since the serial `from` if they are known and shorter.
     pub fn new(
         request: &Request,
         version: Arc<Zone>,
@@ -555,7 +555,7 @@
         };
         let newer = from.is_none_or(|from| version.serial().newer_than(from));
         let records: Box<dyn Iterator<Item = Record> + Send> = match changes.filter(shorter) {
-            // Nothing is newer: the SOA alone says so.
+            // The client is up to date: the response is the SOA alone.
             _ if !newer => Box::new(soa.into_iter()),
             Some(changes) => {
                 let steps = changes.into_iter().flat_map(|change| {
@@ -591,7 +591,7 @@
         }
     }
 
-    /// The next message; none behind the last one.
+    /// The next message; `None` after the last one.
     pub fn next_message(&mut self) -> Option<Vec<u8>> {
         let first = self.deferred_record.take().or_else(|| self.records.next())?;
         let target = StaticCompressor::new(Vec::with_capacity(TRANSFER_MESSAGE_BYTES + 1024));
@@ -631,31 +631,31 @@
     }
 }
 
-/// A question of our own.
+/// The content of a request to write.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest<'a> {
-    /// Its number.
+    /// The message ID.
     pub id: u16,
-    /// What it is about.
+    /// The name to ask for; in an update, NOTIFY or transfer the zone.
     pub name: &'a Name,
-    /// The kind.
+    /// The record type to ask for.
     pub kind: RecordType,
-    /// The kind of message: 0 a query, 4 a notice, 5 an update.
+    /// The opcode: 0 for a query or transfer, 4 for NOTIFY, 5 for an update.
     pub opcode: u8,
-    /// For a transfer of changes: the SOA that we have. For a notice: the new one.
+    /// In an IXFR request the client's current SOA, in a NOTIFY the new one.
     pub soa: Option<&'a Record>,
-    /// For an update: what must hold, and what is done.
+    /// The prerequisites of an update.
     pub prerequisites: &'a [UpdateRecord],
-    /// See there.
+    /// The changes of an update.
     pub updates: &'a [UpdateRecord],
-    /// For how many seconds an update's records are to be held.
+    /// The lease that an update asks for its records, in seconds.
     pub lease: Option<u32>,
-    /// Our cookie, and the server's where it gave one.
+    /// The client cookie, followed by the server cookie if it is known.
     pub cookie: Option<&'a [u8]>,
 }
 
 impl OutgoingRequest<'_> {
-    /// Writes it.
+    /// Writes the request, signed if there is a signer.
     pub fn write(&self, signer: Option<&mut Signer>) -> Vec<u8> {
         let mut octets = self.build().unwrap_or_default();
         if let Some(signer) = signer {
@@ -734,31 +734,31 @@
     }
 }
 
-/// An answer, read.
+/// A parsed response.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
-    /// Its number.
+    /// The message ID.
     pub id: u16,
-    /// The code, with the part that EDNS carries.
+    /// The response code, with its extension from EDNS.
     pub code: u16,
-    /// Whether it was cut.
+    /// Whether the response was truncated.
     pub truncated: bool,
-    /// Whether the server has the zone.
+    /// Whether the server is authoritative for the answer.
     pub authoritative: bool,
-    /// The records by section.
+    /// The records of the answer, authority and additional sections.
     pub sections: [Vec<Record>; 3],
-    /// Its TSIG.
+    /// The TSIG record.
     pub tsig: Option<TsigRecord>,
-    /// The cookie in it: the client's and the server's.
+    /// The client cookie and the server cookie.
     pub cookie: Option<([u8; 8], SmallVec<[u8; 16]>)>,
-    /// For how long an update's records are held.
+    /// The lease granted to an update's records, in seconds.
     pub lease: Option<u32>,
-    /// Why, by RFC 8914: the code and the text.
+    /// The extended error (RFC 8914): code and text.
     pub reason: Option<(u16, String)>,
 }
 
 impl Response {
-    /// Reads an answer; none where it is none or can't be read.
+    /// Parses a response; `None` if the message is a request or malformed.
     pub fn read(octets: &[u8]) -> Option<Self> {
         let message = Message::from_slice(octets).ok()?;
         let header = message.header();
--- a/crates/frontends/dns/src/control.rs
+++ b/crates/frontends/dns/src/control.rs
@@ -1,5 +1,5 @@
-//! What an operator's program says to a running server, over a socket in the state folder: one line of words, one
-//! line of JSON back.
+//! The control protocol between the operator's program and a running server, over a Unix socket in the state folder: a
+//! command is one line of words, its reply one line of JSON.
 
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -7,23 +7,23 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// What is asked.
+/// A command to a running server; zones are given by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// Take no updates for this zone.
+    /// Refuse updates of this zone.
     Freeze(String),
-    /// Take them again.
+    /// Accept updates of this zone again.
     Thaw(String),
-    /// Read the zone's file again.
+    /// Reload the zone file.
     Reread(String),
-    /// Shorten the zone's log by a snapshot.
+    /// Write a snapshot of the zone and start a new log.
     Compact(String),
-    /// Tell how all stands.
+    /// Return the counters and the state of each zone.
     Status,
 }
 
 impl Command {
-    /// As one line.
+    /// The command as a line of the protocol, without the line end.
     pub fn line(&self) -> String {
         match self {
             Self::Freeze(zone) => format!("freeze {zone}"),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Reads it.
+    /// Parses a line; `None` if it is not a command.
     pub fn parse(line: &str) -> Option<Self> {
         match line.split_whitespace().collect::<Vec<_>>()[..] {
             ["freeze", zone] => Some(Self::Freeze(zone.to_owned())),
@@ -47,15 +47,18 @@
     }
 }
 
-/// Where the socket of a state folder is.
+/// The path of the control socket in a state folder.
 pub fn path(state: &Path) -> PathBuf {
     state.join("control.sock")
 }
 
-/// One that waits for an answer is told so after this.
+/// How long a reply is waited for, by the server's side and by the program that asks.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Listens for as long as the program runs. One left by a program that is gone is taken over.
+/// Listens for commands as long as the program runs. A socket file that a stopped server left is replaced.
+///
+/// # Errors
+/// Another server listens on the socket, or it can't be created.
 pub fn listen(
     state: &Path,
     on_command: impl Fn(Command, Sender<String>) + Send + Clone + 'static,
@@ -81,11 +84,11 @@
                         on_command(command, reply_sender);
                         reply_receiver
                             .recv_timeout(RESPONSE_TIMEOUT)
-                            .unwrap_or_else(|_| error("no answer in time"))
+                            .unwrap_or_else(|_| error("the server did not reply within 60 s"))
                     }
-                    None => error("not understood"),
+                    None => error("unknown command"),
                 };
-                // Who asked may be gone.
+                // The operator's program may have disconnected.
                 let _ = writeln!(&stream, "{reply}");
             });
         }
@@ -93,12 +96,12 @@
     Ok(())
 }
 
-/// An error as JSON.
+/// An error reply as JSON.
 pub fn error(message: &str) -> String {
     format!("{{\"error\":\"{}\"}}", message.replace('\\', "\\\\").replace('"', "\\\""))
 }
 
-/// Asks a running server.
+/// Sends a command to a running server and returns its reply.
 pub fn send(state: &Path, command: &Command) -> std::io::Result<String> {
     let mut stream = UnixStream::connect(path(state))?;
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
--- a/crates/frontends/dns/src/cookie.rs
+++ b/crates/frontends/dns/src/cookie.rs
@@ -1,18 +1,18 @@
-//! Cookies by which a source proves its address (RFC 7873), made as RFC 9018 says, so that all servers of a fleet
-//! that share a secret know one another's.
+//! DNS cookies, by which a client proves its source address (RFC 7873). They are made as in RFC 9018, so that all servers
+//! that share a secret accept each other's cookies.
 
 use siphasher::sip::SipHasher24;
 use std::hash::Hasher;
 use std::net::IpAddr;
 
-/// A server's cookie.
+/// A server cookie: version, reserved octets, time and hash.
 pub type ServerCookie = [u8; 16];
 
-/// How old and how far ahead a cookie may be, in seconds (RFC 9018 section 4.3).
+/// The greatest age of a cookie, and how far in the future its time may be (RFC 9018 section 4.3).
 const MAX_AGE_SECS: u32 = 3600;
 const MAX_AHEAD_SECS: u32 = 300;
 
-/// The secret of a fleet.
+/// The key of the cookie hash, shared by all servers of a fleet.
 #[derive(Clone, Copy)]
 pub struct Secret(pub [u8; 16]);
 
@@ -28,7 +28,7 @@
         hasher.finish().to_le_bytes()
     }
 
-    /// The cookie for a client at an address; `now` in Unix seconds.
+    /// The server cookie for a client cookie and address; `now` is in Unix seconds.
     pub fn issue(&self, client: [u8; 8], address: IpAddr, now: u32) -> ServerCookie {
         let mut cookie = [0; 16];
         cookie[0] = 1;
@@ -38,16 +38,16 @@
         cookie
     }
 
-    /// Whether a cookie is one of ours for this client and address, and not too old.
+    /// Whether a server cookie was made with this secret for this client cookie and address, and has not expired.
     pub fn is_valid(&self, client: [u8; 8], cookie: &[u8], address: IpAddr, now: u32) -> bool {
         let Ok(cookie) = ServerCookie::try_from(cookie) else { return false };
         let header: [u8; 8] = cookie[..8].try_into().expect("eight");
         let issued_at = u32::from_be_bytes(cookie[4..8].try_into().expect("four"));
-        // Times wrap (RFC 9018 section 4.3).
+        // The time is compared in serial number arithmetic, as it wraps (RFC 9018 section 4.3).
         let age = now.wrapping_sub(issued_at) as i32;
         let fresh = age <= MAX_AGE_SECS as i32 && age >= -(MAX_AHEAD_SECS as i32);
         let expected = self.hash(client, header, address);
-        // All octets are compared, so that the time says nothing of where they differ.
+        // Compares in constant time, so that the duration does not tell where the hashes differ.
         let difference = expected.iter().zip(&cookie[8..]).fold(0, |difference, (a, b)| difference | (a ^ b));
         cookie[..4] == [1, 0, 0, 0] && fresh && difference == 0
     }
--- a/crates/frontends/dns/src/lib.rs
+++ b/crates/frontends/dns/src/lib.rs
@@ -1,5 +1,5 @@
-//! The fleet's names over DNS: the codec, TSIG and cookies; the server, a thin driver round the host; and a
-//! client for secondaries and operators.
+//! An authoritative DNS server for the fleet's zones, with dynamic updates and zone transfers: message codec, TSIG,
+//! cookies, the server and its settings, and a client for secondaries and operators.
 
 pub mod client;
 pub mod codec;
--- a/crates/frontends/dns/src/log_writer.rs
+++ b/crates/frontends/dns/src/log_writer.rs
@@ -1,4 +1,4 @@
-//! The thread that makes logs durable: all that waits is written, and then made durable once for all of it.
+//! The thread that writes the zones' logs. It writes all waiting batches, then syncs each file once for all of them.
 
 use lynxtally_wal::{Batch, Storage};
 use std::collections::BTreeMap;
@@ -6,16 +6,16 @@
 
 pub use lynxtally_net::directory::DirectoryStorage;
 
-/// What the log's thread is to make durable.
+/// A batch of log entries to write and sync.
 pub struct AppendJob {
-    /// Whose it is.
+    /// The index of its zone.
     pub zone: usize,
-    /// What.
+    /// The entries.
     pub batch: Batch,
 }
 
-/// Works until nobody sends any more; `done` hears of each zone up to which number its entries are durable, or
-/// that the log failed.
+/// Writes batches until the senders are gone. `on_durable` gets a zone and the number below which all its entries are
+/// durable, or why its log failed. After a failure nothing more is written for that zone.
 pub fn run(
     mut folder: impl Storage,
     jobs: &Receiver<AppendJob>,
@@ -41,7 +41,7 @@
             }
         }
         for (file, zone) in files {
-            // After a failed sync nobody knows what is on the disk: trying again could call lost octets durable.
+            // After a failed sync the content of the disk is unknown: a second sync could succeed although data was lost.
             if let Err(why) = folder.sync(&file) {
                 failed.insert(zone, format!("{file}: {why}"));
             }
--- a/crates/frontends/dns/src/tsig.rs
+++ b/crates/frontends/dns/src/tsig.rs
@@ -1,4 +1,4 @@
-//! Signed messages (RFC 8945), with HMAC from a library.
+//! Transaction signatures, TSIG (RFC 8945): keys, verification of requests and responses, and signing.
 
 use hmac::{Hmac, KeyInit, Mac};
 use lynxtally_zones::Name;
@@ -6,7 +6,7 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// How a key signs.
+/// The HMAC algorithm of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Algorithm {
     /// HMAC with SHA-256.
@@ -18,7 +18,7 @@
 }
 
 impl Algorithm {
-    /// Its name on the wire, as text.
+    /// The algorithm's name in messages and key files, without the final dot.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Sha256 => "hmac-sha256",
@@ -27,7 +27,7 @@
         }
     }
 
-    /// By its name.
+    /// The algorithm of this name, in any case and with or without the final dot.
     pub fn parse(text: &str) -> Option<Self> {
         [Self::Sha256, Self::Sha384, Self::Sha512]
             .into_iter()
@@ -38,7 +38,7 @@
         self.as_str().parse().expect("a name")
     }
 
-    /// How long a whole signature is.
+    /// The length of a full MAC.
     pub fn mac_bytes(self) -> usize {
         match self {
             Self::Sha256 => 32,
@@ -48,14 +48,14 @@
     }
 }
 
-/// A key. During a change of keys two may have one name.
+/// A TSIG key. While a key is being replaced, two keys may have the same name.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Key {
-    /// Its name.
+    /// The key's name, a domain name.
     pub name: Name,
-    /// How it signs.
+    /// Its algorithm.
     pub algorithm: Algorithm,
-    /// The secret.
+    /// The shared secret.
     pub secret: Vec<u8>,
 }
 
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Whether a signature, maybe shortened, is this key's; compared in constant time.
+    /// Whether a MAC, which may be truncated, was made with this key; compared in constant time.
     fn verify(&self, parts: &[&[u8]], signature: &[u8]) -> bool {
         with_mac!(self, mac => {
             parts.iter().for_each(|part| mac.update(part));
@@ -100,7 +100,7 @@
         })
     }
 
-    /// Reads a line of a key file: algorithm, name, secret in base64.
+    /// Parses a line of a key file: algorithm, name, and secret in base64.
     pub fn parse(line: &str) -> Result<Self, &'static str> {
         let mut words = line.split_whitespace();
         let (Some(algorithm), Some(name), Some(secret), None) =
@@ -110,54 +110,54 @@
         };
         let algorithm =
             Algorithm::parse(algorithm).ok_or("the algorithm is not hmac-sha256, -sha384 or -sha512")?;
-        let name = name.parse().map_err(|_| "the name is no name")?;
+        let name = name.parse().map_err(|_| "the key's name is not a domain name")?;
         let secret =
-            data_encoding::BASE64.decode(secret.as_bytes()).map_err(|_| "the secret is no base64")?;
+            data_encoding::BASE64.decode(secret.as_bytes()).map_err(|_| "the secret is not valid base64")?;
         if secret.len() < algorithm.mac_bytes() / 2 {
-            return Err("the secret is shorter than half of the signature");
+            return Err("the secret is shorter than half of the algorithm's MAC");
         }
         Ok(Self { name, algorithm, secret })
     }
 }
 
-/// The signature of a message, as it was read.
+/// The TSIG record of a received message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TsigRecord {
     /// The key's name.
     pub key: Name,
     /// The algorithm's name.
     pub algorithm: Name,
-    /// When it was signed, in Unix seconds.
+    /// The signing time in Unix seconds.
     pub time: u64,
-    /// How far clocks may differ.
+    /// The permitted difference of the clocks in seconds.
     pub fudge: u16,
-    /// The signature.
+    /// The MAC, which may be truncated.
     pub mac: Vec<u8>,
-    /// The number that the message had when it was signed.
+    /// The original ID: that of the message when it was signed.
     pub id: u16,
-    /// The error that an answer tells.
+    /// The TSIG error code of a response.
     pub error: u16,
-    /// With it: the server's time.
+    /// Other data: with BADTIME the server's time.
     pub other_data: Vec<u8>,
-    /// Where the record begins in the message.
+    /// The offset of the record in the message.
     pub offset: usize,
 }
 
-/// An error in a signature, by its code (RFC 8945 section 3).
+/// Why a signature is refused, by its code (RFC 8945 section 3).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TsigError {
-    /// It is not the key's.
+    /// The MAC does not match the key.
     BadSig,
-    /// The key is not known.
+    /// No key has this name and algorithm.
     BadKey,
-    /// The clocks differ by more than allowed.
+    /// The signing time differs from the clock by more than the fudge.
     BadTime,
-    /// It was shortened too much.
+    /// The MAC is truncated too far.
     BadTrunc,
 }
 
 impl TsigError {
-    /// Its code.
+    /// The code in the TSIG record's error field.
     pub fn code(self) -> u16 {
         match self {
             Self::BadSig => 16,
@@ -171,21 +171,21 @@
 impl fmt::Display for TsigError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Self::BadSig => "the signature is not the key's (BADSIG)",
-            Self::BadKey => "the key is not known (BADKEY)",
-            Self::BadTime => "the clocks differ by more than is allowed (BADTIME)",
-            Self::BadTrunc => "the signature was shortened too much (BADTRUNC)",
+            Self::BadSig => "the signature does not match the key (BADSIG)",
+            Self::BadKey => "the key is unknown (BADKEY)",
+            Self::BadTime => "the signing time differs from the clock by more than is allowed (BADTIME)",
+            Self::BadTrunc => "the signature is truncated too far (BADTRUNC)",
         })
     }
 }
 
-/// How far clocks may differ, in seconds (RFC 8945 section 10).
+/// The permitted difference of the clocks in the signatures made here (RFC 8945 section 10).
 pub const FUDGE_SECS: u16 = 300;
-/// The shortest signature taken (RFC 8945 section 5.2.2.1): half, and ten octets at least.
+/// The shortest MAC that is accepted; it must also be at least half of a full one (RFC 8945 section 5.2.2.1).
 const MIN_MAC_BYTES: usize = 10;
 
 impl TsigRecord {
-    /// Reads the data of a TSIG record that begins at this place of its message.
+    /// Parses the data of a TSIG record that begins at `offset` in its message; `None` if it is malformed.
     pub fn read(key: Name, data: &[u8], offset: usize) -> Option<Self> {
         let (algorithm, rest) = Name::split(data).ok()?;
         let (head, rest) = rest.split_first_chunk::<10>()?;
@@ -226,7 +226,7 @@
     out
 }
 
-/// The message as it was signed: without its last record, under its first number.
+/// The message as it was signed: without the TSIG record, and with its original ID.
 fn message_before_signing(octets: &[u8], tsig: &TsigRecord) -> Option<Vec<u8>> {
     let mut message = octets.get(..tsig.offset)?.to_vec();
     message[..2].copy_from_slice(&tsig.id.to_be_bytes());
@@ -235,13 +235,13 @@
     Some(message)
 }
 
-/// The keys of a server.
+/// The TSIG keys of a server.
 #[derive(Clone, Debug, Default)]
 pub struct Keys(pub Vec<Arc<Key>>);
 
 impl Keys {
-    /// Checks a question's signature (RFC 8945 section 5.2); `now` in Unix seconds. What goes back is signed by
-    /// what comes out, also where the time is wrong.
+    /// Verifies a request's signature (RFC 8945 section 5.2); `now` is in Unix seconds. The signer that is returned, also
+    /// with an error, signs the response.
     pub fn verify(&self, octets: &[u8], tsig: &TsigRecord, now: u64) -> Result<Signer, (TsigError, Signer)> {
         let names_match = |key: &&Arc<Key>| key.name == tsig.key && key.algorithm.name() == tsig.algorithm;
         let keys: Vec<&Arc<Key>> = self.0.iter().filter(names_match).collect();
@@ -274,13 +274,13 @@
     }
 }
 
-/// Signs what goes back to a question, or a question.
+/// Signs the responses to one request, or one request; then verifies the responses to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Signer {
-    /// None where the answer goes out with an empty signature.
+    /// `None` if the response carries an empty MAC.
     key: Option<Arc<Key>>,
     record_names: (Name, Name),
-    /// The signature that the next one follows on.
+    /// The MAC of the request or of the previous message, which the next MAC covers.
     previous_mac: Vec<u8>,
     id: u16,
     time: u64,
@@ -291,7 +291,7 @@
 
 impl Signer {
     fn for_error(tsig: &TsigRecord, error: TsigError, key: Option<Arc<Key>>, now: u64) -> Self {
-        // The server's time goes back with BADTIME, signed, under the time of the question (section 5.2.3).
+        // BADTIME is signed with the request's time and carries the server's time as other data (section 5.2.3).
         let (time, other_data) = match error {
             TsigError::BadTime => (tsig.time, now.to_be_bytes()[2..].to_vec()),
             _ => (tsig.time, Vec::new()),
@@ -308,7 +308,7 @@
         }
     }
 
-    /// For questions of our own.
+    /// A signer for a request of this client.
     pub fn for_request(key: Arc<Key>, now: u64) -> Self {
         let record_names = (key.name.clone(), key.algorithm.name());
         Self {
@@ -323,12 +323,12 @@
         }
     }
 
-    /// The key's name, where the signature was right.
+    /// The key's name, if the request's signature was valid.
     pub fn key(&self) -> Option<&Name> {
         self.key.as_ref().filter(|_| self.error == 0).map(|key| &key.name)
     }
 
-    /// How much longer a message gets.
+    /// The length of the TSIG record that [`Self::sign`] adds.
     pub fn record_bytes(&self) -> usize {
         let mac = self.key.as_ref().map_or(0, |key| key.algorithm.mac_bytes());
         self.record_names.0.wire().len()
@@ -340,7 +340,7 @@
             + self.other_data.len()
     }
 
-    /// Adds a signature to a message. Each further message of a transfer follows on the one before.
+    /// Adds a TSIG record to a message. In a transfer each further MAC covers the one before it.
     pub fn sign(&mut self, message: &mut Vec<u8>) {
         let tsig = TsigRecord {
             key: self.record_names.0.clone(),
@@ -381,14 +381,18 @@
         (self.previous_mac, self.is_first) = (mac, false);
     }
 
-    /// Checks the next message that answers our question; the error that it tells comes out as text.
+    /// Verifies the next response to the request that was signed.
+    ///
+    /// # Errors
+    /// The signature is invalid, or the server reports a TSIG error; as text.
     pub fn verify_response(&mut self, octets: &[u8], tsig: &TsigRecord, now: u64) -> Result<(), String> {
         if tsig.error != 0 {
-            return Err(format!("the server refuses the signature, error {}", tsig.error));
+            return Err(format!("the server refused the request's signature with TSIG error {}", tsig.error));
         }
-        let Some(key) = self.key.clone() else { return Err("no key".to_owned()) };
+        let Some(key) = self.key.clone() else { return Err("no key to verify the response with".to_owned()) };
         let previous_length = (self.previous_mac.len() as u16).to_be_bytes();
-        let message = message_before_signing(octets, tsig).ok_or("a signature out of place")?;
+        let message =
+            message_before_signing(octets, tsig).ok_or("the response's TSIG record is misplaced")?;
         let rest =
             if self.is_first { tsig.tsig_variables() } else { tsig_timers(tsig.time, tsig.fudge).to_vec() };
         if tsig.key != key.name
@@ -403,7 +407,7 @@
         Ok(())
     }
 
-    /// Makes ready for the answers to the question just signed.
+    /// Prepares for verifying the responses to the request just signed.
     pub fn expect_response(&mut self) {
         self.is_first = true;
     }
--- a/crates/frontends/dns/src/udp.rs
+++ b/crates/frontends/dns/src/udp.rs
@@ -1,4 +1,4 @@
-//! Datagrams in and out by the batch, with the time at which the machine took each in.
+//! Receives and sends datagrams in batches, with the kernel's receive time of each.
 
 use nix::sys::socket::{
     recvmmsg, sendmmsg, setsockopt, sockopt, ControlMessage, ControlMessageOwned, MsgFlags, MultiHeaders,
@@ -8,14 +8,14 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::os::fd::AsRawFd;
 
-/// Datagrams in one batch, and the longest one that is taken.
+/// The datagrams in one batch, and the longest datagram that is accepted.
 const DATAGRAMS_PER_BATCH: usize = 32;
 const MAX_DATAGRAM_BYTES: usize = 4096;
-/// What the system keeps of datagrams that nobody has read: about so many small ones wait no longer than their
-/// due time, and what does not fit was never read.
+/// The socket's receive buffer. It holds about as many small requests as are read within their latency objective; the
+/// kernel drops what does not fit.
 const RECEIVE_BUFFER_BYTES: usize = 512 * 1024;
 
-/// Opens a socket whose datagrams carry the time at which they came.
+/// Opens a non-blocking socket that reports when the kernel received each datagram.
 pub fn open(at: SocketAddr) -> io::Result<UdpSocket> {
     use socket2::{Domain, Socket, Type};
     let socket = Socket::new(Domain::for_address(at), Type::DGRAM, None)?;
@@ -26,7 +26,7 @@
     Ok(socket.into())
 }
 
-/// Room for one batch.
+/// Buffers for one batch of received datagrams.
 pub struct ReceiveBuffers(Vec<Vec<u8>>);
 
 impl Default for ReceiveBuffers {
@@ -41,8 +41,8 @@
 }
 
 impl ReceiveBuffers {
-    /// Takes what waits, one batch at most: who sent it, its octets (none where it was too long), and when it
-    /// came in Unix microseconds. Tells whether more may wait.
+    /// Receives at most one batch without blocking. `on_datagram` gets the sender, the content (`None` if it was too
+    /// long), and the receive time in Unix microseconds. Returns whether more datagrams may be waiting.
     pub fn receive(
         &mut self,
         socket: &UdpSocket,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Sends datagrams; tells how many the system took. What it has no room for is lost, as on any wire.
+/// Sends datagrams without blocking and returns how many the kernel accepted. The others are lost.
 pub fn send(socket: &UdpSocket, datagrams: &[(SocketAddr, Vec<u8>)]) -> usize {
     let mut sent = 0;
     for batch in datagrams.chunks(DATAGRAMS_PER_BATCH) {
@@ -108,7 +108,7 @@
                 }
                 Err(nix::errno::Errno::EINTR) => {}
                 Err(nix::errno::Errno::EAGAIN) => return sent,
-                // One that can't be sent must not keep the others back.
+                // A datagram that can't be sent is skipped, so that the others are sent.
                 Err(_) => next += 1,
             }
         }
