--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a names server is told: decoded, checked and given defaults here and nowhere else.
+//! The settings of a DNS server: decoding, defaults and checks.
 
 use crate::tsig::Key;
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
@@ -16,12 +16,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A key of the settings, and what is wrong with it.
+/// An invalid setting. It is displayed as `key` and the problem, for example "`listen` is empty".
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The key's path.
+    /// The path of the setting, such as `zones[0].apex`.
     pub key: String,
-    /// What is wrong.
+    /// What is wrong with it, as the predicate of a sentence.
     pub problem: String,
 }
 
@@ -37,31 +37,32 @@
     Err(SettingsError { key: key.into(), problem: problem.into() })
 }
 
-/// The settings as they stand.
+/// The settings file as decoded, before the checks.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename = "File", deny_unknown_fields)]
 pub struct RawSettings {
-    /// Where questions come, over UDP and TCP.
+    /// The addresses to listen on, over UDP and TCP.
     pub listen: Vec<SocketAddr>,
-    /// The folder for logs and bases; it must last.
+    /// The folder for logs, snapshots and base files. It must survive restarts.
     pub state: PathBuf,
     /// The zones.
     pub zones: Vec<RawZoneSettings>,
-    /// Files with keys, one a line.
+    /// Files with TSIG keys, one key a line.
     #[serde(default)]
     pub keys: Vec<PathBuf>,
-    /// A file with 32 hex digits that all servers of a fleet share; without one, cookies last until a restart.
+    /// A file with the cookie secret, 32 hex digits, shared by all servers of a fleet. Without it the secret is random, and
+    /// cookies are valid until a restart.
     pub cookie_secret: Option<PathBuf>,
-    /// The stages.
+    /// The settings of the request classes.
     #[serde(default)]
     pub stages: ClassesSettings,
-    /// Bounds.
+    /// The server's limits.
     #[serde(default)]
     pub limits: Limits,
-    /// How long after the notice to leave the program is killed, in milliseconds.
+    /// How long after the signal to stop the program is killed, in milliseconds.
     #[serde(default = "stop_ms")]
     pub stop_ms: u64,
-    /// What arrives later than this after the notice is not run, in milliseconds.
+    /// Requests that arrive later than this after the signal to stop are not run, in milliseconds.
     #[serde(default = "grace_ms")]
     pub grace_ms: u64,
 }
@@ -74,29 +75,29 @@
     2500
 }
 
-/// A zone.
+/// A zone as written in the settings file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename = "ZoneFile", deny_unknown_fields)]
 pub struct RawZoneSettings {
-    /// Its topmost name.
+    /// The name of the zone.
     pub apex: String,
-    /// Its file; a zone that follows primaries has none.
+    /// The zone file; a secondary zone has none.
     pub file: Option<PathBuf>,
-    /// Primaries that it follows.
+    /// The primaries, if the zone is a secondary.
     #[serde(default)]
     pub primaries: Vec<SocketAddr>,
-    /// The key for questions to primaries.
+    /// The name of the key that signs requests to the primaries.
     pub key: Option<String>,
-    /// Secondaries that are told of new versions.
+    /// Secondaries that get a NOTIFY for each new version.
     #[serde(default)]
     pub notify: Vec<SocketAddr>,
-    /// Who may have the zone whole.
+    /// Who may transfer the zone.
     #[serde(default)]
     pub transfer: TransferAccess,
-    /// Who may change what.
+    /// Who may update which records.
     #[serde(default)]
     pub updates: Vec<RawGrant>,
-    /// With more refused records than this a file is of no use.
+    /// A zone file with more refused records than this is not used.
     #[serde(default = "refused_most")]
     pub refused_most: usize,
 }
@@ -105,60 +106,60 @@
     100
 }
 
-/// Who may have a zone whole.
+/// Who may transfer a zone.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename = "Transfer", deny_unknown_fields)]
 pub struct TransferAccess {
-    /// Holders of these keys.
+    /// Clients that sign with one of these keys.
     #[serde(default)]
     pub keys: Vec<String>,
-    /// Anyone.
+    /// Any client.
     #[serde(default)]
     pub anyone: bool,
 }
 
-/// Who may change what.
+/// Permission to update records, for one key. Exactly one of `name`, `tree` and `below` is given.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename = "GrantFile", deny_unknown_fields)]
 pub struct RawGrant {
-    /// The holder of this key.
+    /// The name of the key.
     pub key: String,
-    /// This name only.
+    /// Only this name.
     pub name: Option<String>,
-    /// This name and all below.
+    /// This name and all names below it.
     pub tree: Option<String>,
-    /// All below this name.
+    /// All names below this one.
     pub below: Option<String>,
-    /// These kinds; none named means all but SOA and NS.
+    /// The permitted record types; an empty list permits all but SOA and NS.
     #[serde(default)]
     pub kinds: Vec<String>,
 }
 
-/// One stage.
+/// The scheduling settings of a request class.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename = "Stage", deny_unknown_fields)]
 pub struct ClassSettings {
-    /// What an answer in time earns.
+    /// The utility of a response within the latency objective.
     pub utility: f64,
-    /// When it is wanted, in milliseconds.
+    /// The latency objective in milliseconds.
     pub due_ms: u64,
-    /// When the client gives up, in milliseconds.
+    /// The deadline, when the client gives up, in milliseconds.
     pub limit_ms: u64,
 }
 
-/// The stages of the front, in the order of their indices.
+/// The settings of each request class, in the order of the indices in [`class`].
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename = "Stages", deny_unknown_fields, default)]
 pub struct ClassesSettings {
-    /// Questions.
+    /// Queries.
     pub query: ClassSettings,
-    /// Questions beyond their prefix's share.
+    /// Queries from an address prefix that exceeds its share of the load.
     pub beyond: ClassSettings,
     /// Updates.
     pub update: ClassSettings,
     /// Transfers.
     pub transfer: ClassSettings,
-    /// Notices.
+    /// NOTIFY messages.
     pub notify: ClassSettings,
 }
 
@@ -175,51 +176,52 @@
     }
 }
 
-/// The stages' indices.
+/// The indices of the request classes.
 pub mod class {
-    /// Questions.
+    /// Queries.
     pub const QUERY: usize = 0;
-    /// Questions beyond their prefix's share.
+    /// Queries from an address prefix that exceeds its share of the load.
     pub const BEYOND: usize = 1;
     /// Updates.
     pub const UPDATE: usize = 2;
     /// Transfers.
     pub const TRANSFER: usize = 3;
-    /// Notices.
+    /// NOTIFY messages.
     pub const NOTIFY: usize = 4;
-    /// Their names.
+    /// The names of the classes in settings and counters.
     pub const NAMES: [&str; 5] = ["query", "beyond", "update", "transfer", "notify"];
 }
 
-/// Bounds of the program.
+/// The server's limits.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Memory for tasks that are held or run, in MB.
+    /// Memory for queued and running requests, in MB.
     pub memory_mb: u64,
-    /// TCP connections.
+    /// The greatest number of TCP connections.
     pub connections: usize,
-    /// The longest answer over UDP, in octets.
+    /// The longest UDP response in bytes.
     pub payload: u16,
-    /// A prefix may have this share of what is asked.
+    /// The share of all queries that one address prefix may send before its queries go to the class `beyond`.
     pub prefix_share: f64,
-    /// And so many questions a second in any case.
+    /// Queries a second that a prefix may send whatever its share.
     pub prefix_least: f64,
-    /// Whether a source that has not proven its address gets no answer longer than its question.
+    /// Whether a UDP client without a valid cookie or signature gets no response longer than its request.
     pub proof: bool,
-    /// Records that a zone's log of changes names.
+    /// The number of records in a zone's change history, from which incremental transfers are answered.
     pub history: usize,
-    /// For how long a repeated update is known, in seconds.
+    /// For how long a repeated update is recognized, in seconds.
     pub repeats_s: u64,
-    /// When the log is this long, in MB, a snapshot shortens it.
+    /// The length of a zone's log, in MB, at which it is replaced by a snapshot.
     pub log_mb: u64,
-    /// Records in a zone.
+    /// The greatest number of records in a zone.
     pub records: usize,
     /// The shortest lease that is granted, in seconds.
     pub lease_least_s: u64,
-    /// Of a name's addresses no more than this share lapses within a lease's length.
+    /// The greatest share of a name's addresses that may expire within the length of one lease.
     pub lease_share: f64,
-    /// Where more than this share of leases is not renewed, the path is suspect.
+    /// If more than this share of the leases is not renewed, the network path to their holders is taken to be down, and no
+    /// record expires.
     pub lease_suspect: f64,
 }
 
@@ -243,58 +245,61 @@
     }
 }
 
-/// A zone's settings, checked.
+/// The checked settings of a zone.
 #[derive(Clone, Debug)]
 pub struct ZoneSettings {
-    /// Its topmost name.
+    /// The name of the zone.
     pub apex: Name,
-    /// Its file.
+    /// The zone file; `None` for a secondary.
     pub file: Option<PathBuf>,
-    /// Primaries that it follows.
+    /// The primaries, if the zone is a secondary.
     pub primaries: Vec<SocketAddr>,
-    /// The key for questions to them.
+    /// The key that signs requests to the primaries.
     pub key: Option<Arc<Key>>,
-    /// Secondaries to be told.
+    /// Secondaries that get a NOTIFY for each new version.
     pub notify: Vec<SocketAddr>,
-    /// Whose keys open transfers.
+    /// The names of the keys that may transfer the zone.
     pub transfer_keys: Vec<Name>,
-    /// Whether anyone may have the zone whole.
+    /// Whether any client may transfer the zone.
     pub transfer_anyone: bool,
-    /// Who may change what.
+    /// Who may update which records.
     pub grants: Vec<Grant>,
-    /// What its file is held to.
+    /// The limits on the zone file.
     pub file_limits: zone_file::ZoneFileLimits,
 }
 
-/// All settings, checked.
+/// The checked settings of a server.
 #[derive(Clone, Debug)]
 pub struct CheckedSettings {
-    /// Where questions come.
+    /// The addresses to listen on, over UDP and TCP.
     pub listen: Vec<SocketAddr>,
-    /// The folder that lasts.
+    /// The folder for logs, snapshots and base files.
     pub state: PathBuf,
     /// The zones.
     pub zones: Vec<ZoneSettings>,
-    /// The keys.
+    /// The TSIG keys.
     pub keys: Vec<Arc<Key>>,
-    /// The cookies' secret.
+    /// The cookie secret; `None` for a random one.
     pub cookie_secret: Option<[u8; 16]>,
-    /// What the module is told.
+    /// The settings of the scheduler.
     pub policy: Settings,
-    /// Bounds.
+    /// The server's limits.
     pub limits: Limits,
-    /// How long after the notice to leave the program is killed.
+    /// How long after the signal to stop the program is killed.
     pub stop_timeout: Duration,
 }
 
-/// Tasks that the executor has under way at once: a batch is run and then settled. One core is seen as so many
-/// slower ones, so that the module decides once a batch and not once a question.
+/// The number of cores told to the scheduler, and so of requests that run at once. The one real core counts as so many
+/// slower ones, so that the scheduler decides once for a batch of requests and not once for each.
 pub const VIRTUAL_CORES: u32 = 32;
-/// A task that runs takes this many times the memory of one that is held.
+/// The memory of a running request, as a multiple of that of a queued one.
 const RUNNING_MEMORY_FACTOR: f64 = 2.0;
 
 impl RawSettings {
-    /// Checks all; reads the files of keys.
+    /// Checks all settings, and reads the keys and the cookie secret from their files.
+    ///
+    /// # Errors
+    /// The first setting that is invalid.
     pub fn check(self) -> Result<CheckedSettings, SettingsError> {
         let mut keys = Vec::new();
         for (n, path) in self.keys.iter().enumerate() {
@@ -355,7 +360,7 @@
         })
     }
 
-    /// What the module is told: the front's stages, on one core in so many parts.
+    /// The scheduler's settings: the request classes, on [`VIRTUAL_CORES`].
     fn policy(&self) -> Settings {
         let classes = self.stages.all().map(|class| RequestClass {
             utility: class.utility,
@@ -369,8 +374,7 @@
         });
         let mut classes = classes.to_vec();
         for at in [class::UPDATE, class::TRANSFER] {
-            // They wait for the disk or a peer, what they began can't be begun again, and a late answer is
-            // better than none.
+            // Updates and transfers wait for the disk or the client, can't be executed twice, and are of use also when late.
             (classes[at].calls_downstream, classes[at].effect, classes[at].late_utility_fraction) =
                 (true, Effect::NonIdempotent, 0.5);
         }
@@ -382,7 +386,7 @@
             cold_start: false,
             cold_capacity_fraction: 1.0,
             warmup_time: Span::from_millis(1),
-            // Waits hold no core here; memory bounds how many there are.
+            // A request that waits for the disk or a client occupies no core; memory limits how many there are.
             max_running_per_core: 4096.0,
             drain_grace: Span::from_millis(self.grace_ms),
             classes,
@@ -435,7 +439,7 @@
         Ok(())
     }
 
-    /// The limits of a zone's store.
+    /// The limits of a zone store.
     pub fn zone_store_limits(&self) -> zone_store::ZoneStoreLimits {
         let mut limits = zone_store::ZoneStoreLimits {
             history: self.history,
@@ -450,14 +454,14 @@
         limits
     }
 
-    /// Who asks how much, by prefix.
+    /// The rate limit of queries by address prefix.
     pub fn rate_limit(&self, key: u64, now: lynxtally::Instant) -> RequestRateLimit {
-        // A count stands for about two turns of half a second, so for about a second.
+        // Counts halve every half second, so a count covers about the last second.
         let sketch = CountMinSketch::new(1 << 12, Span::from_millis(500), key, now);
         RequestRateLimit::new(sketch, self.prefix_share, self.prefix_least)
     }
 
-    /// How a secondary paces itself where its zone is not known yet.
+    /// The retry intervals of a secondary that does not know its zone's SOA yet.
     pub fn retry_times(&self) -> RetryTimes {
         RetryTimes::default()
     }
@@ -479,15 +483,15 @@
         match (&self.file, self.primaries.is_empty()) {
             (None, true) => return error(format!("{at}.file"), "is missing, and there are no primaries"),
             (Some(_), false) => {
-                return error(format!("{at}.primaries"), "is given beside a file; a zone has one source");
+                return error(
+                    format!("{at}.primaries"),
+                    "is given together with `file`; a zone has only one source",
+                );
             }
             _ => {}
         }
         if !self.primaries.is_empty() && !self.updates.is_empty() {
-            return error(
-                format!("{at}.updates"),
-                "is given for a zone that follows primaries; it takes none",
-            );
+            return error(format!("{at}.updates"), "is given for a secondary zone, which accepts no updates");
         }
         let mut grants = Vec::new();
         for (n, grant) in self.updates.iter().enumerate() {
@@ -496,14 +500,17 @@
                 (Some(text), None, None) => Scope::Exact(parse_name(format!("{at}.name"), text)?),
                 (None, Some(text), None) => Scope::Tree(parse_name(format!("{at}.tree"), text)?),
                 (None, None, Some(text)) => Scope::Below(parse_name(format!("{at}.below"), text)?),
-                _ => return error(at, "has to have one of name, tree and below"),
+                _ => return error(at, "must have exactly one of name, tree and below"),
             };
             let mut kinds = Vec::new();
             for (k, text) in grant.kinds.iter().enumerate() {
                 match RecordType::parse(text).filter(|kind| !kind.is_meta()) {
                     Some(kind) => kinds.push(kind),
                     None => {
-                        return error(format!("{at}.kinds[{k}]"), format!("is {text:?}; no kind of record"))
+                        return error(
+                            format!("{at}.kinds[{k}]"),
+                            format!("is {text:?}; which is not a record type"),
+                        )
                     }
                 }
             }
@@ -531,7 +538,7 @@
     }
 }
 
-/// A file that only its owner may read.
+/// Reads a file that only its owner may have access to.
 fn read_private_file(path: &Path) -> Result<String, String> {
     let shown = path.display();
     let mode = std::fs::metadata(path).map_err(|why| format!("is {shown}: {why}"))?.permissions().mode();
@@ -544,7 +551,7 @@
     std::fs::read_to_string(path).map_err(|why| format!("is {shown}: {why}"))
 }
 
-/// Reads a file of keys, one a line; two may have one name while one takes the other's place.
+/// Reads a file of TSIG keys, one a line. While a key is being replaced, two keys may have the same name.
 pub fn read_keys(path: &Path) -> Result<Vec<Arc<Key>>, String> {
     let mut keys = Vec::new();
     for (n, line) in read_private_file(path)?.lines().enumerate() {
--- a/crates/frontends/dns/tests/documented_settings.rs
+++ b/crates/frontends/dns/tests/documented_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a names server: each key that docs/names.md names, read to its place, in its unit.
+//! Every setting in docs/names.md is decoded into its field, with its unit.
 
 use lynxtally_dns::settings::{ClassSettings, RawSettings};
 use std::path::PathBuf;
