--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -43,6 +43,7 @@
 use std::time::Duration;
 use tracing::{error, info, warn};
 
+/// Stack of the coroutines that accept connections, in words.
 const STACK_WORDS: usize = 0x4000;
 /// Limits on what one pass of the server loop reads per socket, in batches of datagrams, and from the event queue.
 const MAX_BATCHES_PER_TURN: usize = 2;
@@ -289,7 +290,12 @@
         spawn(
             STACK_WORDS,
             move || acceptor.accept(listener),
-            |panic| error!(%panic, "accept coroutine panicked: this listener accepts no more TCP connections"),
+            |panic| {
+                error!(
+                    %panic,
+                    "accept coroutine panicked: this listener accepts no more TCP connections"
+                )
+            },
         )
         .map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
     }
@@ -409,7 +415,7 @@
     let mut include = |name: &str| -> Result<Vec<u8>, String> { read_include(&folder, name) };
     let read = zone_file::read(&shown, &text, Some(&zone.apex), zone.file_limits, &mut include);
     for fault in &read.faults {
-        warn!("{fault}");
+        warn!("zone file record refused: {fault}");
     }
     match read.unusable {
         Some(fault) => Err(fault.to_string()),
@@ -454,7 +460,10 @@
     let (mut journal, found) = WriteAheadLog::open(folder, &name).map_err(|fault| fault.to_string())?;
     let limits = settings.limits.zone_store_limits();
     if let Some(cut) = &found.torn_tail {
-        warn!(zone = %zone.apex, file = cut.file, at = cut.offset, octets = cut.length, "zone log ended in an incomplete entry, which was truncated");
+        warn!(
+            zone = %zone.apex, file = cut.file, at = cut.offset, octets = cut.length,
+            "zone log ended in an incomplete entry, which was truncated"
+        );
     }
     let mut damage: Vec<String> = found.damage.iter().map(ToString::to_string).collect();
     let mut store = match found.snapshot {
@@ -479,7 +488,10 @@
                 break;
             }
         }
-        info!(zone = %zone.apex, serial = %store.current().serial(), entries = found.entries.len(), "zone loaded from its log");
+        info!(
+            zone = %zone.apex, serial = %store.current().serial(), entries = found.entries.len(),
+            "zone loaded from its log"
+        );
     } else if let Some(path) = &zone.file {
         let base = read_zone_file(path, zone)?;
         let file = write_base(folder, &name, &base)?;
@@ -487,11 +499,19 @@
         let rotation = journal.rotate();
         WriteAheadLog::write_snapshot(folder, &name, rotation, &encode(&new_store.snapshot()))
             .map_err(|fault| fault.to_string())?;
-        info!(zone = %zone.apex, serial = %new_store.current().serial(), records = new_store.current().records(), "zone loaded from its zone file");
+        info!(
+            zone = %zone.apex,
+            serial = %new_store.current().serial(),
+            records = new_store.current().records(),
+            "zone loaded from its zone file"
+        );
         store = Some(new_store);
     }
     if let Some(what) = damage.first() {
-        error!(zone = %zone.apex, what, "zone log is damaged: serving the zone as of the last readable entry and refusing updates");
+        error!(
+            zone = %zone.apex, what,
+            "zone log is damaged: serving the zone as of the last readable entry and refusing updates"
+        );
         if let Some(store) = &mut store {
             store.freeze(FreezeReason::LogFailed(what.clone()));
         }
@@ -752,7 +772,12 @@
                 self.handle_message(Some(&octets), from, ResponsePath::Tcp(connection), None)
             }
             ServerEvent::Connection(ConnectionEvent::Closed(connection, _)) => {
-                let same_connection = |context: &Arc<RequestContext<ResponsePath>>| matches!(&context.peer, ResponsePath::Tcp(other) if Arc::ptr_eq(&other.0, &connection.0));
+                let same_connection = |context: &Arc<RequestContext<ResponsePath>>| {
+                    matches!(
+                        &context.peer,
+                        ResponsePath::Tcp(other) if Arc::ptr_eq(&other.0, &connection.0)
+                    )
+                };
                 for request_id in self.engine.awaiting_reply(same_connection) {
                     self.engine.caller_gone(now, request_id, |_| true);
                 }
@@ -781,7 +806,10 @@
                         "{\"reread\":true}".to_owned()
                     }
                     Err(why) => {
-                        warn!(zone = %apex, why, "zone file not reloaded; the current version of the zone stays in force");
+                        warn!(
+                            zone = %apex, why,
+                            "zone file not reloaded; the current version of the zone stays in force"
+                        );
                         control::error(&why)
                     }
                 };
@@ -791,7 +819,10 @@
             ServerEvent::SnapshotWritten(zone, result) => {
                 self.executor.zones[zone].snapshot_running = false;
                 if let Err(why) = result {
-                    warn!(zone = %self.executor.zones[zone].settings.apex, why, "writing the zone's snapshot failed; its log keeps growing");
+                    warn!(
+                        zone = %self.executor.zones[zone].settings.apex, why,
+                        "writing the zone's snapshot failed; its log keeps growing"
+                    );
                 }
             }
             ServerEvent::PrimarySerial(zone, Ok(serial)) => {
@@ -804,7 +835,10 @@
             }
             ServerEvent::PrimarySerial(zone, Err(why)) | ServerEvent::TransferReceived(zone, Err(why)) => {
                 let zone_state = &mut self.executor.zones[zone];
-                info!(zone = %zone_state.settings.apex, why, "refreshing the zone from a primary failed; it will be retried");
+                info!(
+                    zone = %zone_state.settings.apex, why,
+                    "refreshing the zone from a primary failed; it will be retried"
+                );
                 if let Some(secondary) = &mut zone_state.secondary {
                     secondary.failed(now);
                 }
@@ -1078,7 +1112,7 @@
         }
     }
 
-    /// All counters as one line of JSON.
+    /// The counters and the state of each zone as one line of JSON.
     fn counters(&self) -> String {
         let counts = self.engine.counts();
         let ExecutorCounts { codes, repeats, versions, lapsed, transfers } = self.executor.counts;
--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -509,7 +509,7 @@
                     None => {
                         return error(
                             format!("{at}.kinds[{k}]"),
-                            format!("is {text:?}; which is not a record type"),
+                            format!("is {text:?}, which is not a record type"),
                         )
                     }
                 }
