--- a/crates/frontends/dns/src/client.rs
+++ b/crates/frontends/dns/src/client.rs
@@ -1,6 +1,6 @@
-//! Questions of our own, over plain blocking sockets with time bounds: for secondaries, notices and operators.
+//! A DNS client on blocking sockets with timeouts, for secondaries, for NOTIFY and for the operator's program.
 
-use crate::codec::{Answered, Question};
+use crate::codec::{OutgoingRequest, Response};
 use crate::tsig::{Key, Signer};
 use lynxtally_zones::secondary::{TransferReader, TransferResult};
 use lynxtally_zones::Record;
@@ -11,76 +11,76 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Why a question got no answer that can be used.
+/// Why a request got no usable response.
 #[derive(Debug)]
-pub enum Fault {
-    /// The connection.
+pub enum ClientError {
+    /// A socket failed or timed out.
     Io(io::Error),
-    /// What came can't be read, or answers something else.
-    Garbled(&'static str),
-    /// The signature.
+    /// The response can't be parsed, or answers another request.
+    InvalidResponse(&'static str),
+    /// The response's TSIG is missing or wrong.
     Signature(String),
-    /// The server refuses: the code, and its reason where it gave one.
-    Refused(u16, String),
-    /// A transfer can't be used.
-    Unusable(String),
+    /// The server returned this error code, with the text of its extended error if there was one.
+    ErrorResponse(u16, String),
+    /// The content of a transfer is invalid.
+    InvalidTransfer(String),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ClientError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::Io(fault) => fault.fmt(f),
-            Self::Garbled(what) => f.write_str(what),
-            Self::Signature(what) | Self::Unusable(what) => f.write_str(what),
-            Self::Refused(code, reason) => {
-                let code = crate::codec::Code(*code);
+            Self::InvalidResponse(what) => f.write_str(what),
+            Self::Signature(what) | Self::InvalidTransfer(what) => f.write_str(what),
+            Self::ErrorResponse(code, reason) => {
+                let code = crate::codec::ResponseCode(*code);
                 match reason.as_str() {
-                    "" => write!(f, "the server says {code}"),
-                    reason => write!(f, "the server says {code}: {reason}"),
+                    "" => write!(f, "the server returned {code}"),
+                    reason => write!(f, "the server returned {code}: {reason}"),
                 }
             }
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ClientError {}
 
-impl From<io::Error> for Fault {
+impl From<io::Error> for ClientError {
     fn from(fault: io::Error) -> Self {
         Self::Io(fault)
     }
 }
 
-/// The system's time in Unix seconds.
+/// The system time in Unix seconds.
 pub fn unix_now() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |past| past.as_secs())
 }
 
-/// One that asks a server.
+/// A client of one server.
 #[derive(Clone, Debug)]
 pub struct Client {
-    /// The server.
+    /// The server's address.
     pub server: SocketAddr,
-    /// The key that signs.
+    /// The TSIG key that signs requests.
     pub key: Option<Arc<Key>>,
-    /// How long one answer is waited for.
-    pub patience: Duration,
+    /// How long to wait for a connection and for each response.
+    pub timeout: Duration,
 }
 
-/// A connection that carries messages.
-pub struct Open {
+/// A TCP connection to a server.
+pub struct ClientConnection {
     stream: TcpStream,
 }
 
-impl Open {
-    /// Sends a message.
+impl ClientConnection {
+    /// Sends a message, prefixed by its length.
     pub fn send(&mut self, octets: &[u8]) -> io::Result<()> {
         let mut framed = (octets.len() as u16).to_be_bytes().to_vec();
         framed.extend_from_slice(octets);
         self.stream.write_all(&framed)
     }
 
-    /// Takes the next message.
+    /// Receives the next message.
     pub fn receive(&mut self) -> io::Result<Vec<u8>> {
         let mut head = [0; 2];
         self.stream.read_exact(&mut head)?;
@@ -92,122 +92,144 @@
 
 impl Client {
     fn signer(&self) -> Option<Signer> {
-        self.key.clone().map(|key| Signer::asking(key, unix_now()))
+        self.key.clone().map(|key| Signer::for_request(key, unix_now()))
     }
 
-    /// Connects.
-    pub fn connect(&self) -> io::Result<Open> {
-        let stream = TcpStream::connect_timeout(&self.server, self.patience)?;
-        stream.set_read_timeout(Some(self.patience))?;
-        stream.set_write_timeout(Some(self.patience))?;
+    /// Opens a TCP connection to the server.
+    pub fn connect(&self) -> io::Result<ClientConnection> {
+        let stream = TcpStream::connect_timeout(&self.server, self.timeout)?;
+        stream.set_read_timeout(Some(self.timeout))?;
+        stream.set_write_timeout(Some(self.timeout))?;
         stream.set_nodelay(true)?;
-        Ok(Open { stream })
+        Ok(ClientConnection { stream })
     }
 
-    fn check(octets: &[u8], id: u16, signer: &mut Option<Signer>) -> Result<Answered, Fault> {
-        let answered = Answered::read(octets).ok_or(Fault::Garbled("what came is no answer"))?;
-        if answered.id != id {
-            return Err(Fault::Garbled("an answer to another question came"));
+    fn read_response(octets: &[u8], id: u16, signer: &mut Option<Signer>) -> Result<Response, ClientError> {
+        let response =
+            Response::read(octets).ok_or(ClientError::InvalidResponse("the reply is not a DNS response"))?;
+        if response.id != id {
+            return Err(ClientError::InvalidResponse("the response has the ID of another request"));
         }
         if let Some(signer) = signer {
-            match &answered.signed {
-                Some(signed) => signer.check(octets, signed, unix_now()).map_err(Fault::Signature)?,
-                None if answered.code == 0 => {
-                    return Err(Fault::Signature("the answer is not signed".to_owned()))
+            match &response.tsig {
+                Some(tsig) => {
+                    signer.verify_response(octets, tsig, unix_now()).map_err(ClientError::Signature)?
+                }
+                None if response.code == 0 => {
+                    return Err(ClientError::Signature("the response is not signed".to_owned()))
                 }
                 None => {}
             }
         }
-        Ok(answered)
+        Ok(response)
     }
 
-    /// Asks over a connection.
-    pub fn ask(&self, question: &Question) -> Result<Answered, Fault> {
+    /// Sends a request over TCP and returns the response.
+    pub fn exchange_tcp(&self, request: &OutgoingRequest) -> Result<Response, ClientError> {
         let mut signer = self.signer();
-        let octets = question.write(signer.as_mut());
-        let mut open = self.connect()?;
-        open.send(&octets)?;
-        Self::check(&open.receive()?, question.id, &mut signer)
+        let octets = request.write(signer.as_mut());
+        let mut connection = self.connect()?;
+        connection.send(&octets)?;
+        Self::read_response(&connection.receive()?, request.id, &mut signer)
     }
 
-    /// Asks by datagram; a cut answer is asked for again over a connection.
-    pub fn ask_by_datagram(&self, question: &Question) -> Result<Answered, Fault> {
-        self.ask_by_datagram_from(None, question)
+    /// Sends a request over UDP and returns the response; after a truncated one the request is repeated over TCP.
+    pub fn exchange_udp(&self, request: &OutgoingRequest) -> Result<Response, ClientError> {
+        self.exchange_udp_from(None, request)
     }
 
-    /// The same from one of this machine's addresses, by which the other side knows us.
-    pub fn ask_by_datagram_from(&self, from: Option<IpAddr>, question: &Question) -> Result<Answered, Fault> {
+    /// As [`Self::exchange_udp`], from a given local address where the server checks the sender's address.
+    pub fn exchange_udp_from(
+        &self,
+        from: Option<IpAddr>,
+        request: &OutgoingRequest,
+    ) -> Result<Response, ClientError> {
         let mut signer = self.signer();
-        let octets = question.write(signer.as_mut());
-        let any: IpAddr = match self.server {
+        let octets = request.write(signer.as_mut());
+        let unspecified: IpAddr = match self.server {
             SocketAddr::V4(_) => Ipv4Addr::UNSPECIFIED.into(),
             SocketAddr::V6(_) => Ipv6Addr::UNSPECIFIED.into(),
         };
         let from = from.filter(|from| from.is_ipv4() == self.server.is_ipv4());
-        let socket = UdpSocket::bind((from.unwrap_or(any), 0))?;
+        let socket = UdpSocket::bind((from.unwrap_or(unspecified), 0))?;
         socket.connect(self.server)?;
-        socket.set_read_timeout(Some(self.patience))?;
+        socket.set_read_timeout(Some(self.timeout))?;
         socket.send(&octets)?;
-        let mut room = vec![0; 4096];
-        let length = socket.recv(&mut room)?;
-        let answered = Self::check(&room[..length], question.id, &mut signer)?;
-        if answered.truncated {
-            return self.ask(question);
+        let mut buffer = vec![0; 4096];
+        let length = socket.recv(&mut buffer)?;
+        let response = Self::read_response(&buffer[..length], request.id, &mut signer)?;
+        if response.truncated {
+            return self.exchange_tcp(request);
         }
-        Ok(answered)
+        Ok(response)
     }
 
-    /// A server's serial of a zone.
-    pub fn serial(&self, zone: &Name, id: u16) -> Result<Serial, Fault> {
-        let answered = self.ask(&query(id, zone, RecordType::SOA))?;
-        refused(&answered)?;
+    /// Queries the server's serial of a zone.
+    pub fn serial(&self, zone: &Name, id: u16) -> Result<Serial, ClientError> {
+        let response = self.exchange_tcp(&query(id, zone, RecordType::SOA))?;
+        check_response_code(&response)?;
         let soa =
-            answered.sections[0].iter().find(|record| record.kind == RecordType::SOA && record.name == *zone);
+            response.sections[0].iter().find(|record| record.kind == RecordType::SOA && record.name == *zone);
         let soa = soa.and_then(|record| lynxtally_zones::Soa::of(&record.data));
-        soa.filter(|_| answered.authoritative).map(|soa| soa.serial).ok_or(Fault::Garbled("no SOA came"))
+        soa.filter(|_| response.authoritative)
+            .map(|soa| soa.serial)
+            .ok_or(ClientError::InvalidResponse("the response has no authoritative SOA record of the zone"))
     }
 
-    /// Has a zone, or what changed since a version, transferred.
+    /// Transfers a zone in full, or the changes since `current_soa` if one is given, of at most `max_records` records.
     pub fn transfer(
         &self,
         zone: &Name,
-        have: Option<&Record>,
-        most: usize,
+        current_soa: Option<&Record>,
+        max_records: usize,
         id: u16,
-    ) -> Result<TransferResult, Fault> {
-        let from = have.and_then(|soa| lynxtally_zones::Soa::of(&soa.data)).map(|soa| soa.serial);
-        let kind = if have.is_some() { RecordType::IXFR } else { RecordType::AXFR };
-        let question = Question { soa: have, ..query(id, zone, kind) };
+    ) -> Result<TransferResult, ClientError> {
+        let from = current_soa.and_then(|soa| lynxtally_zones::Soa::of(&soa.data)).map(|soa| soa.serial);
+        let kind = if current_soa.is_some() { RecordType::IXFR } else { RecordType::AXFR };
+        let request = OutgoingRequest { soa: current_soa, ..query(id, zone, kind) };
         let mut signer = self.signer();
-        let octets = question.write(signer.as_mut());
-        let mut open = self.connect()?;
-        open.send(&octets)?;
-        let mut incoming = TransferReader::new(zone.clone(), from, most);
+        let octets = request.write(signer.as_mut());
+        let mut connection = self.connect()?;
+        connection.send(&octets)?;
+        let mut reader = TransferReader::new(zone.clone(), from, max_records);
         loop {
-            let answered = Self::check(&open.receive()?, id, &mut signer)?;
-            refused(&answered)?;
-            let [records, ..] = answered.sections;
+            let response = Self::read_response(&connection.receive()?, id, &mut signer)?;
+            check_response_code(&response)?;
+            let [records, ..] = response.sections;
             for record in records {
-                incoming.take(record).map_err(|fault| Fault::Unusable(fault.to_string()))?;
+                reader.take(record).map_err(|fault| ClientError::InvalidTransfer(fault.to_string()))?;
             }
-            if let Some(nothing) = incoming.message_ended() {
-                return Ok(nothing);
+            if let Some(up_to_date) = reader.message_ended() {
+                return Ok(up_to_date);
             }
-            if incoming.is_complete() {
-                return incoming.finish().ok_or(Fault::Garbled("a transfer broke off"));
+            if reader.is_complete() {
+                return reader.finish().ok_or(ClientError::InvalidResponse("the transfer is incomplete"));
             }
         }
     }
 }
 
-fn refused(answered: &Answered) -> Result<(), Fault> {
-    match answered.code {
+fn check_response_code(response: &Response) -> Result<(), ClientError> {
+    match response.code {
         0 => Ok(()),
-        code => Err(Fault::Refused(code, answered.reason.clone().map_or(String::new(), |(_, text)| text))),
+        code => Err(ClientError::ErrorResponse(
+            code,
+            response.reason.clone().map_or(String::new(), |(_, text)| text),
+        )),
     }
 }
 
-/// A plain question.
-pub fn query(id: u16, name: &Name, kind: RecordType) -> Question<'_> {
-    Question { id, name, kind, opcode: 0, soa: None, needs: &[], edits: &[], lease: None, cookie: None }
+/// A query for the records of one type at a name.
+pub fn query(id: u16, name: &Name, kind: RecordType) -> OutgoingRequest<'_> {
+    OutgoingRequest {
+        id,
+        name,
+        kind,
+        opcode: 0,
+        soa: None,
+        prerequisites: &[],
+        updates: &[],
+        lease: None,
+        cookie: None,
+    }
 }
--- a/crates/frontends/dns/src/control.rs
+++ b/crates/frontends/dns/src/control.rs
@@ -1,5 +1,5 @@
-//! What an operator's program says to a running server, over a socket in the state folder: one line of words, one
-//! line of JSON back.
+//! The control protocol between the operator's program and a running server, over a Unix socket in the state folder: a
+//! command is one line of words, its reply one line of JSON.
 
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::{UnixListener, UnixStream};
@@ -7,23 +7,23 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// What is asked.
+/// A command to a running server; zones are given by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verb {
-    /// Take no updates for this zone.
+pub enum Command {
+    /// Refuse updates of this zone.
     Freeze(String),
-    /// Take them again.
+    /// Accept updates of this zone again.
     Thaw(String),
-    /// Read the zone's file again.
+    /// Reload the zone file.
     Reread(String),
-    /// Shorten the zone's log by a snapshot.
+    /// Write a snapshot of the zone and start a new log.
     Compact(String),
-    /// Tell how all stands.
+    /// Return the counters and the state of each zone.
     Status,
 }
 
-impl Verb {
-    /// As one line.
+impl Command {
+    /// The command as a line of the protocol, without the line end.
     pub fn line(&self) -> String {
         match self {
             Self::Freeze(zone) => format!("freeze {zone}"),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Reads it.
+    /// Parses a line; `None` if it is not a command.
     pub fn parse(line: &str) -> Option<Self> {
         match line.split_whitespace().collect::<Vec<_>>()[..] {
             ["freeze", zone] => Some(Self::Freeze(zone.to_owned())),
@@ -47,18 +47,21 @@
     }
 }
 
-/// Where the socket of a state folder is.
+/// The path of the control socket in a state folder.
 pub fn path(state: &Path) -> PathBuf {
     state.join("control.sock")
 }
 
-/// One that waits for an answer is told so after this.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long a reply is waited for, by the server's side and by the program that asks.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Listens for as long as the program runs. One left by a program that is gone is taken over.
+/// Listens for commands as long as the program runs. A socket file that a stopped server left is replaced.
+///
+/// # Errors
+/// Another server listens on the socket, or it can't be created.
 pub fn listen(
     state: &Path,
-    heard: impl Fn(Verb, Sender<String>) + Send + Clone + 'static,
+    on_command: impl Fn(Command, Sender<String>) + Send + Clone + 'static,
 ) -> std::io::Result<()> {
     let path = path(state);
     if UnixStream::connect(&path).is_ok() {
@@ -68,39 +71,41 @@
     let listener = UnixListener::bind(&path)?;
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let heard = heard.clone();
+            let on_command = on_command.clone();
             std::thread::spawn(move || {
                 let mut line = String::new();
                 let mut reader = BufReader::new(&stream);
                 if reader.read_line(&mut line).is_err() {
                     return;
                 }
-                let said = match Verb::parse(&line) {
-                    Some(verb) => {
-                        let (answer, answered) = std::sync::mpsc::channel();
-                        heard(verb, answer);
-                        answered.recv_timeout(PATIENCE).unwrap_or_else(|_| error("no answer in time"))
+                let reply = match Command::parse(&line) {
+                    Some(command) => {
+                        let (reply_sender, reply_receiver) = std::sync::mpsc::channel();
+                        on_command(command, reply_sender);
+                        reply_receiver
+                            .recv_timeout(RESPONSE_TIMEOUT)
+                            .unwrap_or_else(|_| error("the server did not reply within 60 s"))
                     }
-                    None => error("not understood"),
+                    None => error("unknown command"),
                 };
-                // Who asked may be gone.
-                let _ = writeln!(&stream, "{said}");
+                // The operator's program may have disconnected.
+                let _ = writeln!(&stream, "{reply}");
             });
         }
     });
     Ok(())
 }
 
-/// An error as JSON.
-pub fn error(what: &str) -> String {
-    format!("{{\"error\":\"{}\"}}", what.replace('\\', "\\\\").replace('"', "\\\""))
+/// An error reply as JSON.
+pub fn error(message: &str) -> String {
+    format!("{{\"error\":\"{}\"}}", message.replace('\\', "\\\\").replace('"', "\\\""))
 }
 
-/// Asks a running server.
-pub fn ask(state: &Path, verb: &Verb) -> std::io::Result<String> {
+/// Sends a command to a running server and returns its reply.
+pub fn send(state: &Path, command: &Command) -> std::io::Result<String> {
     let mut stream = UnixStream::connect(path(state))?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    writeln!(stream, "{}", verb.line())?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
+    writeln!(stream, "{}", command.line())?;
     let mut line = String::new();
     BufReader::new(stream).read_line(&mut line)?;
     Ok(line.trim_end().to_owned())
--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a names server is told: decoded, checked and given defaults here and nowhere else.
+//! The settings of a DNS server: decoding, defaults and checks.
 
 use crate::tsig::Key;
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
@@ -16,52 +16,53 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A key of the settings, and what is wrong with it.
+/// An invalid setting. It is displayed as `key` and the problem, for example "`listen` is empty".
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    /// The key's path.
+pub struct SettingsError {
+    /// The path of the setting, such as `zones[0].apex`.
     pub key: String,
-    /// What is wrong.
-    pub what: String,
+    /// What is wrong with it, as the predicate of a sentence.
+    pub problem: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "`{}` {}", self.key, self.what)
+        write!(f, "`{}` {}", self.key, self.problem)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SettingsError {}
 
-fn fault<T>(key: impl Into<String>, what: impl Into<String>) -> Result<T, Fault> {
-    Err(Fault { key: key.into(), what: what.into() })
+fn error<T>(key: impl Into<String>, problem: impl Into<String>) -> Result<T, SettingsError> {
+    Err(SettingsError { key: key.into(), problem: problem.into() })
 }
 
-/// The settings as they stand.
+/// The settings file as decoded, before the checks.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct File {
-    /// Where questions come, over UDP and TCP.
+#[serde(rename = "File", deny_unknown_fields)]
+pub struct RawSettings {
+    /// The addresses to listen on, over UDP and TCP.
     pub listen: Vec<SocketAddr>,
-    /// The folder for logs and bases; it must last.
+    /// The folder for logs, snapshots and base files. It must survive restarts.
     pub state: PathBuf,
     /// The zones.
-    pub zones: Vec<ZoneFile>,
-    /// Files with keys, one a line.
+    pub zones: Vec<RawZoneSettings>,
+    /// Files with TSIG keys, one key a line.
     #[serde(default)]
     pub keys: Vec<PathBuf>,
-    /// A file with 32 hex digits that all servers of a fleet share; without one, cookies last until a restart.
+    /// A file with the cookie secret, 32 hex digits, shared by all servers of a fleet. Without it the secret is random, and
+    /// cookies are valid until a restart.
     pub cookie_secret: Option<PathBuf>,
-    /// The stages.
+    /// The settings of the request classes.
     #[serde(default)]
-    pub stages: Stages,
-    /// Bounds.
+    pub stages: ClassesSettings,
+    /// The server's limits.
     #[serde(default)]
     pub limits: Limits,
-    /// How long after the notice to leave the program is killed, in milliseconds.
+    /// How long after the signal to stop the program is killed, in milliseconds.
     #[serde(default = "stop_ms")]
     pub stop_ms: u64,
-    /// What arrives later than this after the notice is not run, in milliseconds.
+    /// Requests that arrive later than this after the signal to stop are not run, in milliseconds.
     #[serde(default = "grace_ms")]
     pub grace_ms: u64,
 }
@@ -74,29 +75,29 @@
     2500
 }
 
-/// A zone.
+/// A zone as written in the settings file.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct ZoneFile {
-    /// Its topmost name.
+#[serde(rename = "ZoneFile", deny_unknown_fields)]
+pub struct RawZoneSettings {
+    /// The name of the zone.
     pub apex: String,
-    /// Its file; a zone that follows primaries has none.
+    /// The zone file; a secondary zone has none.
     pub file: Option<PathBuf>,
-    /// Primaries that it follows.
+    /// The primaries, if the zone is a secondary.
     #[serde(default)]
     pub primaries: Vec<SocketAddr>,
-    /// The key for questions to primaries.
+    /// The name of the key that signs requests to the primaries.
     pub key: Option<String>,
-    /// Secondaries that are told of new versions.
+    /// Secondaries that get a NOTIFY for each new version.
     #[serde(default)]
     pub notify: Vec<SocketAddr>,
-    /// Who may have the zone whole.
+    /// Who may transfer the zone.
     #[serde(default)]
-    pub transfer: Transfer,
-    /// Who may change what.
+    pub transfer: TransferAccess,
+    /// Who may update which records.
     #[serde(default)]
-    pub updates: Vec<GrantFile>,
-    /// With more refused records than this a file is of no use.
+    pub updates: Vec<RawGrant>,
+    /// A zone file with more refused records than this is not used.
     #[serde(default = "refused_most")]
     pub refused_most: usize,
 }
@@ -105,121 +106,122 @@
     100
 }
 
-/// Who may have a zone whole.
+/// Who may transfer a zone.
 #[derive(Clone, Debug, Default, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Transfer {
-    /// Holders of these keys.
+#[serde(rename = "Transfer", deny_unknown_fields)]
+pub struct TransferAccess {
+    /// Clients that sign with one of these keys.
     #[serde(default)]
     pub keys: Vec<String>,
-    /// Anyone.
+    /// Any client.
     #[serde(default)]
     pub anyone: bool,
 }
 
-/// Who may change what.
+/// Permission to update records, for one key. Exactly one of `name`, `tree` and `below` is given.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct GrantFile {
-    /// The holder of this key.
+#[serde(rename = "GrantFile", deny_unknown_fields)]
+pub struct RawGrant {
+    /// The name of the key.
     pub key: String,
-    /// This name only.
+    /// Only this name.
     pub name: Option<String>,
-    /// This name and all below.
+    /// This name and all names below it.
     pub tree: Option<String>,
-    /// All below this name.
+    /// All names below this one.
     pub below: Option<String>,
-    /// These kinds; none named means all but SOA and NS.
+    /// The permitted record types; an empty list permits all but SOA and NS.
     #[serde(default)]
     pub kinds: Vec<String>,
 }
 
-/// One stage.
+/// The scheduling settings of a request class.
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct Stage {
-    /// What an answer in time earns.
+#[serde(rename = "Stage", deny_unknown_fields)]
+pub struct ClassSettings {
+    /// The utility of a response within the latency objective.
     pub utility: f64,
-    /// When it is wanted, in milliseconds.
+    /// The latency objective in milliseconds.
     pub due_ms: u64,
-    /// When the client gives up, in milliseconds.
+    /// The deadline, when the client gives up, in milliseconds.
     pub limit_ms: u64,
 }
 
-/// The stages of the front, in the order of their indices.
+/// The settings of each request class, in the order of the indices in [`class`].
 #[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(deny_unknown_fields, default)]
-pub struct Stages {
-    /// Questions.
-    pub query: Stage,
-    /// Questions beyond their prefix's share.
-    pub beyond: Stage,
+#[serde(rename = "Stages", deny_unknown_fields, default)]
+pub struct ClassesSettings {
+    /// Queries.
+    pub query: ClassSettings,
+    /// Queries from an address prefix that exceeds its share of the load.
+    pub beyond: ClassSettings,
     /// Updates.
-    pub update: Stage,
+    pub update: ClassSettings,
     /// Transfers.
-    pub transfer: Stage,
-    /// Notices.
-    pub notify: Stage,
+    pub transfer: ClassSettings,
+    /// NOTIFY messages.
+    pub notify: ClassSettings,
 }
 
-impl Default for Stages {
+impl Default for ClassesSettings {
     fn default() -> Self {
-        let stage = |utility, due_ms, limit_ms| Stage { utility, due_ms, limit_ms };
+        let class = |utility, due_ms, limit_ms| ClassSettings { utility, due_ms, limit_ms };
         Self {
-            query: stage(1.0, 200, 2000),
-            beyond: stage(0.02, 200, 2000),
-            update: stage(50.0, 1000, 5000),
-            transfer: stage(20.0, 60_000, 120_000),
-            notify: stage(20.0, 1000, 5000),
+            query: class(1.0, 200, 2000),
+            beyond: class(0.02, 200, 2000),
+            update: class(50.0, 1000, 5000),
+            transfer: class(20.0, 60_000, 120_000),
+            notify: class(20.0, 1000, 5000),
         }
     }
 }
 
-/// The stages' indices.
-pub mod stage {
-    /// Questions.
+/// The indices of the request classes.
+pub mod class {
+    /// Queries.
     pub const QUERY: usize = 0;
-    /// Questions beyond their prefix's share.
+    /// Queries from an address prefix that exceeds its share of the load.
     pub const BEYOND: usize = 1;
     /// Updates.
     pub const UPDATE: usize = 2;
     /// Transfers.
     pub const TRANSFER: usize = 3;
-    /// Notices.
+    /// NOTIFY messages.
     pub const NOTIFY: usize = 4;
-    /// Their names.
+    /// The names of the classes in settings and counters.
     pub const NAMES: [&str; 5] = ["query", "beyond", "update", "transfer", "notify"];
 }
 
-/// Bounds of the program.
+/// The server's limits.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Memory for tasks that are held or run, in MB.
+    /// Memory for queued and running requests, in MB.
     pub memory_mb: u64,
-    /// TCP connections.
+    /// The greatest number of TCP connections.
     pub connections: usize,
-    /// The longest answer over UDP, in octets.
+    /// The longest UDP response in bytes.
     pub payload: u16,
-    /// A prefix may have this share of what is asked.
+    /// The share of all queries that one address prefix may send before its queries go to the class `beyond`.
     pub prefix_share: f64,
-    /// And so many questions a second in any case.
+    /// Queries a second that a prefix may send whatever its share.
     pub prefix_least: f64,
-    /// Whether a source that has not proven its address gets no answer longer than its question.
+    /// Whether a UDP client without a valid cookie or signature gets no response longer than its request.
     pub proof: bool,
-    /// Records that a zone's log of changes names.
+    /// The number of records in a zone's change history, from which incremental transfers are answered.
     pub history: usize,
-    /// For how long a repeated update is known, in seconds.
+    /// For how long a repeated update is recognized, in seconds.
     pub repeats_s: u64,
-    /// When the log is this long, in MB, a snapshot shortens it.
+    /// The length of a zone's log, in MB, at which it is replaced by a snapshot.
     pub log_mb: u64,
-    /// Records in a zone.
+    /// The greatest number of records in a zone.
     pub records: usize,
     /// The shortest lease that is granted, in seconds.
     pub lease_least_s: u64,
-    /// Of a name's addresses no more than this share lapses within a lease's length.
+    /// The greatest share of a name's addresses that may expire within the length of one lease.
     pub lease_share: f64,
-    /// Where more than this share of leases is not renewed, the path is suspect.
+    /// If more than this share of the leases is not renewed, the network path to their holders is taken to be down, and no
+    /// record expires.
     pub lease_suspect: f64,
 }
 
@@ -243,71 +245,76 @@
     }
 }
 
-/// A zone's settings, checked.
+/// The checked settings of a zone.
 #[derive(Clone, Debug)]
-pub struct Zone {
-    /// Its topmost name.
+pub struct ZoneSettings {
+    /// The name of the zone.
     pub apex: Name,
-    /// Its file.
+    /// The zone file; `None` for a secondary.
     pub file: Option<PathBuf>,
-    /// Primaries that it follows.
+    /// The primaries, if the zone is a secondary.
     pub primaries: Vec<SocketAddr>,
-    /// The key for questions to them.
+    /// The key that signs requests to the primaries.
     pub key: Option<Arc<Key>>,
-    /// Secondaries to be told.
+    /// Secondaries that get a NOTIFY for each new version.
     pub notify: Vec<SocketAddr>,
-    /// Whose keys open transfers.
+    /// The names of the keys that may transfer the zone.
     pub transfer_keys: Vec<Name>,
-    /// Whether anyone may have the zone whole.
+    /// Whether any client may transfer the zone.
     pub transfer_anyone: bool,
-    /// Who may change what.
+    /// Who may update which records.
     pub grants: Vec<Grant>,
-    /// What its file is held to.
+    /// The limits on the zone file.
     pub file_limits: zone_file::ZoneFileLimits,
 }
 
-/// All settings, checked.
+/// The checked settings of a server.
 #[derive(Clone, Debug)]
-pub struct Checked {
-    /// Where questions come.
+pub struct CheckedSettings {
+    /// The addresses to listen on, over UDP and TCP.
     pub listen: Vec<SocketAddr>,
-    /// The folder that lasts.
+    /// The folder for logs, snapshots and base files.
     pub state: PathBuf,
     /// The zones.
-    pub zones: Vec<Zone>,
-    /// The keys.
+    pub zones: Vec<ZoneSettings>,
+    /// The TSIG keys.
     pub keys: Vec<Arc<Key>>,
-    /// The cookies' secret.
+    /// The cookie secret; `None` for a random one.
     pub cookie_secret: Option<[u8; 16]>,
-    /// What the module is told.
+    /// The settings of the scheduler.
     pub policy: Settings,
-    /// Bounds.
+    /// The server's limits.
     pub limits: Limits,
-    /// How long after the notice to leave the program is killed.
-    pub stop: Duration,
+    /// How long after the signal to stop the program is killed.
+    pub stop_timeout: Duration,
 }
 
-/// Tasks that the executor has under way at once: a batch is run and then settled. One core is seen as so many
-/// slower ones, so that the module decides once a batch and not once a question.
-pub const BATCH: u32 = 32;
-/// A task that runs takes this many times the memory of one that is held.
-const RUN_MEMORY: f64 = 2.0;
-
-impl File {
-    /// Checks all; reads the files of keys.
-    pub fn check(self) -> Result<Checked, Fault> {
+/// The number of cores told to the scheduler, and so of requests that run at once. The one real core counts as so many
+/// slower ones, so that the scheduler decides once for a batch of requests and not once for each.
+pub const VIRTUAL_CORES: u32 = 32;
+/// The memory of a running request, as a multiple of that of a queued one.
+const RUNNING_MEMORY_FACTOR: f64 = 2.0;
+
+impl RawSettings {
+    /// Checks all settings, and reads the keys and the cookie secret from their files.
+    ///
+    /// # Errors
+    /// The first setting that is invalid.
+    pub fn check(self) -> Result<CheckedSettings, SettingsError> {
         let mut keys = Vec::new();
         for (n, path) in self.keys.iter().enumerate() {
-            keys.extend(read_keys(path).map_err(|what| Fault { key: format!("keys[{n}]"), what })?);
+            keys.extend(
+                read_keys(path).map_err(|problem| SettingsError { key: format!("keys[{n}]"), problem })?,
+            );
         }
         if self.listen.is_empty() {
-            return fault("listen", "is empty; an address such as 127.0.0.1:53 is expected");
+            return error("listen", "is empty; an address such as 127.0.0.1:53 is expected");
         }
-        let mut zones: Vec<Zone> = Vec::new();
+        let mut zones: Vec<ZoneSettings> = Vec::new();
         for (n, zone) in self.zones.iter().enumerate() {
             let zone = zone.check(&format!("zones[{n}]"), &keys)?;
             if zones.iter().any(|other| other.apex == zone.apex) {
-                return fault(
+                return error(
                     format!("zones[{n}].apex"),
                     format!("is {}, which stands above too", zone.apex),
                 );
@@ -315,31 +322,33 @@
             zones.push(zone);
         }
         if zones.is_empty() {
-            return fault("zones", "is empty");
+            return error("zones", "is empty");
         }
-        for (name, stage) in stage::NAMES.into_iter().zip(self.stages.all()) {
-            if !(stage.utility > 0.0 && stage.utility.is_finite()) {
-                return fault(
+        for (name, class) in class::NAMES.into_iter().zip(self.stages.all()) {
+            if !(class.utility > 0.0 && class.utility.is_finite()) {
+                return error(
                     format!("stages.{name}.utility"),
-                    format!("is {}; above 0 is expected", stage.utility),
+                    format!("is {}; above 0 is expected", class.utility),
                 );
             }
-            if stage.due_ms == 0 || stage.limit_ms < stage.due_ms {
-                let what = format!("is {}; at least due_ms, and that above 0, is expected", stage.limit_ms);
-                return fault(format!("stages.{name}.limit_ms"), what);
+            if class.due_ms == 0 || class.limit_ms < class.due_ms {
+                let problem =
+                    format!("is {}; at least due_ms, and that above 0, is expected", class.limit_ms);
+                return error(format!("stages.{name}.limit_ms"), problem);
             }
         }
         self.limits.check()?;
         if self.grace_ms >= self.stop_ms {
-            return fault("grace_ms", format!("is {}; less than stop_ms is expected", self.grace_ms));
+            return error("grace_ms", format!("is {}; less than stop_ms is expected", self.grace_ms));
         }
         let cookie_secret = match &self.cookie_secret {
             None => None,
-            Some(path) => {
-                Some(read_secret(path).map_err(|what| Fault { key: "cookie_secret".to_owned(), what })?)
-            }
+            Some(path) => Some(
+                read_secret(path)
+                    .map_err(|problem| SettingsError { key: "cookie_secret".to_owned(), problem })?,
+            ),
         };
-        Ok(Checked {
+        Ok(CheckedSettings {
             policy: self.policy(),
             listen: self.listen,
             state: self.state,
@@ -347,41 +356,40 @@
             keys,
             cookie_secret,
             limits: self.limits,
-            stop: Duration::from_millis(self.stop_ms),
+            stop_timeout: Duration::from_millis(self.stop_ms),
         })
     }
 
-    /// What the module is told: the front's stages, on one core in so many parts.
+    /// The scheduler's settings: the request classes, on [`VIRTUAL_CORES`].
     fn policy(&self) -> Settings {
-        let stages = self.stages.all().map(|stage| RequestClass {
-            utility: stage.utility,
+        let classes = self.stages.all().map(|class| RequestClass {
+            utility: class.utility,
             late_utility_fraction: 0.0,
-            latency_objective: Span::from_millis(stage.due_ms),
-            deadline: Span::from_millis(stage.limit_ms),
+            latency_objective: Span::from_millis(class.due_ms),
+            deadline: Span::from_millis(class.limit_ms),
             effect: Effect::Idempotent,
             deduplication_window: Span::ZERO,
             calls_downstream: false,
             degraded_utility_fraction: 0.0,
         });
-        let mut stages = stages.to_vec();
-        for at in [stage::UPDATE, stage::TRANSFER] {
-            // They wait for the disk or a peer, what they began can't be begun again, and a late answer is
-            // better than none.
-            (stages[at].calls_downstream, stages[at].effect, stages[at].late_utility_fraction) =
+        let mut classes = classes.to_vec();
+        for at in [class::UPDATE, class::TRANSFER] {
+            // Updates and transfers wait for the disk or the client, can't be executed twice, and are of use also when late.
+            (classes[at].calls_downstream, classes[at].effect, classes[at].late_utility_fraction) =
                 (true, Effect::NonIdempotent, 0.5);
         }
         Settings {
-            cores: BATCH,
+            cores: VIRTUAL_CORES,
             memory_kb: (self.limits.memory_mb * 1024) as f64,
-            running_memory_factor: RUN_MEMORY,
+            running_memory_factor: RUNNING_MEMORY_FACTOR,
             idempotency_key_kb: 0.1,
             cold_start: false,
             cold_capacity_fraction: 1.0,
             warmup_time: Span::from_millis(1),
-            // Waits hold no core here; memory bounds how many there are.
+            // A request that waits for the disk or a client occupies no core; memory limits how many there are.
             max_running_per_core: 4096.0,
             drain_grace: Span::from_millis(self.grace_ms),
-            classes: stages,
+            classes,
             tenant_quotas: Vec::new(),
             over_quota_utility_fraction: 1.0,
             utility_per_work: false,
@@ -399,23 +407,23 @@
     }
 }
 
-impl Stages {
-    fn all(&self) -> [Stage; 5] {
+impl ClassesSettings {
+    fn all(&self) -> [ClassSettings; 5] {
         [self.query, self.beyond, self.update, self.transfer, self.notify]
     }
 }
 
 impl Limits {
-    fn check(&self) -> Result<(), Fault> {
-        let part = |key: &str, value: f64| match value > 0.0 && value <= 1.0 {
+    fn check(&self) -> Result<(), SettingsError> {
+        let check_fraction = |key: &str, value: f64| match value > 0.0 && value <= 1.0 {
             true => Ok(()),
-            false => fault(format!("limits.{key}"), format!("is {value}; above 0 and at most 1 is expected")),
+            false => error(format!("limits.{key}"), format!("is {value}; above 0 and at most 1 is expected")),
         };
-        part("prefix_share", self.prefix_share)?;
-        part("lease_share", self.lease_share)?;
-        part("lease_suspect", self.lease_suspect)?;
+        check_fraction("prefix_share", self.prefix_share)?;
+        check_fraction("lease_share", self.lease_share)?;
+        check_fraction("lease_suspect", self.lease_suspect)?;
         if !(512..=4096).contains(&self.payload) {
-            return fault("limits.payload", format!("is {}; 512 to 4096 is expected", self.payload));
+            return error("limits.payload", format!("is {}; 512 to 4096 is expected", self.payload));
         }
         for (key, value) in [
             ("memory_mb", self.memory_mb),
@@ -425,13 +433,13 @@
             ("lease_least_s", self.lease_least_s),
         ] {
             if value == 0 {
-                return fault(format!("limits.{key}"), "is 0; at least 1 is expected");
+                return error(format!("limits.{key}"), "is 0; at least 1 is expected");
             }
         }
         Ok(())
     }
 
-    /// The limits of a zone's store.
+    /// The limits of a zone store.
     pub fn zone_store_limits(&self) -> zone_store::ZoneStoreLimits {
         let mut limits = zone_store::ZoneStoreLimits {
             history: self.history,
@@ -446,72 +454,75 @@
         limits
     }
 
-    /// Who asks how much, by prefix.
-    pub fn shares(&self, key: u64, now: lynxtally::Instant) -> RequestRateLimit {
-        // A count stands for about two turns of half a second, so for about a second.
+    /// The rate limit of queries by address prefix.
+    pub fn rate_limit(&self, key: u64, now: lynxtally::Instant) -> RequestRateLimit {
+        // Counts halve every half second, so a count covers about the last second.
         let sketch = CountMinSketch::new(1 << 12, Span::from_millis(500), key, now);
         RequestRateLimit::new(sketch, self.prefix_share, self.prefix_least)
     }
 
-    /// How a secondary paces itself where its zone is not known yet.
-    pub fn times(&self) -> RetryTimes {
+    /// The retry intervals of a secondary that does not know its zone's SOA yet.
+    pub fn retry_times(&self) -> RetryTimes {
         RetryTimes::default()
     }
 }
 
-fn name(key: String, text: &str) -> Result<Name, Fault> {
-    text.parse().map_err(|bad| Fault { key, what: format!("is {text:?}: {bad}") })
+fn parse_name(key: String, text: &str) -> Result<Name, SettingsError> {
+    text.parse().map_err(|bad| SettingsError { key, problem: format!("is {text:?}: {bad}") })
 }
 
-impl ZoneFile {
-    fn check(&self, at: &str, keys: &[Arc<Key>]) -> Result<Zone, Fault> {
-        let known = |key: String, text: &str| {
-            let parsed = name(key.clone(), text)?;
-            match keys.iter().find(|known| known.name == parsed) {
-                Some(known) => Ok(known.clone()),
-                None => fault(key, format!("is {text:?}, and no file of `keys` has that key")),
+impl RawZoneSettings {
+    fn check(&self, at: &str, keys: &[Arc<Key>]) -> Result<ZoneSettings, SettingsError> {
+        let find_key = |key: String, text: &str| {
+            let parsed = parse_name(key.clone(), text)?;
+            match keys.iter().find(|find_key| find_key.name == parsed) {
+                Some(find_key) => Ok(find_key.clone()),
+                None => error(key, format!("is {text:?}, and no file of `keys` has that key")),
             }
         };
         match (&self.file, self.primaries.is_empty()) {
-            (None, true) => return fault(format!("{at}.file"), "is missing, and there are no primaries"),
+            (None, true) => return error(format!("{at}.file"), "is missing, and there are no primaries"),
             (Some(_), false) => {
-                return fault(format!("{at}.primaries"), "is given beside a file; a zone has one source");
+                return error(
+                    format!("{at}.primaries"),
+                    "is given together with `file`; a zone has only one source",
+                );
             }
             _ => {}
         }
         if !self.primaries.is_empty() && !self.updates.is_empty() {
-            return fault(
-                format!("{at}.updates"),
-                "is given for a zone that follows primaries; it takes none",
-            );
+            return error(format!("{at}.updates"), "is given for a secondary zone, which accepts no updates");
         }
         let mut grants = Vec::new();
         for (n, grant) in self.updates.iter().enumerate() {
             let at = format!("{at}.updates[{n}]");
             let scope = match (&grant.name, &grant.tree, &grant.below) {
-                (Some(text), None, None) => Scope::Exact(name(format!("{at}.name"), text)?),
-                (None, Some(text), None) => Scope::Tree(name(format!("{at}.tree"), text)?),
-                (None, None, Some(text)) => Scope::Below(name(format!("{at}.below"), text)?),
-                _ => return fault(at, "has to have one of name, tree and below"),
+                (Some(text), None, None) => Scope::Exact(parse_name(format!("{at}.name"), text)?),
+                (None, Some(text), None) => Scope::Tree(parse_name(format!("{at}.tree"), text)?),
+                (None, None, Some(text)) => Scope::Below(parse_name(format!("{at}.below"), text)?),
+                _ => return error(at, "must have exactly one of name, tree and below"),
             };
             let mut kinds = Vec::new();
             for (k, text) in grant.kinds.iter().enumerate() {
                 match RecordType::parse(text).filter(|kind| !kind.is_meta()) {
                     Some(kind) => kinds.push(kind),
                     None => {
-                        return fault(format!("{at}.kinds[{k}]"), format!("is {text:?}; no kind of record"))
+                        return error(
+                            format!("{at}.kinds[{k}]"),
+                            format!("is {text:?}, which is not a record type"),
+                        )
                     }
                 }
             }
-            grants.push(Grant { key: known(format!("{at}.key"), &grant.key)?.name.clone(), scope, kinds });
+            grants.push(Grant { key: find_key(format!("{at}.key"), &grant.key)?.name.clone(), scope, kinds });
         }
         let mut transfer_keys = Vec::new();
         for (n, key) in self.transfer.keys.iter().enumerate() {
-            transfer_keys.push(known(format!("{at}.transfer.keys[{n}]"), key)?.name.clone());
+            transfer_keys.push(find_key(format!("{at}.transfer.keys[{n}]"), key)?.name.clone());
         }
-        let key = self.key.as_ref().map(|key| known(format!("{at}.key"), key)).transpose()?;
-        Ok(Zone {
-            apex: name(format!("{at}.apex"), &self.apex)?,
+        let key = self.key.as_ref().map(|key| find_key(format!("{at}.key"), key)).transpose()?;
+        Ok(ZoneSettings {
+            apex: parse_name(format!("{at}.apex"), &self.apex)?,
             file: self.file.clone(),
             primaries: self.primaries.clone(),
             key,
@@ -527,8 +538,8 @@
     }
 }
 
-/// A file that only its owner may read.
-fn private(path: &Path) -> Result<String, String> {
+/// Reads a file that only its owner may have access to.
+fn read_private_file(path: &Path) -> Result<String, String> {
     let shown = path.display();
     let mode = std::fs::metadata(path).map_err(|why| format!("is {shown}: {why}"))?.permissions().mode();
     if mode & 0o077 != 0 {
@@ -540,13 +551,13 @@
     std::fs::read_to_string(path).map_err(|why| format!("is {shown}: {why}"))
 }
 
-/// Reads a file of keys, one a line; two may have one name while one takes the other's place.
+/// Reads a file of TSIG keys, one a line. While a key is being replaced, two keys may have the same name.
 pub fn read_keys(path: &Path) -> Result<Vec<Arc<Key>>, String> {
     let mut keys = Vec::new();
-    for (n, line) in private(path)?.lines().enumerate() {
+    for (n, line) in read_private_file(path)?.lines().enumerate() {
         if !line.trim().is_empty() && !line.trim_start().starts_with('#') {
-            let key =
-                Key::parse(line).map_err(|what| format!("is {}: line {}: {what}", path.display(), n + 1))?;
+            let key = Key::parse(line)
+                .map_err(|problem| format!("is {}: line {}: {problem}", path.display(), n + 1))?;
             keys.push(Arc::new(key));
         }
     }
@@ -557,7 +568,7 @@
 }
 
 fn read_secret(path: &Path) -> Result<[u8; 16], String> {
-    let text = private(path)?.trim().to_ascii_lowercase();
+    let text = read_private_file(path)?.trim().to_ascii_lowercase();
     let octets = data_encoding::HEXLOWER.decode(text.as_bytes()).ok();
     octets
         .and_then(|octets| octets.try_into().ok())
