--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -9,7 +9,7 @@
 use lynxtally_dns::settings::{self, Checked};
 use lynxtally_dns::tsig::Key;
 use lynxtally_wal::WriteAheadLog;
-use lynxtally_zones::change::between;
+use lynxtally_zones::change::diff;
 use lynxtally_zones::secondary::TransferResult;
 use lynxtally_zones::zone_file;
 use lynxtally_zones::zone_store::{decode, Snapshot, ZoneLogEntry};
@@ -198,7 +198,7 @@
         Verb::Transfer { server, zone, since } => transfer(&server.client()?, &zone, since),
         Verb::Diff { old, new, apex } => {
             let read = |path: &Path| zone_of(path, apex.as_ref());
-            let change = between(&read(&old)?, &read(&new)?);
+            let change = diff(&read(&old)?, &read(&new)?);
             print_change(&change);
             if change.is_empty() {
                 Ok(())
@@ -235,7 +235,7 @@
     let shown = path.display().to_string();
     let text = std::fs::read(path).map_err(|fault| wrong(format!("{shown}: {fault}")))?;
     let folder = path.parent().map(Path::to_owned).unwrap_or_default();
-    let limits = zone_file::ZoneFileLimits { refused, ..zone_file::ZoneFileLimits::default() };
+    let limits = zone_file::ZoneFileLimits { max_refused: refused, ..zone_file::ZoneFileLimits::default() };
     Ok(zone_file::read(&shown, &text, apex, limits, &mut |name| server::include(&folder, name)))
 }
 
@@ -252,7 +252,7 @@
     let (mut kept, mut all_refused, mut usable, mut told) = (0, 0, true, Vec::new());
     for path in files {
         let read = read_file(path, apex, refused)?;
-        kept += read.zone.records();
+        kept += read.zone.record_count();
         all_refused += read.refused;
         usable &= read.unusable.is_none();
         let unusable = read.unusable.iter().filter(|fault| !read.faults.contains(fault));
@@ -325,7 +325,8 @@
         TransferResult::UpToDate(serial) => println!("; nothing is newer than {serial}"),
         TransferResult::Incremental(changes) => changes.iter().for_each(print_change),
         TransferResult::Full(records) => {
-            let version = lynxtally_zones::secondary::version(zone, None, &records).map_err(wrong)?;
+            let version =
+                lynxtally_zones::secondary::zone_from_records(zone, None, &records).map_err(wrong)?;
             print!("{}", zone_file::write(&version));
         }
     }
@@ -394,7 +395,7 @@
         }
         ZoneLogEntry::Kept(records) => {
             for (name, kind, data) in records {
-                println!("; no longer held: {name} {kind} {}", kind.write(data));
+                println!("; no longer held: {name} {kind} {}", kind.format_data(data));
             }
         }
         ZoneLogEntry::Based { base, serial, .. } => {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -10,7 +10,7 @@
 fn record_json(record: &Record) -> serde_json::Value {
     json!({
         "name": record.name.to_string(), "ttl": record.ttl, "kind": record.kind.to_string(),
-        "data": record.kind.write(&record.data),
+        "data": record.kind.format_data(&record.data),
     })
 }
 
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -56,10 +56,16 @@
                 .map(|text| RecordType::parse(&text).ok_or_else(|| format!("{text:?} is no kind of record")))
                 .transpose()
         };
-        let data =
-            |kind: RecordType, from: usize| kind.read(&words[from..], Some(zone)).map_err(|bad| bad.what);
-        let raw =
-            |kind: RecordType, sense, ttl, data| UpdateRecord { name: name.clone(), kind, sense, ttl, data };
+        let data = |kind: RecordType, from: usize| {
+            kind.parse_data(&words[from..], Some(zone)).map_err(|bad| bad.reason)
+        };
+        let raw = |kind: RecordType, sense, ttl, data| UpdateRecord {
+            name: name.clone(),
+            kind,
+            class: sense,
+            ttl,
+            data,
+        };
         match verb.as_str() {
             "add" => {
                 let ttl =
--- a/crates/core/zones/src/change.rs
+++ b/crates/core/zones/src/change.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeError {
     /// It leads on from another version.
-    Version(Serial, Serial),
+    SerialMismatch(Serial, Serial),
     /// A record that it removes is not there.
     Missing(Record),
     /// A record that it adds is there, or can't stand there.
@@ -39,7 +39,9 @@
 impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Version(own, from) => write!(f, "the version is {own}, the change leads on from {from}"),
+            Self::SerialMismatch(own, from) => {
+                write!(f, "the version is {own}, the change leads on from {from}")
+            }
             Self::Missing(record) => write!(f, "not there to be removed: {record}"),
             Self::Rejected(record) => write!(f, "can't be added: {record}"),
         }
@@ -63,12 +65,12 @@
     }
 
     /// Records that are gone altogether, and not only under another time to live.
-    pub fn gone(&self) -> impl Iterator<Item = &Record> {
+    pub fn deleted_records(&self) -> impl Iterator<Item = &Record> {
         without(&self.removed, &self.added)
     }
 
     /// Records that were not there before under any time to live.
-    pub fn fresh(&self) -> impl Iterator<Item = &Record> {
+    pub fn new_records(&self) -> impl Iterator<Item = &Record> {
         without(&self.added, &self.removed)
     }
 
@@ -80,7 +82,7 @@
     /// Makes the version after from the one before; all or nothing.
     pub fn apply(&self, zone: &Zone) -> Result<Zone, ChangeError> {
         if zone.serial() != self.from {
-            return Err(ChangeError::Version(zone.serial(), self.from));
+            return Err(ChangeError::SerialMismatch(zone.serial(), self.from));
         }
         let mut next = zone.clone();
         for record in &self.removed {
@@ -105,14 +107,14 @@
 
 /// What leads from one version to the other. What they share is passed over, so the work grows with what
 /// differs.
-pub fn between(old: &Zone, new: &Zone) -> Change {
+pub fn diff(old: &Zone, new: &Zone) -> Change {
     let mut change = Change { from: old.serial(), to: new.serial(), ..Change::default() };
     nodes(Some(old.root()), Some(new.root()), old.apex(), &mut change);
     change
 }
 
 /// The same at some names only.
-pub fn between_at<'a>(old: &Zone, new: &Zone, names: impl Iterator<Item = &'a Name>) -> Change {
+pub fn diff_at_names<'a>(old: &Zone, new: &Zone, names: impl Iterator<Item = &'a Name>) -> Change {
     let mut change = Change { from: old.serial(), to: new.serial(), ..Change::default() };
     for name in names {
         let sets = |zone: &Zone| zone.node(name.wire()).map_or(Vec::new(), |node| node.sets().to_vec());
@@ -130,8 +132,8 @@
     let sets = |node: Option<&'_ Arc<Node>>| node.map_or(&[][..], |node| node.sets()).to_vec();
     sets_differ(&sets(old), &sets(new), name, change);
     let none = Default::default();
-    let (a, b) = (old.map_or(&none, |node| node.below()), new.map_or(&none, |node| node.below()));
-    a.differ(b, &mut |old, new| {
+    let (a, b) = (old.map_or(&none, |node| node.children()), new.map_or(&none, |node| node.children()));
+    a.diff(b, &mut |old, new| {
         let Some(label) = old.or(new).map(|node| node.label()) else { return };
         if let Ok(below) = name.child(label) {
             nodes(old, new, &below, change);
--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -13,26 +13,26 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseLimits {
     /// The shortest and the longest that is granted.
-    pub least: Span,
+    pub min_duration: Span,
     /// See there.
-    pub most: Span,
+    pub max_duration: Span,
     /// Of a name's addresses, no more than this share goes within one lease's length.
-    pub share: f64,
+    pub max_removed_fraction: f64,
     /// Where more than this share of the leases that should have been renewed lately was not, the path is
     /// suspect.
-    pub suspect: f64,
+    pub suspect_fraction: f64,
     /// So many at least must be missing before it is.
-    pub suspect_least: usize,
+    pub suspect_min_expired: usize,
 }
 
 impl Default for LeaseLimits {
     fn default() -> Self {
         Self {
-            least: Span::from_millis(30_000),
-            most: Span::from_millis(86_400_000),
-            share: 1.0 / 3.0,
-            suspect: 0.5,
-            suspect_least: 3,
+            min_duration: Span::from_millis(30_000),
+            max_duration: Span::from_millis(86_400_000),
+            max_removed_fraction: 1.0 / 3.0,
+            suspect_fraction: 0.5,
+            suspect_min_expired: 3,
         }
     }
 }
@@ -67,11 +67,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseExpiry {
     /// These records go.
-    pub gone: Vec<(Name, RecordType, Vec<u8>)>,
+    pub removed: Vec<(Name, RecordType, Vec<u8>)>,
     /// So many ran out and stay all the same.
-    pub kept: usize,
+    pub retained: usize,
     /// Whether the path became suspect just now, or well again.
-    pub turned: Option<bool>,
+    pub suspect_changed: Option<bool>,
 }
 
 /// Leases that ran out and stay are looked at again after this part of their length.
@@ -87,7 +87,7 @@
             renewed: 0.0,
             lapsed: 0.0,
             faded: Instant::default(),
-            usual: limits.least,
+            usual: limits.min_duration,
             gone: BTreeMap::new(),
             suspect: None,
         }
@@ -104,17 +104,17 @@
     }
 
     /// Since when the path has been suspect, if it is.
-    pub fn suspect(&self) -> Option<Instant> {
+    pub fn suspect_since(&self) -> Option<Instant> {
         self.suspect
     }
 
     /// How long a lease is granted for.
-    pub fn granted(&self, asked: Span) -> Span {
-        asked.clamp(self.limits.least, self.limits.most)
+    pub fn granted_duration(&self, asked: Span) -> Span {
+        asked.clamp(self.limits.min_duration, self.limits.max_duration)
     }
 
     /// When the next one runs out.
-    pub fn next(&self) -> Option<Instant> {
+    pub fn next_expiry(&self) -> Option<Instant> {
         self.by_time.first().map(|(at, _)| *at)
     }
 
@@ -132,7 +132,7 @@
     }
 
     /// A record is held from now on for so long, again or for the first time.
-    pub fn hold(&mut self, now: Instant, name: &Name, kind: RecordType, data: &[u8], span: Span) {
+    pub fn grant(&mut self, now: Instant, name: &Name, kind: RecordType, data: &[u8], span: Span) {
         self.fade(now);
         let held = (name.clone(), kind, data.to_vec());
         let lease = Lease { span, until: now + span };
@@ -160,9 +160,9 @@
     /// renewed. Catches a broken path, a stopped clock of ours and a restart at a bad time; harms where most of
     /// a fleet does leave at once without saying so, for as long as nobody renews.
     fn judge(&mut self, now: Instant) -> Option<bool> {
-        let missing = self.lapsed >= self.limits.suspect_least as f64;
+        let missing = self.lapsed >= self.limits.suspect_min_expired as f64;
         let share = self.lapsed / (self.lapsed + self.renewed).max(1e-9);
-        let suspect = missing && share > self.limits.suspect;
+        let suspect = missing && share > self.limits.suspect_fraction;
         if suspect == self.suspect.is_some() {
             return None;
         }
@@ -171,7 +171,7 @@
     }
 
     /// Takes the leases that ran out by now and says which records go.
-    pub fn lapse(&mut self, now: Instant, zone: &Zone) -> LeaseExpiry {
+    pub fn expire(&mut self, now: Instant, zone: &Zone) -> LeaseExpiry {
         self.fade(now);
         let mut over = Vec::new();
         while let Some((at, held)) = self.by_time.first().filter(|(at, _)| *at <= now).cloned() {
@@ -179,10 +179,10 @@
             over.push(held);
         }
         if over.is_empty() {
-            return LeaseExpiry { turned: self.judge(now), ..LeaseExpiry::default() };
+            return LeaseExpiry { suspect_changed: self.judge(now), ..LeaseExpiry::default() };
         }
         self.lapsed += over.len() as f64;
-        let mut lapse = LeaseExpiry { turned: self.judge(now), ..LeaseExpiry::default() };
+        let mut lapse = LeaseExpiry { suspect_changed: self.judge(now), ..LeaseExpiry::default() };
         // Of one name's records taken out in this turn.
         let mut taken: BTreeMap<Name, usize> = BTreeMap::new();
         for held in over {
@@ -195,9 +195,9 @@
                 *taken.entry(name.clone()).or_default() += 1;
                 self.gone.entry(name.clone()).or_default().push(now);
                 self.by_record.remove(&held);
-                lapse.gone.push(held);
+                lapse.removed.push(held);
             } else {
-                lapse.kept += 1;
+                lapse.retained += 1;
                 let until = now + span * AGAIN;
                 if let Some(lease) = self.by_record.get_mut(&held) {
                     lease.until = until;
@@ -230,7 +230,7 @@
         // Those that went lately are still counted as the name's, so that it shrinks by a share and not by a
         // share of what is left, again and again.
         let whole = there + lately.len() - now_gone;
-        let may = (whole as f64 * self.limits.share).floor().max(1.0) as usize;
+        let may = (whole as f64 * self.limits.max_removed_fraction).floor().max(1.0) as usize;
         left > 1 && lately.len() < may
     }
 
@@ -240,7 +240,7 @@
         self.by_time.clear();
         self.by_record.clear();
         for ((name, kind, data), span) in all {
-            self.hold(now, &name, kind, &data, span);
+            self.grant(now, &name, kind, &data, span);
         }
         self.renewed = 0.0;
         self.lapsed = 0.0;
@@ -248,7 +248,7 @@
     }
 
     /// The records among these that a lease holds, as they would be renewed.
-    pub fn holds(&self, record: &Record) -> bool {
+    pub fn contains(&self, record: &Record) -> bool {
         self.by_record.contains_key(&(record.name.clone(), record.kind, record.data.clone()))
     }
 }
--- a/crates/core/zones/src/lookup.rs
+++ b/crates/core/zones/src/lookup.rs
@@ -1,7 +1,7 @@
 //! What a version answers to a question: RFC 1034 section 4.3.2, wildcards by RFC 4592, DNAME by RFC 6672,
 //! names that are not there by RFC 2308. All of an answer comes from one version.
 
-use crate::name::{replace_end, LabelOffsets};
+use crate::name::{replace_suffix, LabelOffsets};
 use crate::name_tree::Node;
 use crate::record::{unpack, RecordSet};
 use crate::record_type::RecordType;
@@ -47,7 +47,7 @@
     /// The name is there, or names below it, but nothing of the type.
     NoData,
     /// The name is not there.
-    NoName,
+    NxDomain,
     /// Others answer for the name; the authority section names them.
     Referral,
     /// An alias leads to a name that is too long (RFC 6672 section 2.2).
@@ -87,10 +87,12 @@
             return NameMatch::Redirection(starts.at(n) + 1 + name[starts.at(n)] as usize, moved);
         }
         let at = starts.at(n);
-        match node.below().get(&name[at + 1..][..name[at] as usize]) {
+        match node.children().get(&name[at + 1..][..name[at] as usize]) {
             Some(child) => node = child,
             // The closest encloser's wildcard stands for whatever is not there below it.
-            None => return node.below().get(b"*").map_or(NameMatch::NotFound, |wild| NameMatch::Node(wild)),
+            None => {
+                return node.children().get(b"*").map_or(NameMatch::NotFound, |wild| NameMatch::Node(wild))
+            }
         }
         if let Some(servers) = node.set(RecordType::NS) {
             // What the parent says of a cut is asked of the parent (RFC 4035 section 3.1.4.1).
@@ -106,14 +108,14 @@
 pub fn lookup<'a>(zone: &'a Zone, name: &'a [u8], kind: RecordType) -> LookupResult<'a> {
     let mut found = LookupResult::default();
     if !crate::name::within(name, zone.apex().wire()) {
-        found.outcome = Outcome::NoName;
+        found.outcome = Outcome::NxDomain;
         return found;
     }
     let mut at: Cow<'a, [u8]> = Cow::Borrowed(name);
     for _ in 0..MAX_ALIASES {
         match find_name(zone, &at, kind) {
             NameMatch::NotFound => {
-                found.outcome = Outcome::NoName;
+                found.outcome = Outcome::NxDomain;
                 add_negative_soa(zone, &mut found);
                 return found;
             }
@@ -133,7 +135,7 @@
                 let Some(by) = set.records().next() else { return found };
                 let end = at[from..].to_vec();
                 found.answer.push(ResponseSet::of(Cow::Owned(end.clone()), set));
-                let Some(next) = replace_end(&at, &end, by) else {
+                let Some(next) = replace_suffix(&at, &end, by) else {
                     found.outcome = Outcome::TooLong;
                     return found;
                 };
@@ -181,7 +183,7 @@
 
 /// Adds the addresses of the names in a set, glue included.
 fn add_target_addresses<'a>(zone: &'a Zone, set: &'a RecordSet, found: &mut LookupResult<'a>) {
-    for target in set.records().filter_map(|data| set.kind.target(data)).take(MAX_TARGETS) {
+    for target in set.records().filter_map(|data| set.kind.additional_name(data)).take(MAX_TARGETS) {
         if set.kind == RecordType::CNAME || set.kind == RecordType::PTR {
             return;
         }
--- a/crates/core/zones/src/name.rs
+++ b/crates/core/zones/src/name.rs
@@ -322,7 +322,7 @@
 }
 
 /// A name with one end replaced by another (RFC 6672 section 2.2); none where it grows too long.
-pub fn replace_end(name: &[u8], end: &[u8], by: &[u8]) -> Option<Vec<u8>> {
+pub fn replace_suffix(name: &[u8], end: &[u8], by: &[u8]) -> Option<Vec<u8>> {
     if !within(name, end) || labels(name).count() == labels(end).count() {
         return None;
     }
--- a/crates/core/zones/src/name_tree.rs
+++ b/crates/core/zones/src/name_tree.rs
@@ -51,7 +51,7 @@
     }
 
     /// The names directly below.
-    pub fn below(&self) -> &Children {
+    pub fn children(&self) -> &Children {
         &self.below
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// Visits all nodes, in an order that the labels alone decide.
-    pub fn each<'a>(&'a self, mut visit: impl FnMut(&'a Arc<Node>)) {
+    pub fn for_each<'a>(&'a self, mut visit: impl FnMut(&'a Arc<Node>)) {
         if let Some(branch) = &self.0 {
             branch.each(&mut visit);
         }
@@ -239,7 +239,7 @@
 
     /// Visits the nodes in which two versions differ; what they share is passed over without a look. Where a
     /// label is on one side only, the other is none.
-    pub fn differ<'a>(
+    pub fn diff<'a>(
         &'a self,
         other: &'a Self,
         visit: &mut impl FnMut(Option<&'a Arc<Node>>, Option<&'a Arc<Node>>),
@@ -259,7 +259,7 @@
 
 impl Cursor {
     /// Before the first of some nodes.
-    pub fn of(children: &Children) -> Self {
+    pub fn new(children: &Children) -> Self {
         Self(children.0.iter().map(|branch| (branch.clone(), 0)).collect())
     }
 }
@@ -374,7 +374,7 @@
     if !node.sets.is_empty() {
         visit(name, &node.sets);
     }
-    node.below.each(|child| {
+    node.below.for_each(|child| {
         // A node's label and all above it made a name once.
         if let Ok(below) = name.child(child.label()) {
             each_dyn(child, &below, visit);
--- a/crates/core/zones/src/record.rs
+++ b/crates/core/zones/src/record.rs
@@ -28,7 +28,7 @@
 
 impl fmt::Display for Record {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} {} IN {} {}", self.name, self.ttl, self.kind, self.kind.write(&self.data))
+        write!(f, "{} {} IN {} {}", self.name, self.ttl, self.kind, self.kind.format_data(&self.data))
     }
 }
 
--- a/crates/core/zones/src/record_data.rs
+++ b/crates/core/zones/src/record_data.rs
@@ -19,9 +19,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidRecordData {
     /// The word's number; past the last one where something is missing.
-    pub word: usize,
+    pub token_index: usize,
     /// What is wrong.
-    pub what: String,
+    pub reason: String,
 }
 
 /// A time in seconds, with units as in `1h30m` or without; up to 2^31 - 1 (RFC 2181 section 8).
@@ -225,8 +225,8 @@
 
 impl RecordType {
     /// Reads data as text. Names in it are relative to the origin.
-    pub fn read(self, words: &[Token], origin: Option<&Name>) -> Result<Vec<u8>, InvalidRecordData> {
-        let bad = |word: usize, what: String| InvalidRecordData { word, what };
+    pub fn parse_data(self, words: &[Token], origin: Option<&Name>) -> Result<Vec<u8>, InvalidRecordData> {
+        let bad = |word: usize, what: String| InvalidRecordData { token_index: word, reason: what };
         if words.first().is_some_and(|word| word.text == b"\\#" && !word.quoted) {
             return self.read_opaque(words);
         }
@@ -279,7 +279,7 @@
     }
 
     fn read_opaque(self, words: &[Token]) -> Result<Vec<u8>, InvalidRecordData> {
-        let bad = |word: usize, what: &str| InvalidRecordData { word, what: what.to_owned() };
+        let bad = |word: usize, what: &str| InvalidRecordData { token_index: word, reason: what.to_owned() };
         let length: u16 = words
             .get(1)
             .and_then(|word| number(word.text))
@@ -289,12 +289,12 @@
         if data.len() != usize::from(length) {
             return Err(bad(1, &format!("the length says {length}, the data has {} octets", data.len())));
         }
-        self.canonical(&data).ok_or_else(|| bad(2, &format!("octets that are no {self} data")))
+        self.canonical_data(&data).ok_or_else(|| bad(2, &format!("octets that are no {self} data")))
     }
 
     /// Takes data in wire form without pointers, checked and with names in lower case; none where it is not
     /// well made.
-    pub fn canonical(self, data: &[u8]) -> Option<Vec<u8>> {
+    pub fn canonical_data(self, data: &[u8]) -> Option<Vec<u8>> {
         if data.len() > MAX_DATA_LENGTH {
             return None;
         }
@@ -311,7 +311,7 @@
     }
 
     /// Writes data as text.
-    pub fn write(self, data: &[u8]) -> String {
+    pub fn format_data(self, data: &[u8]) -> String {
         let mut text = String::new();
         // A string takes whatever is written to it.
         let Some(fields) = self.fields() else {
@@ -331,7 +331,7 @@
     }
 
     /// The name in its data whose addresses go along with an answer (RFC 1035 section 3.3, RFC 2782).
-    pub fn target(self, data: &[u8]) -> Option<&[u8]> {
+    pub fn additional_name(self, data: &[u8]) -> Option<&[u8]> {
         let at = match self {
             Self::NS | Self::CNAME | Self::DNAME | Self::PTR => 0,
             Self::MX | Self::AFSDB | Self::KX => 2,
--- a/crates/core/zones/src/secondary/mod.rs
+++ b/crates/core/zones/src/secondary/mod.rs
@@ -9,4 +9,4 @@
 pub use notify::NotifySender;
 pub use refresh::{SecondaryAction, SecondaryZone};
 pub use retry::RetryTimes;
-pub use transfer::{version, TransferError, TransferReader, TransferResult};
+pub use transfer::{zone_from_records, TransferError, TransferReader, TransferResult};
--- a/crates/core/zones/src/secondary/notify.rs
+++ b/crates/core/zones/src/secondary/notify.rs
@@ -34,7 +34,7 @@
     }
 
     /// There is a new version: all are told.
-    pub fn wanted(&mut self, now: Instant, serial: Serial) {
+    pub fn serial_changed(&mut self, now: Instant, serial: Serial) {
         if self.serial != Some(serial) {
             self.serial = Some(serial);
             self.targets.iter_mut().for_each(|target| *target = NotifyTarget { told: 0, due: Some(now) });
@@ -55,7 +55,7 @@
                 all.push((n, serial));
                 target.told += 1;
                 let pause = self.times.retry * BACKOFF_FACTOR.powi(target.told.min(16) as i32 - 1);
-                let at = now + pause.min(self.times.retry_most) * (0.5 + self.chance.unit());
+                let at = now + pause.min(self.times.max_retry) * (0.5 + self.chance.unit());
                 target.due = (target.told < MAX_NOTIFIES).then_some(at);
             }
         }
@@ -63,7 +63,7 @@
     }
 
     /// One says that it heard of a version.
-    pub fn heard(&mut self, target: usize, serial: Option<Serial>) {
+    pub fn acknowledged(&mut self, target: usize, serial: Option<Serial>) {
         if let Some(target) =
             self.targets.get_mut(target).filter(|_| serial.is_none() || serial == self.serial)
         {
--- a/crates/core/zones/src/secondary/refresh.rs
+++ b/crates/core/zones/src/secondary/refresh.rs
@@ -60,7 +60,7 @@
     }
 
     /// Whether what it has may be served.
-    pub fn serves(&self) -> bool {
+    pub fn is_serving(&self) -> bool {
         self.have.is_some() && !self.expired
     }
 
@@ -82,12 +82,12 @@
             return Some(SecondaryAction::Expire);
         }
         if self.busy.is_some_and(|until| until <= now) {
-            self.failed(now);
+            self.step_failed(now);
         }
         if self.busy.is_some() || self.due > now {
             return None;
         }
-        self.busy = Some(now + self.times.patience);
+        self.busy = Some(now + self.times.timeout);
         if self.have.is_none() || self.whole {
             return Some(SecondaryAction::Transfer(self.primary, None));
         }
@@ -108,10 +108,10 @@
     }
 
     /// A primary told its serial.
-    pub fn serial(&mut self, now: Instant, serial: Serial) -> Option<SecondaryAction> {
+    pub fn serial_received(&mut self, now: Instant, serial: Serial) -> Option<SecondaryAction> {
         let have = self.have?;
         if serial.newer_than(have.serial) {
-            self.busy = Some(now + self.times.patience);
+            self.busy = Some(now + self.times.timeout);
             let from = (!self.whole).then_some(have.serial);
             return Some(SecondaryAction::Transfer(self.primary, from));
         }
@@ -119,20 +119,20 @@
             self.current(now);
         } else {
             // Restarted with an older file: another one may be right, and what we have stays.
-            self.failed(now);
+            self.step_failed(now);
         }
         None
     }
 
     /// The version that is served now is the primary's.
-    pub fn took(&mut self, now: Instant, soa: Soa) {
+    pub fn transfer_completed(&mut self, now: Instant, soa: Soa) {
         self.have = Some(soa);
         self.whole = false;
         self.current(now);
     }
 
     /// Changes came that don't fit what we have: the whole zone is asked for.
-    pub fn misfit(&mut self, now: Instant) {
+    pub fn incremental_failed(&mut self, now: Instant) {
         self.whole = true;
         self.busy = None;
         self.due = now;
@@ -151,14 +151,14 @@
     }
 
     /// A step failed: the next primary is asked after a pause that grows.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn step_failed(&mut self, now: Instant) {
         self.busy = None;
         self.again = false;
         self.primary = (self.primary + 1) % self.primaries;
         let retry = self.have.map_or(self.times.retry, |soa| Span::from_secs(f64::from(soa.retry.max(1))));
         let round = self.failures / self.primaries as u32;
         self.failures += 1;
-        let pause = retry.min(self.times.retry_most) * BACKOFF_FACTOR.powi(round.min(16) as i32);
-        self.due = now + pause.min(self.times.retry_most) * (0.5 + self.chance.unit());
+        let pause = retry.min(self.times.max_retry) * BACKOFF_FACTOR.powi(round.min(16) as i32);
+        self.due = now + pause.min(self.times.max_retry) * (0.5 + self.chance.unit());
     }
 }
--- a/crates/core/zones/src/secondary/retry.rs
+++ b/crates/core/zones/src/secondary/retry.rs
@@ -8,17 +8,17 @@
     /// The pause after the first failure.
     pub retry: Span,
     /// The longest pause between two attempts.
-    pub retry_most: Span,
+    pub max_retry: Span,
     /// A query or transfer that is not answered within this time has failed.
-    pub patience: Span,
+    pub timeout: Span,
 }
 
 impl Default for RetryTimes {
     fn default() -> Self {
         Self {
             retry: Span::from_millis(1000),
-            retry_most: Span::from_millis(600_000),
-            patience: Span::from_millis(30_000),
+            max_retry: Span::from_millis(600_000),
+            timeout: Span::from_millis(30_000),
         }
     }
 }
--- a/crates/core/zones/src/secondary/transfer.rs
+++ b/crates/core/zones/src/secondary/transfer.rs
@@ -24,33 +24,35 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransferError {
     /// It does not begin with the zone's SOA.
-    Start,
+    NoLeadingSoa,
     /// A change does not follow on the one before.
-    Order,
+    OutOfOrder,
     /// More came behind its end.
-    Behind,
+    TrailingRecords,
     /// The version is not newer than what is there.
-    Back {
+    NotNewer {
         /// What came.
-        came: Serial,
+        received: Serial,
         /// What is there.
-        have: Serial,
+        current: Serial,
     },
     /// A record is out of the zone, or can't stand in it.
     Rejected(String),
     /// More records than a zone may have.
-    Large,
+    TooManyRecords,
 }
 
 impl fmt::Display for TransferError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Start => f.write_str("it does not begin with the zone's SOA"),
-            Self::Order => f.write_str("its changes do not follow on one another"),
-            Self::Behind => f.write_str("more came behind its end"),
-            Self::Back { came, have } => write!(f, "it brings {came}, which is not newer than {have}"),
+            Self::NoLeadingSoa => f.write_str("it does not begin with the zone's SOA"),
+            Self::OutOfOrder => f.write_str("its changes do not follow on one another"),
+            Self::TrailingRecords => f.write_str("more came behind its end"),
+            Self::NotNewer { received: came, current: have } => {
+                write!(f, "it brings {came}, which is not newer than {have}")
+            }
             Self::Rejected(what) => write!(f, "a record can't stand in the zone: {what}"),
-            Self::Large => f.write_str("more records than a zone may have"),
+            Self::TooManyRecords => f.write_str("more records than a zone may have"),
         }
     }
 }
@@ -103,14 +105,14 @@
     }
 
     fn serial(record: &Record) -> Serial {
-        Soa::of(&record.data).map_or(Serial(0), |soa| soa.serial)
+        Soa::parse(&record.data).map_or(Serial(0), |soa| soa.serial)
     }
 
     /// Takes the next record.
-    pub fn take(&mut self, record: Record) -> Result<(), TransferError> {
+    pub fn push(&mut self, record: Record) -> Result<(), TransferError> {
         self.count += 1;
         if self.count > self.most.saturating_mul(2) {
-            return Err(TransferError::Large);
+            return Err(TransferError::TooManyRecords);
         }
         if !record.name.is_within(&self.apex) {
             return Err(TransferError::Rejected(record.to_string()));
@@ -120,7 +122,7 @@
         match self.stage {
             TransferState::Start => {
                 if !soa || record.name != self.apex {
-                    return Err(TransferError::Start);
+                    return Err(TransferError::NoLeadingSoa);
                 }
                 self.newest = Some(record);
                 self.stage = TransferState::First;
@@ -134,7 +136,7 @@
                 self.whole.extend(self.newest.clone());
                 self.stage = TransferState::End;
             }
-            TransferState::First if soa => return Err(TransferError::Order),
+            TransferState::First if soa => return Err(TransferError::OutOfOrder),
             TransferState::First => {
                 self.whole.extend(self.newest.clone());
                 self.whole.push(record);
@@ -161,7 +163,7 @@
                 } else if last == Some(Self::serial(&record)) {
                     self.begin_change(record);
                 } else {
-                    return Err(TransferError::Order);
+                    return Err(TransferError::OutOfOrder);
                 }
             }
             TransferState::Added => {
@@ -169,7 +171,7 @@
                     change.added.push(record);
                 }
             }
-            TransferState::End => return Err(TransferError::Behind),
+            TransferState::End => return Err(TransferError::TrailingRecords),
         }
         Ok(())
     }
@@ -204,14 +206,20 @@
 }
 
 /// Makes a version of a whole transfer; never an older one than is there.
-pub fn version(apex: &Name, have: Option<Serial>, records: &[Record]) -> Result<Zone, TransferError> {
+pub fn zone_from_records(
+    apex: &Name,
+    have: Option<Serial>,
+    records: &[Record],
+) -> Result<Zone, TransferError> {
     let mut zone = Zone::new(apex.clone());
     for record in records {
         zone.add(record).map_err(|unfit| TransferError::Rejected(format!("{record}: {unfit}")))?;
     }
-    let came = zone.soa().ok_or(TransferError::Start)?.serial;
+    let came = zone.soa().ok_or(TransferError::NoLeadingSoa)?.serial;
     match have {
-        Some(have) if !came.newer_than(have) => Err(TransferError::Back { came, have }),
+        Some(have) if !came.newer_than(have) => {
+            Err(TransferError::NotNewer { received: came, current: have })
+        }
         _ => Ok(zone),
     }
 }
--- a/crates/core/zones/src/soa.rs
+++ b/crates/core/zones/src/soa.rs
@@ -19,7 +19,7 @@
 
 impl Soa {
     /// Reads it from a record's data.
-    pub fn of(data: &[u8]) -> Option<Self> {
+    pub fn parse(data: &[u8]) -> Option<Self> {
         let tail = data.last_chunk::<20>()?;
         let part = |n: usize| u32::from_be_bytes([tail[n], tail[n + 1], tail[n + 2], tail[n + 3]]);
         Some(Self {
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -1,6 +1,6 @@
 //! Updates by RFC 2136: what must hold before one, what it changes, all or nothing; and who may change what.
 
-use crate::change::{between, Change};
+use crate::change::{diff, Change};
 use crate::name::Name;
 use crate::record::Record;
 use crate::record_type::RecordType;
@@ -67,7 +67,7 @@
     /// The type.
     pub kind: RecordType,
     /// What its class field says.
-    pub sense: UpdateClass,
+    pub class: UpdateClass,
     /// The time to live.
     pub ttl: u32,
     /// The data.
@@ -104,7 +104,7 @@
 
 impl UpdateOperation {
     /// The name that it changes, and the type where it is about one.
-    pub fn about(&self) -> (&Name, Option<RecordType>) {
+    pub fn target(&self) -> (&Name, Option<RecordType>) {
         match self {
             Self::AddRecord(record) => (&record.name, Some(record.kind)),
             Self::DeleteSet(name, kind) | Self::DeleteRecord(name, kind, _) => (name, Some(*kind)),
@@ -144,7 +144,7 @@
     }
 
     fn prerequisite(&mut self, apex: &Name, raw: &UpdateRecord) -> Result<(), UpdateError> {
-        let UpdateRecord { name, kind, sense, ttl, data } = raw;
+        let UpdateRecord { name, kind, class: sense, ttl, data } = raw;
         if *ttl != 0 {
             return Err(UpdateError::Malformed);
         }
@@ -160,7 +160,7 @@
             UpdateClass::Any => Prerequisite::SetExists(name.clone(), *kind),
             UpdateClass::None => Prerequisite::SetMissing(name.clone(), *kind),
             UpdateClass::Zone => {
-                let data = kind.canonical(data).ok_or(UpdateError::Malformed)?;
+                let data = kind.canonical_data(data).ok_or(UpdateError::Malformed)?;
                 // All records of one set make one need.
                 for prerequisite in &mut self.prerequisites {
                     if let Prerequisite::SetEquals(own, of, all) = prerequisite {
@@ -179,12 +179,12 @@
     }
 
     fn operation(apex: &Name, raw: &UpdateRecord) -> Result<UpdateOperation, UpdateError> {
-        let UpdateRecord { name, kind, sense, ttl, data } = raw;
+        let UpdateRecord { name, kind, class: sense, ttl, data } = raw;
         if !name.is_within(apex) {
             return Err(UpdateError::OutOfZone);
         }
         let bare = *ttl == 0 && data.is_empty();
-        let checked = || kind.canonical(data).ok_or(UpdateError::Malformed);
+        let checked = || kind.canonical_data(data).ok_or(UpdateError::Malformed);
         match sense {
             UpdateClass::Any if *kind == RecordType::ANY && bare => {
                 Ok(UpdateOperation::DeleteName(name.clone()))
@@ -205,7 +205,7 @@
     }
 
     /// Whether all that must hold does (RFC 2136 section 3.2.5).
-    pub fn holds(&self, zone: &Zone) -> Result<(), UpdateError> {
+    pub fn check_prerequisites(&self, zone: &Zone) -> Result<(), UpdateError> {
         for prerequisite in &self.prerequisites {
             let used = |name: &Name| zone.node(name.wire()).is_some_and(|node| !node.sets().is_empty());
             match prerequisite {
@@ -237,18 +237,18 @@
     pub fn apply(&self, zone: &Zone) -> Option<(Zone, Change)> {
         let mut next = zone.clone();
         self.operations.iter().for_each(|operation| apply(&mut next, operation));
-        finish(zone, next)
+        complete_version(zone, next)
     }
 
     /// Judges what must hold, and who may do it, and makes the next version; none where nothing changes.
-    pub fn judge(
+    pub fn evaluate(
         &self,
         zone: &Zone,
         grants: &[Grant],
         key: Option<&Name>,
     ) -> Result<Option<(Zone, Change)>, UpdateError> {
-        self.holds(zone)?;
-        if !self.operations.iter().all(|operation| allowed(grants, key, operation)) {
+        self.check_prerequisites(zone)?;
+        if !self.operations.iter().all(|operation| is_allowed(grants, key, operation)) {
             return Err(UpdateError::NotAllowed);
         }
         Ok(self.apply(zone))
@@ -256,21 +256,21 @@
 }
 
 /// Numbers a changed version; none where nothing changed.
-pub fn finish(zone: &Zone, mut next: Zone) -> Option<(Zone, Change)> {
-    if next.is_same(zone) || between(zone, &next).is_empty() {
+pub fn complete_version(zone: &Zone, mut next: Zone) -> Option<(Zone, Change)> {
+    if next.is_same_version(zone) || diff(zone, &next).is_empty() {
         return None;
     }
     if !next.serial().newer_than(zone.serial()) {
-        next.renumber(zone.serial().next());
+        next.set_serial(zone.serial().next());
     }
-    let change = between(zone, &next);
+    let change = diff(zone, &next);
     Some((next, change))
 }
 
 fn apply(zone: &mut Zone, operation: &UpdateOperation) {
     match operation {
         UpdateOperation::AddRecord(record) if record.kind == RecordType::SOA => {
-            let newer = Soa::of(&record.data).is_some_and(|soa| soa.serial.newer_than(zone.serial()));
+            let newer = Soa::parse(&record.data).is_some_and(|soa| soa.serial.newer_than(zone.serial()));
             if record.name == *zone.apex() && newer {
                 zone.remove_set(&record.name, RecordType::SOA);
                 // A SOA at the apex that has none fits.
@@ -346,8 +346,8 @@
 }
 
 /// Whether some key may make an edit. Taking a name out whole needs a grant for all types.
-pub fn allowed(grants: &[Grant], key: Option<&Name>, operation: &UpdateOperation) -> bool {
-    let (name, kind) = operation.about();
+pub fn is_allowed(grants: &[Grant], key: Option<&Name>, operation: &UpdateOperation) -> bool {
+    let (name, kind) = operation.target();
     grants.iter().any(|grant| {
         let kinds = match kind {
             Some(kind) if grant.kinds.is_empty() => !matches!(kind, RecordType::SOA | RecordType::NS),
@@ -359,7 +359,7 @@
 }
 
 /// The serial that a reread file gets: its own where that is newer than the one in force, else the next.
-pub fn serial_after(in_force: Serial, file: Serial) -> Serial {
+pub fn reload_serial(in_force: Serial, file: Serial) -> Serial {
     if file.newer_than(in_force) {
         file
     } else {
--- a/crates/core/zones/src/zone.rs
+++ b/crates/core/zones/src/zone.rs
@@ -68,17 +68,17 @@
     }
 
     /// How many records there are.
-    pub fn records(&self) -> usize {
+    pub fn record_count(&self) -> usize {
         self.records
     }
 
     /// How many names have records.
-    pub fn names(&self) -> usize {
+    pub fn name_count(&self) -> usize {
         self.names
     }
 
     /// Whether two are the very same version, part by part shared.
-    pub fn is_same(&self, other: &Zone) -> bool {
+    pub fn is_same_version(&self, other: &Zone) -> bool {
         Arc::ptr_eq(&self.root, &other.root)
     }
 
@@ -89,7 +89,7 @@
 
     /// What it says of itself.
     pub fn soa(&self) -> Option<Soa> {
-        Soa::of(self.soa_set()?.records().next()?)
+        Soa::parse(self.soa_set()?.records().next()?)
     }
 
     /// Its number; 0 before it has a SOA.
@@ -118,7 +118,7 @@
     pub fn node(&self, name: &[u8]) -> Option<&Node> {
         let mut node = &*self.root;
         for label in self.path(name)? {
-            node = node.below().get(label)?;
+            node = node.children().get(label)?;
         }
         Some(node)
     }
@@ -231,7 +231,7 @@
     }
 
     /// The same version under another number.
-    pub fn renumber(&mut self, serial: Serial) {
+    pub fn set_serial(&mut self, serial: Serial) {
         self.edit(&self.apex.clone(), false, |sets| {
             if let Some(set) = sets.iter_mut().find(|set| set.kind == RecordType::SOA) {
                 set.replace_each(|data| with_serial(data, serial));
@@ -240,7 +240,7 @@
     }
 
     /// Visits each name with its sets; the apex first, then in an order that the names alone decide.
-    pub fn each<'a>(&'a self, mut visit: impl FnMut(&Name, &'a [RecordSet])) {
+    pub fn for_each_name<'a>(&'a self, mut visit: impl FnMut(&Name, &'a [RecordSet])) {
         each(&self.root, &self.apex, &mut visit);
     }
 
@@ -248,14 +248,14 @@
     pub fn walk(&self) -> Walk {
         Walk {
             first: Some(self.root.clone()),
-            above: vec![(self.apex.clone(), Cursor::of(self.root.below()))],
+            above: vec![(self.apex.clone(), Cursor::new(self.root.children()))],
         }
     }
 
     /// All records: the SOA first, then the others (RFC 5936 section 2.2).
-    pub fn all(&self) -> Vec<Record> {
+    pub fn all_records(&self) -> Vec<Record> {
         let mut all: Vec<Record> = self.soa_record().into_iter().collect();
-        self.each(|name, sets| {
+        self.for_each_name(|name, sets| {
             for set in sets.iter().filter(|set| set.kind != RecordType::SOA) {
                 all.extend(set.records().map(|data| Record {
                     name: name.clone(),
@@ -291,8 +291,8 @@
             };
             // A node's label and all above it made a name once.
             let Ok(below) = name.child(node.label()) else { continue };
-            if !node.below().is_empty() {
-                self.above.push((below.clone(), Cursor::of(node.below())));
+            if !node.children().is_empty() {
+                self.above.push((below.clone(), Cursor::new(node.children())));
             }
             return Some((below, node));
         }
--- a/crates/core/zones/src/zone_file/mod.rs
+++ b/crates/core/zones/src/zone_file/mod.rs
@@ -36,16 +36,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneFileLimits {
     /// With more refused records than this the file is of no use.
-    pub refused: usize,
+    pub max_refused: usize,
     /// How deep files may include one another.
-    pub depth: usize,
+    pub max_include_depth: usize,
     /// So many faults are told at most; the others are only counted.
-    pub told: usize,
+    pub max_reported: usize,
 }
 
 impl Default for ZoneFileLimits {
     fn default() -> Self {
-        Self { refused: usize::MAX, depth: 8, told: 10_000 }
+        Self { max_refused: usize::MAX, max_include_depth: 8, max_reported: 10_000 }
     }
 }
 
@@ -97,8 +97,8 @@
     if unusable.is_none() && zone.soa().is_none() {
         unusable = Some(fault(&file, start, "the zone has no SOA".to_owned()));
     }
-    if unusable.is_none() && refused > limits.refused {
-        let reason = format!("{refused} records refused; {} are allowed", limits.refused);
+    if unusable.is_none() && refused > limits.max_refused {
+        let reason = format!("{refused} records refused; {} are allowed", limits.max_refused);
         unusable = Some(fault(&file, start, reason));
     }
     ParsedZoneFile { zone, faults, refused, unusable }
@@ -107,7 +107,7 @@
 /// Writes a version as a zone file that reads back as the same; the apex first, names in canonical order.
 pub fn write(zone: &Zone) -> String {
     use std::fmt::Write;
-    let mut all = zone.all();
+    let mut all = zone.all_records();
     let soa = usize::from(all.first().is_some_and(|record| record.kind == RecordType::SOA));
     all[soa..].sort();
     let mut text = format!("$ORIGIN {}\n", zone.apex());
--- a/crates/core/zones/src/zone_file/reader.rs
+++ b/crates/core/zones/src/zone_file/reader.rs
@@ -39,7 +39,7 @@
 impl Reader<'_> {
     pub(super) fn refuse(&mut self, file: &Arc<str>, position: Position, reason: String) {
         self.refused += 1;
-        if self.faults.len() < self.limits.told {
+        if self.faults.len() < self.limits.max_reported {
             self.faults.push(fault(file, position, reason));
         }
     }
@@ -97,7 +97,7 @@
                         format!("{path:?} is not within the zone's folder"),
                     ));
                 }
-                if depth >= self.limits.depth {
+                if depth >= self.limits.max_include_depth {
                     return Err(EntryError::new(
                         position_of(0),
                         format!("files include one another over {depth} deep"),
@@ -184,10 +184,10 @@
             return Err(EntryError::new(position_of(n - 1), RecordError::Meta(kind).to_string()));
         }
         let data = kind
-            .read(&words[n..], self.origin.as_ref())
-            .map_err(|bad| EntryError::new(position_of(n + bad.word), bad.what))?;
+            .parse_data(&words[n..], self.origin.as_ref())
+            .map_err(|bad| EntryError::new(position_of(n + bad.token_index), bad.reason))?;
         if kind == RecordType::SOA {
-            self.minimum = Soa::of(&data).map(|soa| soa.minimum);
+            self.minimum = Soa::parse(&data).map(|soa| soa.minimum);
         }
         self.ttl_last = ttl.or(self.ttl_last);
         let ttl = ttl.or(self.ttl_default).or(self.ttl_last).or(self.minimum);
--- a/crates/core/zones/src/zone_store/known_updates.rs
+++ b/crates/core/zones/src/zone_store/known_updates.rs
@@ -22,7 +22,7 @@
         limits: &ZoneStoreLimits,
     ) {
         let over = |at: Instant| now - at > limits.deduplication_window;
-        while self.by_time.len() >= limits.known_updates.max(1)
+        while self.by_time.len() >= limits.max_known_updates.max(1)
             || self.by_time.front().is_some_and(|(at, _)| over(*at))
         {
             let Some((_, update_id)) = self.by_time.pop_front() else { break };
--- a/crates/core/zones/src/zone_store/log_entry.rs
+++ b/crates/core/zones/src/zone_store/log_entry.rs
@@ -68,7 +68,7 @@
 }
 
 /// The form that is written now.
-pub const FORM: u16 = 1;
+pub const FORMAT_VERSION: u16 = 1;
 
 impl ZoneLogEntry {
     /// What changed.
@@ -122,13 +122,13 @@
 
 /// Encodes a base for its own file.
 pub fn encode_base(zone: &Zone) -> Vec<u8> {
-    encode(&(FORM, zone.apex(), zone.all()))
+    encode(&(FORMAT_VERSION, zone.apex(), zone.all_records()))
 }
 
 /// Decodes a base; none where the octets are not one.
 pub fn decode_base(octets: &[u8]) -> Option<Zone> {
     let (form, apex, all): (u16, Name, Vec<Record>) = decode(octets).ok()?;
     let mut zone = Zone::new(apex);
-    let fit = form == FORM && all.iter().all(|record| zone.add(record).is_ok());
+    let fit = form == FORMAT_VERSION && all.iter().all(|record| zone.add(record).is_ok());
     fit.then_some(zone)
 }
--- a/crates/core/zones/src/zone_store/mod.rs
+++ b/crates/core/zones/src/zone_store/mod.rs
@@ -11,11 +11,11 @@
 
 pub use log_entry::{
     decode, decode_base, encode, encode_base, LeasedRecord, Snapshot, UpdateId, ZoneLogEntry, ZoneLogError,
-    FORM,
+    FORMAT_VERSION,
 };
 pub use reload::{PreparedReload, ReloadConflict, ReloadError, ReloadInput};
 
-use crate::change::{between, Change, ChangeError, ChangeHistory};
+use crate::change::{diff, Change, ChangeError, ChangeHistory};
 use crate::lease::{LeaseExpiry, LeaseLimits, LeaseTable};
 use crate::name::Name;
 use crate::record::Record;
@@ -33,13 +33,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneStoreLimits {
     /// Records that the log of changes names at most.
-    pub history: usize,
+    pub max_history_records: usize,
     /// For how long a repeat is known.
     pub deduplication_window: Span,
     /// How many repeats are known at most.
-    pub known_updates: usize,
+    pub max_known_updates: usize,
     /// Records in one zone at most.
-    pub records: usize,
+    pub max_records: usize,
     /// How leases are kept.
     pub leases: LeaseLimits,
 }
@@ -47,10 +47,10 @@
 impl Default for ZoneStoreLimits {
     fn default() -> Self {
         Self {
-            history: 100_000,
+            max_history_records: 100_000,
             deduplication_window: Span::from_millis(300_000),
-            known_updates: 100_000,
-            records: 10_000_000,
+            max_known_updates: 100_000,
+            max_records: 10_000_000,
             leases: LeaseLimits::default(),
         }
     }
@@ -88,7 +88,7 @@
     /// For how long what it added is held.
     pub lease: Option<Span>,
     /// Whether it was known as a repeat.
-    pub repeat: bool,
+    pub duplicate: bool,
 }
 
 /// One zone: its base, its versions, the history for IXFR, the updates known and the leases of records.
@@ -120,7 +120,7 @@
             base,
             base_file,
             waiting: VecDeque::new(),
-            history: ChangeHistory::new(limits.history),
+            history: ChangeHistory::new(limits.max_history_records),
             known_updates: KnownUpdates::default(),
             leases: LeaseTable::new(limits.leases),
             frozen: None,
@@ -146,7 +146,7 @@
             store.known_updates.add(now, update_id, result, &limits);
         }
         for (name, kind, data, secs) in snapshot.leases {
-            store.leases.hold(now, &name, kind, &data, Span::from_secs(f64::from(secs)));
+            store.leases.grant(now, &name, kind, &data, Span::from_secs(f64::from(secs)));
         }
         store.leases.restart(now);
         Ok(store)
@@ -165,7 +165,7 @@
                     self.known_updates.add(now, update_id, Ok(change.to), &self.limits);
                 }
                 let span = (lease > 0).then(|| Span::from_secs(f64::from(lease)));
-                self.renew_leases(now, change.gone(), change.fresh(), span);
+                self.renew_leases(now, change.deleted_records(), change.new_records(), span);
                 kept.iter().for_each(|(name, kind, data)| self.leases.release(name, *kind, data));
                 change
             }
@@ -202,9 +202,9 @@
     pub fn snapshot(&self) -> Snapshot {
         let secs = |span: Span| span.secs().round() as u32;
         Snapshot {
-            form: FORM,
+            form: FORMAT_VERSION,
             base: self.base_file.clone(),
-            overlay: between(&self.base, &self.current),
+            overlay: diff(&self.base, &self.current),
             history: self.history.all().map(|change| (**change).clone()).collect(),
             known_updates: self.known_updates.all().collect(),
             leases: self
@@ -250,7 +250,7 @@
 
     /// Below which number all entries must be durable before an update judged now is answered: what it was
     /// judged by must outlast a restart, also where it changed nothing itself.
-    pub fn answer_after(&self) -> u64 {
+    pub fn respond_after(&self) -> u64 {
         self.waiting.back().map_or(0, |(number, ..)| *number)
     }
 
@@ -289,18 +289,18 @@
         update_id: Option<UpdateId>,
         lease: Option<Span>,
     ) -> UpdateOutcome {
-        let lease = lease.map(|asked| self.leases.granted(asked));
+        let lease = lease.map(|asked| self.leases.granted_duration(asked));
         if let Some(result) =
             update_id.and_then(|update_id| self.known_updates.get(now, &update_id, &self.limits))
         {
-            return UpdateOutcome { result, entry: None, lease, repeat: true };
+            return UpdateOutcome { result, entry: None, lease, duplicate: true };
         }
         let judged = match &self.frozen {
             Some(_) => Err(UpdateError::Frozen),
-            None => update.judge(&self.latest, grants, key),
+            None => update.evaluate(&self.latest, grants, key),
         };
         let judged = judged.and_then(|next| match next {
-            Some((zone, _)) if zone.records() > self.limits.records => Err(UpdateError::NotAllowed),
+            Some((zone, _)) if zone.record_count() > self.limits.max_records => Err(UpdateError::NotAllowed),
             next => Ok(next),
         });
         let (result, entry) = match judged {
@@ -322,18 +322,18 @@
                 _ => None,
             });
             let change = entry.as_ref().and_then(ZoneLogEntry::change);
-            self.renew_leases(now, change.into_iter().flat_map(Change::gone), added, lease);
+            self.renew_leases(now, change.into_iter().flat_map(Change::deleted_records), added, lease);
         }
         if let Some(update_id) = update_id.filter(|_| result != Err(UpdateError::Frozen)) {
             self.known_updates.add(now, update_id, result, &self.limits);
         }
-        UpdateOutcome { result, entry, lease, repeat: false }
+        UpdateOutcome { result, entry, lease, duplicate: false }
     }
 
     /// Records that are held and that an update without a lease adds again: they are there for good from then on.
     fn made_permanent(&self, update: &Update, lease: Option<Span>) -> Vec<LeasedRecord> {
         let of = |operation: &UpdateOperation| match operation {
-            UpdateOperation::AddRecord(record) if lease.is_none() && self.leases.holds(record) => {
+            UpdateOperation::AddRecord(record) if lease.is_none() && self.leases.contains(record) => {
                 Some((record.name.clone(), record.kind, record.data.clone()))
             }
             _ => None,
@@ -352,7 +352,7 @@
         gone.for_each(|record| self.leases.release(&record.name, record.kind, &record.data));
         for record in added.filter(|record| record.kind != RecordType::SOA) {
             match lease {
-                Some(span) => self.leases.hold(now, &record.name, record.kind, &record.data, span),
+                Some(span) => self.leases.grant(now, &record.name, record.kind, &record.data, span),
                 None => self.leases.release(&record.name, record.kind, &record.data),
             }
         }
@@ -363,9 +363,9 @@
         if self.frozen.is_some() {
             return (None, LeaseExpiry::default());
         }
-        let lapse = self.leases.lapse(now, &self.latest);
+        let lapse = self.leases.expire(now, &self.latest);
         let operations = lapse
-            .gone
+            .removed
             .iter()
             .map(|(name, kind, data)| UpdateOperation::DeleteRecord(name.clone(), *kind, data.clone()));
         let update = Update { prerequisites: Vec::new(), operations: operations.collect() };
@@ -385,7 +385,7 @@
     }
 
     /// All entries below this number are durable; tells whether another version is in force now.
-    pub fn durable(&mut self, up_to: u64) -> bool {
+    pub fn entries_durable(&mut self, up_to: u64) -> bool {
         let mut moved = false;
         while let Some((_, zone, change)) = self.waiting.pop_front_if(|(number, ..)| *number <= up_to) {
             self.current = zone;
--- a/crates/core/zones/src/zone_store/reload.rs
+++ b/crates/core/zones/src/zone_store/reload.rs
@@ -2,12 +2,12 @@
 //! primary.
 
 use super::{ZoneLogEntry, ZoneStore};
-use crate::change::{between, between_at, Change, ChangeError};
+use crate::change::{diff, diff_at_names, Change, ChangeError};
 use crate::name::Name;
 use crate::record::Record;
 use crate::record_type::RecordType;
 use crate::serial::Serial;
-use crate::update::serial_after;
+use crate::update::reload_serial;
 use crate::zone::Zone;
 use std::collections::BTreeSet;
 use std::fmt;
@@ -21,12 +21,12 @@
     /// The type.
     pub kind: RecordType,
     /// What happened.
-    pub what: &'static str,
+    pub description: &'static str,
 }
 
 impl fmt::Display for ReloadConflict {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} {}: {}", self.name, self.kind, self.what)
+        write!(f, "{} {}: {}", self.name, self.kind, self.description)
     }
 }
 
@@ -34,23 +34,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReloadError {
     /// Its serial is lower than that of the file in force.
-    Lower {
+    SerialNotNewer {
         /// That of the file.
         file: Serial,
         /// That of the file before.
         before: Serial,
     },
     /// It is the same as the file in force.
-    Same,
+    Unchanged,
 }
 
 impl fmt::Display for ReloadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Lower { file, before } => {
+            Self::SerialNotNewer { file, before } => {
                 write!(f, "the file's serial {file} is not newer than {before}, which was read before")
             }
-            Self::Same => f.write_str("the file is the same as before"),
+            Self::Unchanged => f.write_str("the file is the same as before"),
         }
     }
 }
@@ -83,10 +83,10 @@
     pub fn prepare(&self, base: Zone) -> Result<PreparedReload, ReloadError> {
         let (file, before) = (base.serial(), self.base.serial());
         if file != before && !file.newer_than(before) {
-            return Err(ReloadError::Lower { file, before });
+            return Err(ReloadError::SerialNotNewer { file, before });
         }
-        if between(&self.base, &base).is_empty() {
-            return Err(ReloadError::Same);
+        if diff(&self.base, &base).is_empty() {
+            return Err(ReloadError::Unchanged);
         }
         Ok(self.merge(base))
     }
@@ -94,9 +94,9 @@
     pub(super) fn merge(&self, base: Zone) -> PreparedReload {
         let mut conflicts = Vec::new();
         let mut merged = base.clone();
-        let overlay = between(&self.base, &self.latest);
+        let overlay = diff(&self.base, &self.latest);
         merge_changes(&mut merged, &overlay, Some((&self.base, &base)), &mut conflicts);
-        let change = between(&self.latest, &merged);
+        let change = diff(&self.latest, &merged);
         PreparedReload { base, merged, change, seen: self.latest.clone(), conflicts }
     }
 }
@@ -117,13 +117,13 @@
     ) -> (ZoneLogEntry, Vec<ReloadConflict>, Vec<Zone>) {
         let mut conflicts = ready.conflicts.clone();
         let retired = vec![self.base.clone(), self.latest.clone(), ready.seen.clone()];
-        let since = if ready.seen.is_same(&self.latest) {
+        let since = if ready.seen.is_same_version(&self.latest) {
             Change { from: self.latest.serial(), to: self.latest.serial(), ..Change::default() }
         } else {
-            between(&ready.seen, &self.latest)
+            diff(&ready.seen, &self.latest)
         };
         // Never back, whatever the file says.
-        let serial = serial_after(self.latest.serial(), ready.base.serial());
+        let serial = reload_serial(self.latest.serial(), ready.base.serial());
         self.install_base(base_file.clone(), ready, since.clone(), serial, &mut conflicts);
         (ZoneLogEntry::Based { base: base_file, serial, since }, conflicts, retired)
     }
@@ -139,13 +139,13 @@
     ) {
         let PreparedReload { base, mut merged, change, .. } = ready;
         merge_changes(&mut merged, &since, None, conflicts);
-        merged.renumber(serial);
+        merged.set_serial(serial);
         // Where nothing was accepted meanwhile the change stands as it is; else it is looked at anew, at the
         // names that are touched, of which the apex with its serial always is one.
         let mut touched: BTreeSet<&Name> = since.names().collect();
         touched.insert(merged.apex());
         let same = |record: &Record| !touched.contains(&record.name);
-        let mut whole = between_at(&self.latest, &merged, touched.iter().copied());
+        let mut whole = diff_at_names(&self.latest, &merged, touched.iter().copied());
         whole.removed.extend(change.removed.into_iter().filter(same));
         whole.added.extend(change.added.into_iter().filter(same));
         self.base = base;
@@ -175,7 +175,7 @@
         for change in changes {
             next = change.apply(&next)?;
         }
-        let change = between(&self.latest, &next);
+        let change = diff(&self.latest, &next);
         self.latest = next;
         Ok(ZoneLogEntry::Changed { change, update_id: None, lease: 0, kept: Vec::new() })
     }
@@ -195,11 +195,11 @@
         let at = (record.name.clone(), record.kind);
         if old.set(&at.0, at.1) != new.set(&at.0, at.1) && !told.contains(&at) {
             let what = "changed in the file and by updates; the updates stand on the file's records";
-            conflicts.push(ReloadConflict { name: at.0.clone(), kind: at.1, what });
+            conflicts.push(ReloadConflict { name: at.0.clone(), kind: at.1, description: what });
             told.push(at);
         }
     };
-    for record in change.gone().filter(|record| record.kind != RecordType::SOA) {
+    for record in change.deleted_records().filter(|record| record.kind != RecordType::SOA) {
         meets(record, conflicts);
         zone.remove(&record.name, record.kind, &record.data);
     }
@@ -217,7 +217,11 @@
         }
         if zone.add(record).is_err() {
             let what = "an updated record can't stand beside the file's; it is left out";
-            conflicts.push(ReloadConflict { name: record.name.clone(), kind: record.kind, what });
+            conflicts.push(ReloadConflict {
+                name: record.name.clone(),
+                kind: record.kind,
+                description: what,
+            });
         }
     }
 }
--- a/crates/frontends/dns/src/client.rs
+++ b/crates/frontends/dns/src/client.rs
@@ -163,7 +163,7 @@
         refused(&answered)?;
         let soa =
             answered.sections[0].iter().find(|record| record.kind == RecordType::SOA && record.name == *zone);
-        let soa = soa.and_then(|record| lynxtally_zones::Soa::of(&record.data));
+        let soa = soa.and_then(|record| lynxtally_zones::Soa::parse(&record.data));
         soa.filter(|_| answered.authoritative).map(|soa| soa.serial).ok_or(Fault::Garbled("no SOA came"))
     }
 
@@ -175,7 +175,7 @@
         most: usize,
         id: u16,
     ) -> Result<TransferResult, Fault> {
-        let from = have.and_then(|soa| lynxtally_zones::Soa::of(&soa.data)).map(|soa| soa.serial);
+        let from = have.and_then(|soa| lynxtally_zones::Soa::parse(&soa.data)).map(|soa| soa.serial);
         let kind = if have.is_some() { RecordType::IXFR } else { RecordType::AXFR };
         let question = Question { soa: have, ..query(id, zone, kind) };
         let mut signer = self.signer();
@@ -188,7 +188,7 @@
             refused(&answered)?;
             let [records, ..] = answered.sections;
             for record in records {
-                incoming.take(record).map_err(|fault| Fault::Unusable(fault.to_string()))?;
+                incoming.push(record).map_err(|fault| Fault::Unusable(fault.to_string()))?;
             }
             if let Some(nothing) = incoming.message_ended() {
                 return Ok(nothing);
--- a/crates/frontends/dns/src/codec.rs
+++ b/crates/frontends/dns/src/codec.rs
@@ -309,7 +309,7 @@
     Some(UpdateRecord {
         name: name_of(&record.owner())?,
         kind: RecordType(record.rtype().to_int()),
-        sense,
+        class: sense,
         ttl: record.ttl().as_secs(),
         data: data_of(record)?,
     })
@@ -319,7 +319,7 @@
     if record.rtype() != Rtype::SOA {
         return None;
     }
-    lynxtally_zones::Soa::of(&data_of(record)?).map(|soa| soa.serial)
+    lynxtally_zones::Soa::parse(&data_of(record)?).map(|soa| soa.serial)
 }
 
 /// By what a repeated update is known: who signed it, and its octets but for the signature.
@@ -515,7 +515,7 @@
     ) -> Self {
         let soa = version.soa_record();
         let shorter = |changes: &Vec<Arc<Change>>| {
-            changes.iter().map(|change| change.len()).sum::<usize>() <= version.records()
+            changes.iter().map(|change| change.len()).sum::<usize>() <= version.record_count()
         };
         let newer = from.is_none_or(|from| version.serial().newer_than(from));
         let records: Box<dyn Iterator<Item = Record> + Send> = match changes.filter(shorter) {
@@ -646,7 +646,7 @@
         let own = |soa: &&Record| UpdateRecord {
             name: soa.name.clone(),
             kind: soa.kind,
-            sense: UpdateClass::Zone,
+            class: UpdateClass::Zone,
             ttl: soa.ttl,
             data: soa.data.clone(),
         };
@@ -657,7 +657,7 @@
             for raw in all {
                 let owner = domain::base::Name::from_octets(raw.name.wire()).ok()?;
                 let data = UnknownRecordData::from_octets(Rtype::from_int(raw.kind.0), &raw.data[..]).ok()?;
-                push((&owner, class(raw.sense), Ttl::from_secs(raw.ttl), data)).ok()?;
+                push((&owner, class(raw.class), Ttl::from_secs(raw.ttl), data)).ok()?;
             }
             Some(())
         };
@@ -775,6 +775,6 @@
         name: name_of(&record.owner())?,
         kind,
         ttl: record.ttl().as_secs(),
-        data: kind.canonical(&data_of(record)?)?,
+        data: kind.canonical_data(&data_of(record)?)?,
     })
 }
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -19,9 +19,11 @@
 use lynxtally_net::sync::lock;
 use lynxtally_net::timer::Timer;
 use lynxtally_wal::{Rotation, Storage, WriteAheadLog};
-use lynxtally_zones::change::{between, Change};
+use lynxtally_zones::change::{diff, Change};
 use lynxtally_zones::rate_limit::{prefix, RequestRateLimit};
-use lynxtally_zones::secondary::{version, NotifySender, SecondaryAction, SecondaryZone, TransferResult};
+use lynxtally_zones::secondary::{
+    zone_from_records, NotifySender, SecondaryAction, SecondaryZone, TransferResult,
+};
 use lynxtally_zones::zone_file;
 use lynxtally_zones::zone_store::{
     decode, decode_base, encode, encode_base, FreezeReason, PreparedReload, ReloadInput, Snapshot, ZoneStore,
@@ -475,7 +477,7 @@
         let rotation = journal.rotate();
         WriteAheadLog::write_snapshot(folder, &name, rotation, &encode(&made.snapshot()))
             .map_err(|fault| fault.to_string())?;
-        info!(zone = %zone.apex, serial = %made.current().serial(), records = made.current().records(), "read from its file");
+        info!(zone = %zone.apex, serial = %made.current().serial(), records = made.current().record_count(), "read from its file");
         store = Some(made);
     }
     if let Some(what) = damage.first() {
@@ -763,7 +765,8 @@
                 }
             }
             Heard::Serial(zone, Ok(serial)) => {
-                let step = self.serving.zones[zone].follower.as_mut().and_then(|f| f.serial(now, serial));
+                let step =
+                    self.serving.zones[zone].follower.as_mut().and_then(|f| f.serial_received(now, serial));
                 self.step(zone, step);
                 self.host.set_timer(now, Due::Zone(zone));
             }
@@ -771,13 +774,13 @@
                 let zone_state = &mut self.serving.zones[zone];
                 info!(zone = %zone_state.settings.apex, why, "a primary could not be followed");
                 if let Some(follower) = &mut zone_state.follower {
-                    follower.failed(now);
+                    follower.step_failed(now);
                 }
                 self.host.set_timer(now, Due::Zone(zone));
             }
             Heard::Followed(zone, Ok(followed)) => self.followed(zone, followed),
             Heard::Noticed(zone, target, serial) => {
-                self.serving.zones[zone].notices.heard(target, Some(serial));
+                self.serving.zones[zone].notices.acknowledged(target, Some(serial));
             }
             Heard::Control(verb, answer) => self.control(verb, answer),
             Heard::Leave => {
@@ -870,7 +873,10 @@
                 self.notify(at);
                 let zone = &self.serving.zones[at];
                 let next = [
-                    zone.store.as_ref().filter(|k| k.frozen().is_none()).and_then(|k| k.leases().next()),
+                    zone.store
+                        .as_ref()
+                        .filter(|k| k.frozen().is_none())
+                        .and_then(|k| k.leases().next_expiry()),
                     zone.follower.as_ref().map(SecondaryZone::next_due),
                     zone.notices.next_due(),
                 ];
@@ -918,10 +924,10 @@
                     TransferResult::Incremental(changes) => Followed::Changes(changes),
                     TransferResult::Full(records) => {
                         let serial = have.as_ref().map(|zone| zone.serial());
-                        let new = version(&apex, serial, &records)
+                        let new = zone_from_records(&apex, serial, &records)
                             .map_err(|fault| format!("{}: {fault}", client.server))?;
                         let file = write_base(&mut folder(&state)?, &name, &new)?;
-                        let change = have.map_or_else(Change::default, |old| between(&old, &new));
+                        let change = have.map_or_else(Change::default, |old| diff(&old, &new));
                         Followed::Whole(file, Box::new(new), Box::new(change))
                     }
                 })
@@ -934,17 +940,18 @@
         let now = self.serving.now;
         let brought = match followed {
             Followed::Nothing(serial) => {
-                let step = self.serving.zones[at].follower.as_mut().and_then(|f| f.serial(now, serial));
+                let step =
+                    self.serving.zones[at].follower.as_mut().and_then(|f| f.serial_received(now, serial));
                 // The primary has no way to say it by changes: the whole zone then.
                 if step.is_some() {
-                    self.serving.zones[at].follower.iter_mut().for_each(|f| f.misfit(now));
+                    self.serving.zones[at].follower.iter_mut().for_each(|f| f.incremental_failed(now));
                 }
                 false
             }
             Followed::Changes(changes) => {
                 let fits = self.serving.follow_changes(at, &changes);
                 if !fits {
-                    self.serving.zones[at].follower.iter_mut().for_each(|f| f.misfit(now));
+                    self.serving.zones[at].follower.iter_mut().for_each(|f| f.incremental_failed(now));
                 }
                 fits
             }
@@ -964,7 +971,7 @@
         if let (true, Some(follower), Some(store)) = (brought, &mut zone.follower, &zone.store) {
             if let Some(soa) = store.latest().soa() {
                 info!(zone = %zone.settings.apex, serial = %soa.serial, "followed its primary");
-                follower.took(now, soa);
+                follower.transfer_completed(now, soa);
             }
         }
         self.host.set_timer(now, Due::Zone(at));
@@ -1055,10 +1062,10 @@
         "{{\"apex\":\"{apex}\",\"serial\":{},\"records\":{},\"names\":{},\"leases\":{},\"suspect\":{},\
          \"log_octets\":{},\"frozen\":\"{frozen}\",\"served\":{}}}",
         live.serial(),
-        live.records(),
-        live.names(),
+        live.record_count(),
+        live.name_count(),
         store.leases().len(),
-        store.leases().suspect().is_some(),
+        store.leases().suspect_since().is_some(),
         zone.journal.bytes_since_snapshot(),
         zone.served().is_some(),
     )
--- a/crates/frontends/dns/src/serving.rs
+++ b/crates/frontends/dns/src/serving.rs
@@ -136,7 +136,7 @@
 
     /// The version that answers come from; none where it may not be served.
     pub fn served(&self) -> Option<&Arc<Zone>> {
-        let fit = self.follower.as_ref().is_none_or(SecondaryZone::serves);
+        let fit = self.follower.as_ref().is_none_or(SecondaryZone::is_serving);
         self.store.as_ref().filter(|_| fit).map(ZoneStore::current)
     }
 
@@ -246,7 +246,7 @@
         let found = lookup(version, asked.name.wire(), asked.kind);
         let code = match found.outcome {
             Outcome::Found | Outcome::NoData | Outcome::Referral => Code::OK,
-            Outcome::NoName => Code::NAME,
+            Outcome::NxDomain => Code::NAME,
             Outcome::TooLong => Code::NAME_THERE,
         };
         ask.write(&Reply {
@@ -337,10 +337,10 @@
         if let Some(entry) = &taken.entry {
             zone.log(entry);
         }
-        let up_to = zone.store.as_ref().map_or(0, ZoneStore::answer_after);
+        let up_to = zone.store.as_ref().map_or(0, ZoneStore::respond_after);
         let lease = taken.lease.filter(|_| taken.result.is_ok());
         zone.pending.push_back(Pending { task, number, up_to, result: taken.result, lease });
-        self.counts.repeats += u64::from(taken.repeat);
+        self.counts.repeats += u64::from(taken.duplicate);
     }
 
     fn answer_update(
@@ -384,11 +384,11 @@
     pub fn durable(&mut self, at: usize, up_to: u64) -> bool {
         let (now, zone) = (self.now, &mut self.zones[at]);
         zone.durable = zone.durable.max(up_to);
-        let moved = zone.store.as_mut().is_some_and(|store| store.durable(up_to));
+        let moved = zone.store.as_mut().is_some_and(|store| store.entries_durable(up_to));
         if moved {
             self.counts.versions += 1;
             if let Some(serial) = zone.store.as_ref().map(|store| store.current().serial()) {
-                zone.notices.wanted(now, serial);
+                zone.notices.serial_changed(now, serial);
             }
         }
         moved
@@ -446,14 +446,14 @@
         let Some(store) = &mut zone.store else { return };
         let (entry, lapse) = store.expire_leases(now);
         let apex = &zone.settings.apex;
-        match lapse.turned {
+        match lapse.suspect_changed {
             Some(true) => warn!(%apex, "many leases ran out together: the path is suspect, all names stay"),
             Some(false) => info!(%apex, "leases are renewed again: names lapse as before"),
             None => {}
         }
-        self.counts.lapsed += lapse.gone.len() as u64;
-        for (name, kind, data) in &lapse.gone {
-            info!(%apex, "lapsed: {name} {kind} {}", kind.write(data));
+        self.counts.lapsed += lapse.removed.len() as u64;
+        for (name, kind, data) in &lapse.removed {
+            info!(%apex, "lapsed: {name} {kind} {}", kind.format_data(data));
         }
         if let Some(entry) = entry {
             zone.log(&entry);
--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -434,15 +434,15 @@
     /// The limits of a zone's store.
     pub fn zone_store_limits(&self) -> zone_store::ZoneStoreLimits {
         let mut limits = zone_store::ZoneStoreLimits {
-            history: self.history,
+            max_history_records: self.history,
             deduplication_window: Span::from_secs(self.repeats_s as f64),
-            records: self.records,
+            max_records: self.records,
             ..zone_store::ZoneStoreLimits::default()
         };
-        limits.leases.least = Span::from_secs(self.lease_least_s as f64);
-        limits.leases.most = limits.leases.most.max(limits.leases.least);
-        limits.leases.share = self.lease_share;
-        limits.leases.suspect = self.lease_suspect;
+        limits.leases.min_duration = Span::from_secs(self.lease_least_s as f64);
+        limits.leases.max_duration = limits.leases.max_duration.max(limits.leases.min_duration);
+        limits.leases.max_removed_fraction = self.lease_share;
+        limits.leases.suspect_fraction = self.lease_suspect;
         limits
     }
 
@@ -520,7 +520,7 @@
             transfer_anyone: self.transfer.anyone,
             grants,
             file_limits: zone_file::ZoneFileLimits {
-                refused: self.refused_most,
+                max_refused: self.refused_most,
                 ..zone_file::ZoneFileLimits::default()
             },
         })
--- a/crates/testing/benchmarks/src/names.rs
+++ b/crates/testing/benchmarks/src/names.rs
@@ -238,7 +238,7 @@
 }
 
 fn in_process(out: &mut String, zone: &Zone, text: &str, reading: f64) {
-    let records = zone.records() - 3;
+    let records = zone.record_count() - 3;
     let names = shuffled(records, 200_000);
     let asked: Vec<Vec<u8>> = names.iter().map(|name| query(7, name, RecordType::A).write(None)).collect();
     let look = each(names.len(), |n| lookup(zone, names[n].wire(), RecordType::A).answer.len());
--- a/crates/testing/test-doubles/src/names.rs
+++ b/crates/testing/test-doubles/src/names.rs
@@ -88,10 +88,10 @@
 
 /// Adds a record.
 pub fn add(name: &Name, kind: RecordType, data: &[u8]) -> UpdateRecord {
-    UpdateRecord { name: name.clone(), kind, sense: UpdateClass::Zone, ttl: 5, data: data.to_vec() }
+    UpdateRecord { name: name.clone(), kind, class: UpdateClass::Zone, ttl: 5, data: data.to_vec() }
 }
 
 /// Takes all of a kind out.
 pub fn drop_set(name: &Name, kind: RecordType) -> UpdateRecord {
-    UpdateRecord { name: name.clone(), kind, sense: UpdateClass::Any, ttl: 0, data: Vec::new() }
+    UpdateRecord { name: name.clone(), kind, class: UpdateClass::Any, ttl: 0, data: Vec::new() }
 }
