--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -7,70 +7,71 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What can be done in the lab.
+/// Commands for experiments.
 #[derive(Subcommand)]
 pub enum Verb {
-    /// Do an experiment on the emulated fleet; what was done before is not done again.
+    /// Run an experiment on the emulated fleet; runs whose records exist already are not repeated
     Run {
-        /// What is compared, as a template.
+        /// The experiment's specification, a template
         file: PathBuf,
-        /// Where records, tables and charts go.
+        /// Directory for records, tables and charts
         #[arg(long, default_value = "docs/results")]
         out: PathBuf,
-        /// Threads.
+        /// Number of threads
         #[arg(long, default_value_t = std::thread::available_parallelism().map_or(4, usize::from))]
         threads: usize,
     },
-    /// Compare the records of two builds, pair by pair of the same runs.
+    /// Compare the records of two builds, over the runs that both have
     Compare {
-        /// The records of the one.
+        /// Records of the first build
         one: PathBuf,
-        /// The records of the other.
+        /// Records of the second build
         other: PathBuf,
     },
-    /// Tell what happened to one task of a run.
+    /// Print what happened to one task of a run
     Explain {
-        /// The experiment.
+        /// The experiment's specification
         file: PathBuf,
-        /// The task, by its number.
+        /// The task's number
         task: u32,
-        /// What decides.
+        /// The scheduling policy
         #[arg(long, default_value = "module")]
         policy: String,
-        /// The script.
+        /// The fault script
         #[arg(long, default_value = "calm")]
         script: String,
-        /// Nodes; else the first level.
+        /// Number of nodes; by default the first one of the specification
         #[arg(long)]
         nodes: Option<usize>,
-        /// Load; else the first level.
+        /// Load; by default the first one of the specification
         #[arg(long)]
         load: Option<f64>,
-        /// Seed; else the first.
+        /// Seed; by default the first one of the specification
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Search for the scenario on which the first policy loses most against the best of the others.
+    /// Search for the scenario in which the first policy loses most against the best of the others
     Search {
-        /// The experiment: its fleet, stages, policies and seeds; loads between its least and its most.
+        /// The specification: its fleet, stages, policies and seeds apply; loads between its lowest and its
+        /// highest are tried
         file: PathBuf,
-        /// So many starts.
+        /// Number of starting points
         #[arg(long, default_value_t = 16)]
         starts: usize,
-        /// Steps from each.
+        /// Number of search steps from each starting point
         #[arg(long, default_value_t = 20)]
         steps: usize,
-        /// The search's own seed.
+        /// Seed of the search itself
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Threads.
+        /// Number of threads
         #[arg(long, default_value_t = std::thread::available_parallelism().map_or(4, usize::from))]
         threads: usize,
-        /// Where the table goes, beside standard output.
+        /// File for the result table, which is also printed
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Compare the emulator's models with results that are known.
+    /// Check the emulator's models against known results
     Check,
 }
 
@@ -85,7 +86,7 @@
     serde_json::from_str(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-/// Does it.
+/// Runs a `lynxtally lab` command.
 pub fn run(verb: Verb, format: Format) -> Result<(), Failed> {
     match verb {
         Verb::Run { file, out, threads } => experiment(&file, &out, threads),
@@ -204,7 +205,7 @@
     let io = |fault: std::io::Error| format!("{}: {fault}", out.display());
     std::fs::create_dir_all(out).map_err(io)?;
     let kept = out.join(format!("{}.json", spec.name));
-    // Records that can't be read are not thrown away unseen.
+    // An unreadable record file is an error, so that its records are not overwritten.
     let done = if kept.exists() { records(&kept)? } else { Vec::new() };
     let (all, count) = (spec.cells().len(), AtomicUsize::new(0));
     let all_records = run_all(&spec, &done, threads, |record| {
@@ -241,7 +242,7 @@
     for record in broken.iter().take(5) {
         println!("{:?}: {}", record.cell, record.violations.join("; "));
     }
-    // A baseline may break what it never promised; the module may not.
+    // Only violations by the module count as failures: the baselines give no guarantees.
     match broken.iter().any(|record| record.cell.policy == "module") {
         true => Err(Failed::Wrong),
         false => Ok(()),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `lynxtally`: the operators' program.
+//! `lynxtally`: the command-line program for operators.
 
 #![forbid(unsafe_code)]
 
@@ -13,74 +13,74 @@
 use std::process::ExitCode;
 use tracing::level_filters::LevelFilter;
 
-/// Admission and scheduling for servers behind balancers nobody can change, and the programs round it.
+/// Admission and scheduling for servers behind balancers that nobody can change, and the related programs
 #[derive(Parser)]
 #[command(name = "lynxtally", version, propagate_version = true)]
 struct Arguments {
-    /// How results are written.
+    /// Format of the results
     #[arg(long, global = true, value_enum, default_value_t = Format::Text)]
     format: Format,
-    /// What is logged: off, error, warn, info, debug or trace.
+    /// Log level: off, error, warn, info, debug or trace
     #[arg(long, global = true, default_value = "info", value_name = "LEVEL")]
     log: LevelFilter,
-    /// How the log is written; it goes to standard error.
+    /// Format of the log, which is written to standard error
     #[arg(long, global = true, value_enum, default_value_t = Format::Text)]
     log_format: Format,
     #[command(subcommand)]
     noun: Noun,
 }
 
-/// How something is written.
+/// An output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// For people.
+    /// Readable text
     Text,
-    /// For programs.
+    /// JSON
     Json,
 }
 
 #[derive(Subcommand)]
 enum Noun {
-    /// The fleet's names: zone files, updates, transfers.
+    /// DNS zones: zone files, updates, transfers
     #[command(subcommand)]
     Names(names::Verb),
-    /// Long bodies both ways, between clients and upstreams.
+    /// Proxy for long requests and responses between clients and upstreams
     #[command(subcommand)]
     Stream(streams::Verb),
-    /// Experiments on an emulated fleet.
+    /// Experiments on an emulated fleet
     #[command(subcommand)]
     Lab(lab::Verb),
-    /// Settings templates.
+    /// Settings templates
     #[command(subcommand)]
     Settings(SettingsVerb),
-    /// Write a completion script for a shell.
+    /// Print a completion script for a shell
     Completion {
-        /// The shell.
+        /// The shell
         shell: clap_complete::Shell,
     },
-    /// Write the manual page.
+    /// Print the manual page
     Man,
 }
 
 #[derive(Subcommand)]
 enum SettingsVerb {
-    /// Evaluate a template and write the JSON that comes out.
+    /// Evaluate a template and print the resulting JSON
     Render {
-        /// The template.
+        /// The template
         file: PathBuf,
     },
-    /// Check the settings of a server, whichever its key words say.
+    /// Check the settings of a DNS or stream server; settings with the key `upstreams` are for a stream server
     Check {
-        /// The template.
+        /// The template
         file: PathBuf,
     },
 }
 
-/// How a command ended, beside well: the thing checked is wrong, or the usage or surroundings are.
+/// Why a command failed.
 pub enum Failed {
-    /// What was checked is wrong; it has been said.
+    /// A check found errors, which are printed already; the exit code is 1.
     Wrong,
-    /// One line for the person at the terminal.
+    /// The command could not be carried out; the message is printed and the exit code is 2.
     Usage(String),
 }
 
--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -23,125 +23,125 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What can be done about names.
+/// Commands for DNS zones.
 #[derive(Subcommand)]
 pub enum Verb {
-    /// Check zone files: a line for each record that is refused, then how many were kept.
+    /// Check zone files: print each refused record, then the numbers of accepted and refused ones
     Check {
-        /// The files.
+        /// The zone files
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// The zone's topmost name; else the SOA's owner is it.
+        /// Apex of the zone; by default the owner of the SOA
         #[arg(long)]
         apex: Option<Name>,
-        /// With more refused records than this a file is of no use.
+        /// Maximum number of refused records in a usable file
         #[arg(long, default_value_t = usize::MAX)]
         refused_most: usize,
     },
-    /// Serve names until told to leave (SIGTERM); SIGHUP has all files read again.
+    /// Run a DNS server until SIGTERM or SIGINT; SIGHUP reloads all zone files
     Serve {
-        /// The settings.
+        /// The server's settings
         #[arg(long)]
         settings: PathBuf,
     },
-    /// Ask a server.
+    /// Send a query to a server
     Query {
         #[command(flatten)]
         server: Server,
-        /// The name.
+        /// The name to query
         name: Name,
-        /// The kind of record.
+        /// The record type
         #[arg(default_value = "A", value_parser = kind)]
         kind: RecordType,
-        /// Over a connection from the start.
+        /// Use TCP instead of UDP
         #[arg(long)]
         tcp: bool,
     },
-    /// Change records: steps from the line or from a file, all of them or none.
+    /// Send an update; all its steps are applied, or none
     Update {
         #[command(flatten)]
         server: Server,
-        /// The zone.
+        /// The zone to update
         #[arg(long)]
         zone: Name,
-        /// For how many seconds what is added is held unless it is renewed.
+        /// Lease of the added records in seconds; they are removed unless the lease is renewed
         #[arg(long)]
         lease: Option<u32>,
-        /// A file with steps, one a line.
+        /// A file with one step per line
         #[arg(long)]
         file: Option<PathBuf>,
-        /// A step, such as `add www 300 A 192.0.2.1`, `del www A`, `need www A`, `need-not www`; the owners are
-        /// relative to the zone. Several are separated by `;`.
+        /// A step, such as `add www 300 A 192.0.2.1`, `del www A`, `need www A` or `need-not www`. Names are
+        /// relative to the zone. Several steps are separated by `;`
         steps: Vec<String>,
     },
-    /// Have a zone transferred, as a zone file or as what changed.
+    /// Transfer a zone and print it as a zone file, or print its changes
     Transfer {
         #[command(flatten)]
         server: Server,
-        /// The zone.
+        /// The zone to transfer
         zone: Name,
-        /// Only what changed since this version.
+        /// Print only the changes since this serial
         #[arg(long)]
         since: Option<u32>,
     },
-    /// Tell in which records two zone files differ.
+    /// Print the records in which two zone files differ
     Diff {
-        /// The older one.
+        /// The older file
         old: PathBuf,
-        /// The newer one.
+        /// The newer file
         new: PathBuf,
-        /// The zone's topmost name; else the SOA's owner is it.
+        /// Apex of the zone; by default the owner of the SOA
         #[arg(long)]
         apex: Option<Name>,
     },
-    /// Have a running server take no updates for a zone.
+    /// Make a running server refuse updates to a zone
     Freeze(Running),
-    /// Have it take them again.
+    /// Make a running server accept updates to a zone again
     Thaw(Running),
-    /// Have it read the zone's file again.
+    /// Make a running server reload a zone file
     Reread(Running),
-    /// Ask how a running server stands.
+    /// Print the state of a running server
     Status {
-        /// The settings it was started with.
+        /// The settings that the server was started with
         #[arg(long)]
         settings: PathBuf,
     },
-    /// The logs of zones.
+    /// Logs of zones
     #[command(subcommand)]
     Journal(JournalVerb),
 }
 
-/// What can be done about logs.
+/// Commands for the logs of zones.
 #[derive(Subcommand)]
 pub enum JournalVerb {
-    /// Write each step that is on a zone's log.
+    /// Print each entry of a zone's log
     Show(Running),
-    /// Read a zone's log through and say what is wrong with it; nothing is changed.
+    /// Check a zone's log for damage without changing it
     Verify(Running),
-    /// Have a running server shorten a zone's log by a snapshot.
+    /// Make a running server replace a zone's log by a snapshot
     Compact(Running),
 }
 
-/// A zone of a server.
+/// A zone of a configured server.
 #[derive(Args)]
 pub struct Running {
-    /// The settings of the server.
+    /// The server's settings
     #[arg(long)]
     settings: PathBuf,
-    /// The zone.
+    /// The zone
     zone: Name,
 }
 
-/// A server to ask.
+/// The server to contact.
 #[derive(Args)]
 pub struct Server {
-    /// Its address and port.
+    /// Address and port of the server
     #[arg(long, default_value = "127.0.0.1:53")]
     server: SocketAddr,
-    /// A file with the key that signs; of several the first.
+    /// File with the TSIG key; if it has several, the first one is used
     #[arg(long)]
     key: Option<PathBuf>,
-    /// How long an answer is waited for, in milliseconds.
+    /// Time to wait for a response, in milliseconds
     #[arg(long, default_value_t = 5000)]
     patience_ms: u64,
 }
@@ -151,7 +151,7 @@
 }
 
 impl Server {
-    /// One that asks it.
+    /// Creates a client for the server.
     pub fn client(&self) -> Result<Client, Failed> {
         let key = match &self.key {
             None => None,
@@ -165,7 +165,7 @@
     }
 }
 
-/// Reads and checks the settings of a names server.
+/// Reads and checks the settings of a DNS server.
 pub fn settings(path: &Path) -> Result<Checked, String> {
     let file: settings::File = lynxtally_template::read(path).map_err(|error| error.to_string())?;
     file.check().map_err(|fault| format!("{}: {fault}", path.display()))
@@ -175,7 +175,7 @@
     Failed::Usage(what.to_string())
 }
 
-/// Does it.
+/// Runs a `lynxtally names` command.
 pub fn run(verb: Verb, format: Format) -> Result<(), Failed> {
     match verb {
         Verb::Check { files, apex, refused_most } => check(&files, apex.as_ref(), refused_most, format),
@@ -367,7 +367,7 @@
         count += 1;
     }
     if let Some(cut) = &found.torn_tail {
-        // It was never acknowledged: no fault, but worth a line.
+        // An incomplete last entry was never acknowledged, so it is reported but is no fault.
         println!("; {}: {} octets at {} broke off and will be cut off", cut.file, cut.length, cut.offset);
     }
     match format {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! How the program prints what a DNS server answered.
+//! Prints responses of DNS servers and changes of zones.
 
 use crate::Format;
 use lynxtally_dns::codec::{Answered, Code};
@@ -46,7 +46,7 @@
     }
 }
 
-/// Prints the records that a change removes, then those that it adds, as a diff.
+/// Prints a change as a diff: first the removed records, then the added ones.
 pub fn print_change(change: &Change) {
     change.removed.iter().for_each(|record| println!("- {record}"));
     change.added.iter().for_each(|record| println!("+ {record}"));
--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -8,24 +8,24 @@
 use std::path::{Path, PathBuf};
 use tracing::info;
 
-/// What can be done about streams.
+/// Commands for the stream server.
 #[derive(Subcommand)]
 pub enum Verb {
-    /// Pass streams on until told to leave (SIGTERM); SIGUSR1 has the counters logged.
+    /// Run a stream server until SIGTERM or SIGINT; SIGUSR1 logs the counters
     Serve {
-        /// The settings.
+        /// The server's settings
         #[arg(long)]
         settings: PathBuf,
     },
-    /// Check settings, and tell which stage would take a stream.
+    /// Check settings; with a path, also print the stage of a request
     Check {
-        /// The settings.
+        /// The server's settings
         #[arg(long)]
         settings: PathBuf,
-        /// The method of a stream.
+        /// The request's method
         #[arg(default_value = "GET")]
         method: String,
-        /// Its path.
+        /// The request's path
         path: Option<String>,
     },
 }
@@ -36,7 +36,7 @@
     file.check().map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-/// Does it.
+/// Runs a `lynxtally stream` command.
 pub fn run(verb: Verb) -> Result<(), Failed> {
     match verb {
         Verb::Serve { settings: path } => serve(&path),
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -1,4 +1,4 @@
-//! Steps of an update as an operator writes them.
+//! Parses the steps of an update as an operator writes them, and sends the update.
 
 use crate::output::print_answer;
 use crate::{Failed, Format};
@@ -13,13 +13,13 @@
 /// The steps of one update.
 #[derive(Debug, Default, PartialEq)]
 pub struct Steps {
-    /// What must hold.
+    /// The prerequisites.
     pub needs: Vec<UpdateRecord>,
-    /// What is done.
+    /// The operations.
     pub edits: Vec<UpdateRecord>,
 }
 
-/// Splits a step into words; quotes keep spaces.
+/// Splits a step into tokens; blanks within quotes do not separate tokens.
 fn words(text: &str) -> Result<Vec<Token<'_>>, String> {
     let (mut all, mut rest) = (Vec::new(), text.trim_start());
     while !rest.is_empty() {
@@ -43,8 +43,8 @@
 }
 
 impl Steps {
-    /// Adds a step: `add NAME TTL KIND DATA`, `del NAME [KIND [DATA]]`, `need NAME [KIND [DATA]]` or `need-not NAME
-    /// [KIND]`.
+    /// Parses and adds a step: `add NAME TTL KIND DATA`, `del NAME [KIND [DATA]]`, `need NAME [KIND [DATA]]` or
+    /// `need-not NAME [KIND]`.
     pub fn add(&mut self, text: &str, zone: &Name) -> Result<(), String> {
         let words = words(text)?;
         let word = |n: usize| words.get(n).map(|word| String::from_utf8_lossy(word.text).into_owned());
@@ -92,7 +92,7 @@
     }
 }
 
-/// Sends an update and says what became of it.
+/// Sends an update and prints the response.
 pub fn send(
     client: &Client,
     zone: &Name,
--- a/crates/core/zones/src/change.rs
+++ b/crates/core/zones/src/change.rs
@@ -1,5 +1,5 @@
-//! What changed from one version to another, as records; a bounded log of it for those who follow by changes
-//! (RFC 1995).
+//! The difference between two versions of a zone as lists of records, and a bounded history of such changes for
+//! IXFR (RFC 1995).
 
 use crate::name::Name;
 use crate::name_tree::Node;
@@ -12,27 +12,27 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// What leads from one version to the next. The SOA stands in both lists where it changed.
+/// The difference between two versions. Both lists contain the SOA if it changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version before.
+    /// The serial of the older version.
     pub from: Serial,
-    /// The version after.
+    /// The serial of the newer version.
     pub to: Serial,
-    /// Records that are gone.
+    /// Records to remove.
     pub removed: Vec<Record>,
-    /// Records that are new.
+    /// Records to add.
     pub added: Vec<Record>,
 }
 
 /// Why a change can't be applied to a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeError {
-    /// It leads on from another version.
+    /// The change starts from another serial: the version's serial, then the change's.
     SerialMismatch(Serial, Serial),
-    /// A record that it removes is not there.
+    /// A record to remove does not exist.
     Missing(Record),
-    /// A record that it adds is there, or can't stand there.
+    /// A record to add exists already or violates a rule of the zone.
     Rejected(Record),
 }
 
@@ -49,37 +49,37 @@
 }
 
 impl Change {
-    /// Whether nothing changed.
+    /// Whether the change removes and adds nothing.
     pub fn is_empty(&self) -> bool {
         self.removed.is_empty() && self.added.is_empty()
     }
 
-    /// The same change undone.
+    /// The inverse change.
     pub fn reversed(&self) -> Self {
         Self { from: self.to, to: self.from, removed: self.added.clone(), added: self.removed.clone() }
     }
 
-    /// How many records it names.
+    /// The number of records in both lists.
     pub fn len(&self) -> usize {
         self.removed.len() + self.added.len()
     }
 
-    /// Records that are gone altogether, and not only under another time to live.
+    /// Removed records, without those that only get another TTL.
     pub fn deleted_records(&self) -> impl Iterator<Item = &Record> {
         without(&self.removed, &self.added)
     }
 
-    /// Records that were not there before under any time to live.
+    /// Added records, without those that only get another TTL.
     pub fn new_records(&self) -> impl Iterator<Item = &Record> {
         without(&self.added, &self.removed)
     }
 
-    /// The names whose records change.
+    /// The owner names of all changed records, with repetitions.
     pub fn names(&self) -> impl Iterator<Item = &Name> {
         self.removed.iter().chain(&self.added).map(|record| &record.name)
     }
 
-    /// Makes the version after from the one before; all or nothing.
+    /// Applies the change to the older version and returns the newer one. On an error nothing is applied.
     pub fn apply(&self, zone: &Zone) -> Result<Zone, ChangeError> {
         if zone.serial() != self.from {
             return Err(ChangeError::SerialMismatch(zone.serial(), self.from));
@@ -99,21 +99,21 @@
     }
 }
 
-/// The records of one list whose data the other has not under the same name.
+/// The records of `all` that `other` does not contain under any TTL.
 fn without<'a>(all: &'a [Record], other: &'a [Record]) -> impl Iterator<Item = &'a Record> {
     let known: BTreeSet<_> = other.iter().map(Record::key).collect();
     all.iter().filter(move |record| !known.contains(&record.key()))
 }
 
-/// What leads from one version to the other. What they share is passed over, so the work grows with what
-/// differs.
+/// Computes the difference between two versions. Shared subtrees are skipped, so the cost grows with the size of
+/// the difference.
 pub fn diff(old: &Zone, new: &Zone) -> Change {
     let mut change = Change { from: old.serial(), to: new.serial(), ..Change::default() };
     nodes(Some(old.root()), Some(new.root()), old.apex(), &mut change);
     change
 }
 
-/// The same at some names only.
+/// Computes the difference between two versions at the given names only.
 pub fn diff_at_names<'a>(old: &Zone, new: &Zone, names: impl Iterator<Item = &'a Name>) -> Change {
     let mut change = Change { from: old.serial(), to: new.serial(), ..Change::default() };
     for name in names {
@@ -175,7 +175,7 @@
     }
 }
 
-/// The last changes, from one version to the next without a gap, up to so many records.
+/// The most recent changes without a gap, limited by the number of records that they contain.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeHistory {
     changes: VecDeque<Arc<Change>>,
@@ -184,12 +184,13 @@
 }
 
 impl ChangeHistory {
-    /// An empty log that keeps so many records at most.
+    /// Creates an empty history for at most `most` records.
     pub fn new(most: usize) -> Self {
         Self { most, ..Self::default() }
     }
 
-    /// Adds the newest change. One that does not lead on from the last makes all before it useless.
+    /// Appends the newest change. If it does not start from the last serial, the earlier history is useless and is
+    /// dropped.
     pub fn push(&mut self, change: Arc<Change>) {
         if self.changes.back().is_some_and(|last| last.to != change.from) {
             self.clear();
@@ -202,19 +203,19 @@
         }
     }
 
-    /// Forgets all.
+    /// Drops all changes.
     pub fn clear(&mut self) {
         self.changes.clear();
         self.records = 0;
     }
 
-    /// The changes that lead on from a version; none where the log does not reach back to it.
+    /// The changes from a serial on; none if the history does not reach back that far.
     pub fn since(&self, serial: Serial) -> Option<Vec<Arc<Change>>> {
         let at = self.changes.iter().position(|change| change.from == serial)?;
         Some(self.changes.range(at..).cloned().collect())
     }
 
-    /// All that is kept, the oldest first.
+    /// All changes in the history, the oldest first.
     pub fn all(&self) -> impl Iterator<Item = &Arc<Change>> {
         self.changes.iter()
     }
--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -1,6 +1,6 @@
-//! Names held for a time (RFC 9664). Who registered a record renews it, else it goes, but never more than a
-//! share of a name's addresses at once and never the last one. When many stop renewing together, it is the path
-//! to them that is suspect and not they: nothing goes until renewals come again.
+//! Leases of records (RFC 9664). A record whose lease is not renewed is removed, but never more than a fraction of
+//! a name's addresses within one lease duration, and never the last address. If many leases expire together, the
+//! path to the clients is suspected instead of the clients, and no record is removed until renewals arrive again.
 
 use crate::name::Name;
 use crate::record::Record;
@@ -9,19 +9,19 @@
 use lynxtally::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How leases are kept.
+/// Limits for granting and expiring leases.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseLimits {
-    /// The shortest and the longest that is granted.
+    /// The shortest lease that is granted.
     pub min_duration: Span,
-    /// See there.
+    /// The longest lease that is granted.
     pub max_duration: Span,
-    /// Of a name's addresses, no more than this share goes within one lease's length.
+    /// Maximum fraction of a name's addresses that is removed within one lease duration.
     pub max_removed_fraction: f64,
-    /// Where more than this share of the leases that should have been renewed lately was not, the path is
-    /// suspect.
+    /// The path to the clients is suspected if a larger fraction than this of the recently due renewals is
+    /// missing.
     pub suspect_fraction: f64,
-    /// So many at least must be missing before it is.
+    /// Minimum number of expired leases before the path is suspected.
     pub suspect_min_expired: usize,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// What a lease is about.
+/// The record that a lease is for: owner, type and data.
 type LeasedRecord = (Name, RecordType, Vec<u8>);
 
 #[derive(Clone, Debug)]
@@ -46,39 +46,40 @@
     until: Instant,
 }
 
-/// All leases of a zone.
+/// All leases of one zone.
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
     limits: LeaseLimits,
     by_record: BTreeMap<LeasedRecord, Lease>,
     by_time: BTreeSet<(Instant, LeasedRecord)>,
-    /// Leases renewed in time, and leases that ran out, faded over the usual length of a lease.
+    /// Numbers of renewed and of expired leases; both decay exponentially over `usual`, the typical lease
+    /// duration.
     renewed: f64,
     lapsed: f64,
     faded: Instant,
     usual: Span,
-    /// When addresses of a name went, for as long as that counts.
+    /// When addresses of a name were removed, for one lease duration back.
     gone: BTreeMap<Name, Vec<Instant>>,
-    /// Since when the path has been suspect.
+    /// When the path to the clients became suspect; none if it is not.
     suspect: Option<Instant>,
 }
 
-/// What is to be done about leases that ran out.
+/// The consequences of expired leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseExpiry {
-    /// These records go.
+    /// Records to remove.
     pub removed: Vec<(Name, RecordType, Vec<u8>)>,
-    /// So many ran out and stay all the same.
+    /// Number of expired leases whose records are retained.
     pub retained: usize,
-    /// Whether the path became suspect just now, or well again.
+    /// Set if the path to the clients became suspect (`true`) or trusted again (`false`).
     pub suspect_changed: Option<bool>,
 }
 
-/// Leases that ran out and stay are looked at again after this part of their length.
+/// A retained record's lease is checked again after this fraction of its duration.
 const AGAIN: f64 = 0.1;
 
 impl LeaseTable {
-    /// No leases yet.
+    /// Creates an empty table.
     pub fn new(limits: LeaseLimits) -> Self {
         Self {
             limits,
@@ -93,32 +94,32 @@
         }
     }
 
-    /// How many there are.
+    /// The number of leases.
     pub fn len(&self) -> usize {
         self.by_record.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no leases.
     pub fn is_empty(&self) -> bool {
         self.by_record.is_empty()
     }
 
-    /// Since when the path has been suspect, if it is.
+    /// Since when the path to the clients is suspect; none if it is not.
     pub fn suspect_since(&self) -> Option<Instant> {
         self.suspect
     }
 
-    /// How long a lease is granted for.
+    /// The lease duration that is granted for a requested one.
     pub fn granted_duration(&self, asked: Span) -> Span {
         asked.clamp(self.limits.min_duration, self.limits.max_duration)
     }
 
-    /// When the next one runs out.
+    /// The time of the next expiry.
     pub fn next_expiry(&self) -> Option<Instant> {
         self.by_time.first().map(|(at, _)| *at)
     }
 
-    /// All of them with their lengths, for the log.
+    /// All leases with their durations, for the snapshot.
     pub fn all(&self) -> impl Iterator<Item = (&LeasedRecord, Span)> {
         self.by_record.iter().map(|(held, lease)| (held, lease.span))
     }
@@ -131,7 +132,7 @@
         self.faded = self.faded.max(now);
     }
 
-    /// A record is held from now on for so long, again or for the first time.
+    /// Grants or renews the lease of a record for the duration `span`.
     pub fn grant(&mut self, now: Instant, name: &Name, kind: RecordType, data: &[u8], span: Span) {
         self.fade(now);
         let held = (name.clone(), kind, data.to_vec());
@@ -148,7 +149,7 @@
         }
     }
 
-    /// A record is held no more: it was taken out, or is there for good.
+    /// Ends the lease of a record that was removed or became permanent.
     pub fn release(&mut self, name: &Name, kind: RecordType, data: &[u8]) {
         let held = (name.clone(), kind, data.to_vec());
         if let Some(lease) = self.by_record.remove(&held) {
@@ -156,9 +157,9 @@
         }
     }
 
-    /// Whether the path is suspect: many leases ran out where, by the leases' length, they should have been
-    /// renewed. Catches a broken path, a stopped clock of ours and a restart at a bad time; harms where most of
-    /// a fleet does leave at once without saying so, for as long as nobody renews.
+    /// Decides whether the path to the clients is suspect: many leases expired that were due for renewal. This
+    /// detects a broken network path, a stopped local clock and a restart during renewals. The downside: if most
+    /// clients leave together without deregistering, their records are retained until others renew.
     fn judge(&mut self, now: Instant) -> Option<bool> {
         let missing = self.lapsed >= self.limits.suspect_min_expired as f64;
         let share = self.lapsed / (self.lapsed + self.renewed).max(1e-9);
@@ -170,7 +171,7 @@
         Some(suspect)
     }
 
-    /// Takes the leases that ran out by now and says which records go.
+    /// Expires the leases that are due and returns the records to remove.
     pub fn expire(&mut self, now: Instant, zone: &Zone) -> LeaseExpiry {
         self.fade(now);
         let mut over = Vec::new();
@@ -183,7 +184,7 @@
         }
         self.lapsed += over.len() as f64;
         let mut lapse = LeaseExpiry { suspect_changed: self.judge(now), ..LeaseExpiry::default() };
-        // Of one name's records taken out in this turn.
+        // Number of records removed in this pass, by name.
         let mut taken: BTreeMap<Name, usize> = BTreeMap::new();
         for held in over {
             let span = self.by_record.get(&held).map_or(self.usual, |lease| lease.span);
@@ -208,7 +209,7 @@
         lapse
     }
 
-    /// Whether one more of a name's records may go now.
+    /// Whether one more record of a name may be removed now.
     fn may_go(
         &mut self,
         now: Instant,
@@ -227,14 +228,14 @@
         let of = |kind| zone.set(name, kind).map_or(0, |set| set.count());
         let there = of(RecordType::A) + of(RecordType::AAAA);
         let left = there - now_gone;
-        // Those that went lately are still counted as the name's, so that it shrinks by a share and not by a
-        // share of what is left, again and again.
+        // Recently removed addresses still count for the total. Otherwise the fraction would apply again to each
+        // remainder, and the name would shrink to one address.
         let whole = there + lately.len() - now_gone;
         let may = (whole as f64 * self.limits.max_removed_fraction).floor().max(1.0) as usize;
         left > 1 && lately.len() < may
     }
 
-    /// After a restart nobody could renew for a while: each lease begins anew.
+    /// Starts every lease anew after a restart, because clients could not renew while the server was down.
     pub fn restart(&mut self, now: Instant) {
         let all: Vec<(LeasedRecord, Span)> = self.all().map(|(held, span)| (held.clone(), span)).collect();
         self.by_time.clear();
@@ -247,7 +248,7 @@
         self.faded = now;
     }
 
-    /// The records among these that a lease holds, as they would be renewed.
+    /// Whether a record has a lease.
     pub fn contains(&self, record: &Record) -> bool {
         self.by_record.contains_key(&(record.name.clone(), record.kind, record.data.clone()))
     }
--- a/crates/core/zones/src/lookup.rs
+++ b/crates/core/zones/src/lookup.rs
@@ -1,5 +1,5 @@
-//! What a version answers to a question: RFC 1034 section 4.3.2, wildcards by RFC 4592, DNAME by RFC 6672,
-//! names that are not there by RFC 2308. All of an answer comes from one version.
+//! Answers queries from one version of a zone: RFC 1034 section 4.3.2, wildcards by RFC 4592, DNAME by RFC 6672,
+//! negative answers by RFC 2308.
 
 use crate::name::{replace_suffix, LabelOffsets};
 use crate::name_tree::Node;
@@ -9,12 +9,12 @@
 use smallvec::SmallVec;
 use std::borrow::Cow;
 
-/// How many aliases one answer follows.
+/// Maximum number of CNAME and DNAME steps that one response follows.
 const MAX_ALIASES: usize = 16;
-/// How many targets' addresses go along at most.
+/// Maximum number of targets whose addresses are added to one response.
 const MAX_TARGETS: usize = 16;
 
-/// Records of one owner and type as they go out.
+/// A record set in a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseSet<'a> {
     /// The owner, in wire form.
@@ -23,7 +23,7 @@
     pub kind: RecordType,
     /// The time to live.
     pub ttl: u32,
-    /// The records' data, packed as a [`RecordSet`] has it.
+    /// The records' data in the packed form of [`RecordSet::packed`].
     pub packed: Cow<'a, [u8]>,
 }
 
@@ -38,42 +38,42 @@
     }
 }
 
-/// What became of a question.
+/// The kind of response to a query.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Outcome {
-    /// There are records.
+    /// The answer section has records.
     #[default]
     Found,
-    /// The name is there, or names below it, but nothing of the type.
+    /// The name exists, or names below it do, but it has no records of the type.
     NoData,
-    /// The name is not there.
+    /// The name does not exist.
     NxDomain,
-    /// Others answer for the name; the authority section names them.
+    /// The name is in a delegated zone; the authority section has its name servers.
     Referral,
-    /// An alias leads to a name that is too long (RFC 6672 section 2.2).
+    /// DNAME substitution yields a name that is too long (RFC 6672 section 2.2).
     TooLong,
 }
 
-/// The sections of an answer.
+/// The sections of a response.
 #[derive(Clone, Debug, Default)]
 pub struct LookupResult<'a> {
-    /// What became of it.
+    /// The kind of response.
     pub outcome: Outcome,
-    /// The aliases on the way, and the records.
+    /// The aliases that were followed and the records of the last name.
     pub answer: SmallVec<[ResponseSet<'a>; 2]>,
-    /// The SOA of what is not there, or the servers of a referral.
+    /// The SOA in a negative response, or the name servers of a referral.
     pub authority: SmallVec<[ResponseSet<'a>; 1]>,
-    /// Addresses that go along.
+    /// Addresses of names in the other sections.
     pub additional: SmallVec<[ResponseSet<'a>; 2]>,
 }
 
-/// Where the way to a name ends.
+/// The result of searching the zone for a name.
 enum NameMatch<'a> {
-    /// At its node, or at the wildcard that stands for it.
+    /// The name's node, or that of the wildcard that matches it.
     Node(&'a Node),
-    /// At a cut: from this octet of the name on, others answer.
+    /// A delegation: the offset of the delegated name within the name, and its NS set.
     Delegation(usize, &'a RecordSet),
-    /// At a DNAME: this end of the name is replaced.
+    /// A DNAME: the offset of its owner within the name, and its set.
     Redirection(usize, &'a RecordSet),
     NotFound,
 }
@@ -89,13 +89,13 @@
         let at = starts.at(n);
         match node.children().get(&name[at + 1..][..name[at] as usize]) {
             Some(child) => node = child,
-            // The closest encloser's wildcard stands for whatever is not there below it.
+            // The wildcard below the closest encloser matches all names that do not exist below it.
             None => {
                 return node.children().get(b"*").map_or(NameMatch::NotFound, |wild| NameMatch::Node(wild))
             }
         }
         if let Some(servers) = node.set(RecordType::NS) {
-            // What the parent says of a cut is asked of the parent (RFC 4035 section 3.1.4.1).
+            // The DS set of a delegated zone belongs to the parent zone (RFC 4035 section 3.1.4.1).
             if n > 0 || kind != RecordType::DS {
                 return NameMatch::Delegation(at, servers);
             }
@@ -104,7 +104,7 @@
     NameMatch::Node(node)
 }
 
-/// Answers a question about a name in wire form and lower case; one that is not in the zone is not there.
+/// Answers a query for a name in lower-case wire form. A name outside the zone does not exist.
 pub fn lookup<'a>(zone: &'a Zone, name: &'a [u8], kind: RecordType) -> LookupResult<'a> {
     let mut found = LookupResult::default();
     if !crate::name::within(name, zone.apex().wire()) {
@@ -152,7 +152,7 @@
                     found.answer.push(ResponseSet::of(at, set));
                     at = Cow::Borrowed(next);
                 } else {
-                    // Of all types one is enough (RFC 8482 section 4.1).
+                    // One record set is a sufficient answer to ANY (RFC 8482 section 4.1).
                     let set = if kind == RecordType::ANY { node.sets().first() } else { node.set(kind) };
                     let Some(set) = set else {
                         found.outcome = Outcome::NoData;
@@ -172,7 +172,7 @@
     found
 }
 
-/// Adds the SOA, kept for no longer than it says (RFC 2308 section 3).
+/// Adds the SOA of a negative response, with the TTL limited by its MINIMUM field (RFC 2308 section 3).
 fn add_negative_soa<'a>(zone: &'a Zone, found: &mut LookupResult<'a>) {
     if let (Some(set), Some(soa)) = (zone.soa_set(), zone.soa()) {
         let mut entry = ResponseSet::of(Cow::Borrowed(zone.apex().wire()), set);
@@ -181,7 +181,7 @@
     }
 }
 
-/// Adds the addresses of the names in a set, glue included.
+/// Adds the addresses of the targets in a record set, including glue.
 fn add_target_addresses<'a>(zone: &'a Zone, set: &'a RecordSet, found: &mut LookupResult<'a>) {
     for target in set.records().filter_map(|data| set.kind.additional_name(data)).take(MAX_TARGETS) {
         if set.kind == RecordType::CNAME || set.kind == RecordType::PTR {
--- a/crates/core/zones/src/name.rs
+++ b/crates/core/zones/src/name.rs
@@ -1,38 +1,38 @@
-//! Names as they are kept: wire form, absolute, lower case, at most 255 octets (RFC 1035 section 3.1, case by
-//! RFC 4343). A part of a name from some label to its end is a name in the same form.
+//! Domain names in wire form: absolute, lower case, at most 255 octets (RFC 1035 section 3.1, case by RFC 4343).
+//! The part of a name from any label to its end is a valid name too.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::fmt;
 
-/// The longest name, in octets.
+/// Maximum length of a name in octets.
 pub const MAX_NAME_LENGTH: usize = 255;
-/// The longest label, in octets.
+/// Maximum length of a label in octets.
 pub const MAX_LABEL_LENGTH: usize = 63;
 
-/// A name.
+/// An absolute domain name.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "Vec<u8>", into = "Vec<u8>")]
 pub struct Name(Box<[u8]>);
 
-/// Why a text or some octets are no name.
+/// Why a text or wire form is not a valid name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameError {
-    /// Nothing at all.
+    /// The text is empty.
     Empty,
-    /// A label without an octet.
+    /// A label is empty.
     EmptyLabel,
-    /// A label over 63 octets.
+    /// A label is longer than 63 octets.
     LongLabel,
-    /// A name over 255 octets.
+    /// The name is longer than 255 octets.
     Long,
-    /// A backslash that begins no escape.
+    /// A backslash starts no valid escape.
     Escape,
-    /// A relative name where nothing says to what.
+    /// The name is relative and no origin is known.
     Relative,
-    /// Octets that end within a name.
+    /// The octets end within the name, or octets follow it.
     Short,
-    /// A kind of label that is not known here, such as a pointer.
+    /// A length octet announces an unsupported kind of label, such as a compression pointer.
     LabelKind,
 }
 
@@ -53,7 +53,7 @@
 
 impl std::error::Error for NameError {}
 
-/// The labels of a name in wire form, the leftmost first, without the root's.
+/// The labels of a name in wire form, the leftmost first, without the root label.
 pub fn labels(wire: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = wire;
     std::iter::from_fn(move || {
@@ -64,14 +64,14 @@
     })
 }
 
-/// Where each label of a name begins, the leftmost first; room on the stack for any name.
+/// The offset of each label in a name, the leftmost first. Stored on the stack: a name has at most 127 labels.
 pub struct LabelOffsets {
     at: [u8; 128],
     count: usize,
 }
 
 impl LabelOffsets {
-    /// Those of a name in wire form.
+    /// Finds the labels of a name in wire form.
     pub fn of(wire: &[u8]) -> Self {
         let (mut starts, mut at) = (Self { at: [0; 128], count: 0 }, 0);
         while let Some(&length) = wire.get(at).filter(|length| **length > 0) {
@@ -82,24 +82,24 @@
         starts
     }
 
-    /// How many labels there are.
+    /// The number of labels.
     pub fn count(&self) -> usize {
         self.count
     }
 
-    /// Where the label with this number begins.
+    /// The offset of the label with this index.
     pub fn at(&self, label: usize) -> usize {
         self.at[label] as usize
     }
 }
 
 impl Name {
-    /// The root.
+    /// The root name.
     pub fn root() -> Self {
         Self(Box::new([0]))
     }
 
-    /// Takes octets in wire form that hold one whole name without a pointer and nothing else.
+    /// Parses a wire form that contains one name without compression pointers and nothing else.
     pub fn from_wire(wire: &[u8]) -> Result<Self, NameError> {
         let (name, rest) = Self::split(wire)?;
         if rest.is_empty() {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Takes the name at the start of some octets; gives what stands behind it too.
+    /// Parses the name at the start of `wire`; returns it and the remaining octets.
     pub fn split(wire: &[u8]) -> Result<(Self, &[u8]), NameError> {
         let mut at = 0;
         loop {
@@ -128,8 +128,8 @@
         Ok((Self(wire[..at].to_ascii_lowercase().into()), &wire[at..]))
     }
 
-    /// Reads a name as text (RFC 1035 section 5.1): `@` is the origin, a name without a last dot is relative to
-    /// it, `\.` and `\DDD` are octets.
+    /// Parses the text form of a name (RFC 1035 section 5.1): `@` is the origin, a name without a final dot is
+    /// relative to it, `\.` and `\DDD` are escapes.
     pub fn parse(text: &[u8], origin: Option<&Name>) -> Result<Self, NameError> {
         if text == b"@" {
             return origin.cloned().ok_or(NameError::Relative);
@@ -194,23 +194,23 @@
         &self.0
     }
 
-    /// The labels, the leftmost first.
+    /// The labels, the leftmost first, without the root label.
     pub fn labels(&self) -> impl Iterator<Item = &[u8]> {
         labels(&self.0)
     }
 
-    /// Whether it is the other or stands below it.
+    /// Whether this name equals `other` or is below it.
     pub fn is_within(&self, other: &Name) -> bool {
         within(&self.0, &other.0)
     }
 
-    /// The name above; the root has none.
+    /// The parent name; the root has none.
     pub fn parent(&self) -> Option<Name> {
         let length = *self.0.first().filter(|length| **length > 0)? as usize;
         Some(Self(self.0[1 + length..].into()))
     }
 
-    /// The name one label below.
+    /// Returns the name with one more label on the left.
     pub fn child(&self, label: &[u8]) -> Result<Name, NameError> {
         if label.is_empty() || label.len() > MAX_LABEL_LENGTH {
             return Err(if label.is_empty() { NameError::EmptyLabel } else { NameError::LongLabel });
@@ -223,7 +223,7 @@
     }
 }
 
-/// Whether one name in wire form is another or stands below it.
+/// Whether a name in wire form equals `other` or is below it.
 pub fn within(name: &[u8], other: &[u8]) -> bool {
     let Some(from) = name.len().checked_sub(other.len()) else { return false };
     let mut at = 0;
@@ -233,7 +233,7 @@
     at == from && name[from..] == *other
 }
 
-/// An octet written as `\DDD` or `\X`, and how much text it takes.
+/// Parses an escape, `\DDD` or `\X`; returns its octet and its length in the text.
 pub fn escape(text: &[u8]) -> Option<(u8, usize)> {
     let next = *text.get(1)?;
     if !next.is_ascii_digit() {
@@ -259,13 +259,13 @@
 
 impl std::str::FromStr for Name {
     type Err = NameError;
-    /// Reads an absolute name; the last dot may be left out.
+    /// Parses an absolute name; the final dot is optional.
     fn from_str(text: &str) -> Result<Self, NameError> {
         Self::parse(text.as_bytes(), Some(&Self::root()))
     }
 }
 
-/// The canonical order (RFC 4034 section 6.1): by label from the root down.
+/// The canonical order (RFC 4034 section 6.1), which compares labels from the root on.
 impl Ord for Name {
     fn cmp(&self, other: &Self) -> Ordering {
         let (a, b) = (LabelOffsets::of(&self.0), LabelOffsets::of(&other.0));
@@ -289,7 +289,7 @@
     }
 }
 
-/// Writes a name in wire form as text, escaped so that it reads back as the same.
+/// Writes the text form of a name, escaped so that parsing it yields the same name.
 pub fn write_text(wire: &[u8], f: &mut impl fmt::Write) -> fmt::Result {
     if wire == [0] {
         return f.write_char('.');
@@ -321,7 +321,8 @@
     }
 }
 
-/// A name with one end replaced by another (RFC 6672 section 2.2); none where it grows too long.
+/// Replaces the suffix `end` of a name by `by` (RFC 6672 section 2.2); none if the result is too long or the name
+/// is not below `end`.
 pub fn replace_suffix(name: &[u8], end: &[u8], by: &[u8]) -> Option<Vec<u8>> {
     if !within(name, end) || labels(name).count() == labels(end).count() {
         return None;
--- a/crates/core/zones/src/name_tree.rs
+++ b/crates/core/zones/src/name_tree.rs
@@ -1,9 +1,9 @@
-//! Names below one name: a hash array mapped trie by label whose parts are shared between versions. A change
-//! copies the parts on its way, or changes them in place where no other version has them, so that building is
-//! not paid for twice and a change costs the same in a zone of any size.
+//! The names below a name: a hash array mapped trie by label. Versions share its nodes. A change copies the nodes
+//! on the path to the changed name, or modifies them in place if no other version shares them. So building a zone
+//! copies nothing, and the cost of a change does not depend on the size of the zone.
 //!
-//! Source: P. Bagwell, "Ideal Hash Trees" (2001); the sharing is path copying. Labels are spread by
-//! SipHash-1-3 under a fixed key: the same names always make the same tree, in the same order.
+//! Source: P. Bagwell, "Ideal Hash Trees" (2001), with path copying. Labels are hashed by SipHash-1-3 with a fixed
+//! key, so the same names always yield the same tree and the same order.
 
 use crate::name::Name;
 use crate::record::RecordSet;
@@ -13,11 +13,12 @@
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// Bits of the hash that one level uses, and how many levels there are before labels clash for good.
+/// Hash bits used per level, and the number of levels. Labels whose used hash bits are all equal share a list
+/// below the last level.
 const BITS: u32 = 5;
 const LEVELS: u32 = 60 / BITS;
 
-/// What stands at one name.
+/// The records of one name and the names below it.
 #[derive(Clone, Debug)]
 pub struct Node {
     label: Box<[u8]>,
@@ -30,27 +31,27 @@
         Self { label: label.into(), sets: SmallVec::new(), below: Children::default() }
     }
 
-    /// The leftmost label of its name.
+    /// The leftmost label of the name.
     pub fn label(&self) -> &[u8] {
         &self.label
     }
 
-    /// Its records, by type.
+    /// The record sets, ascending by type.
     pub fn sets(&self) -> &[RecordSet] {
         &self.sets
     }
 
-    /// The same, to be changed; they stay in ascending order of their types.
+    /// The record sets for modification; callers must keep them ascending by type.
     pub(crate) fn sets_mut(&mut self) -> &mut SmallVec<[RecordSet; 1]> {
         &mut self.sets
     }
 
-    /// Those of one type.
+    /// The record set of a type.
     pub fn set(&self, kind: RecordType) -> Option<&RecordSet> {
         self.sets.iter().find(|set| set.kind == kind)
     }
 
-    /// The names directly below.
+    /// The nodes directly below.
     pub fn children(&self) -> &Children {
         &self.below
     }
@@ -66,15 +67,15 @@
     Branch(Arc<Branch>),
 }
 
-/// One level: a bit for each slot that is there. On the last one the slots stand side by side and `map` is
-/// not used.
+/// One level of the trie: `map` has a bit for each slot that is present. Below the last level, `slots` is a plain
+/// list of leaves and `map` is unused.
 #[derive(Clone, Debug, Default)]
 struct Branch {
     map: u32,
     slots: Vec<Slot>,
 }
 
-/// The names directly below one.
+/// The nodes directly below a name.
 #[derive(Clone, Debug, Default)]
 pub struct Children(Option<Arc<Branch>>);
 
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Takes a label out; tells whether nothing is left here.
+    /// Removes a label; returns whether this branch is empty afterwards.
     fn remove(&mut self, level: u32, hash_of: u64, label: &[u8]) -> bool {
         if level == LEVELS {
             self.slots.retain(|slot| !matches!(slot, Slot::Leaf(leaf) if leaf.label() == label));
@@ -154,7 +155,7 @@
             Slot::Branch(branch) => {
                 let below = Arc::make_mut(branch);
                 let empty = below.remove(level + 1, hash_of, label);
-                // One leaf needs no level of its own.
+                // A branch with a single leaf is replaced by the leaf.
                 if let [Slot::Leaf(last)] = &below.slots[..] {
                     let last = last.clone();
                     self.slots[at] = Slot::Leaf(last);
@@ -180,12 +181,12 @@
 }
 
 impl Children {
-    /// Whether there are none.
+    /// Whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.0.is_none()
     }
 
-    /// The node with this label, in lower case.
+    /// The node with this label, which must be in lower case.
     pub fn get(&self, label: &[u8]) -> Option<&Arc<Node>> {
         let (hash, mut level) = (hash(label), 0);
         let mut branch = self.0.as_ref()?;
@@ -206,20 +207,20 @@
         })
     }
 
-    /// The same, to be changed: what other versions share is copied.
+    /// The node with this label for modification. Nodes that other versions share are copied.
     pub fn get_mut(&mut self, label: &[u8]) -> Option<&mut Arc<Node>> {
-        // Looked for first: nothing is copied on the way to what is not there.
+        // Checked first, so that nothing is copied for a label that does not exist.
         self.get(label)?;
         Arc::make_mut(self.0.as_mut()?).get_mut(0, hash(label), label)
     }
 
-    /// Puts a node in, in place of one with the same label.
+    /// Inserts a node; it replaces one with the same label.
     pub fn insert(&mut self, node: Arc<Node>) {
         let hash = hash(node.label());
         Arc::make_mut(self.0.get_or_insert_with(Arc::default)).insert(0, hash, node);
     }
 
-    /// Takes the node with this label out.
+    /// Removes the node with this label.
     pub fn remove(&mut self, label: &[u8]) {
         if self.get(label).is_some() {
             let empty =
@@ -230,15 +231,15 @@
         }
     }
 
-    /// Visits all nodes, in an order that the labels alone decide.
+    /// Calls `visit` for each node, in an order that depends on the labels alone.
     pub fn for_each<'a>(&'a self, mut visit: impl FnMut(&'a Arc<Node>)) {
         if let Some(branch) = &self.0 {
             branch.each(&mut visit);
         }
     }
 
-    /// Visits the nodes in which two versions differ; what they share is passed over without a look. Where a
-    /// label is on one side only, the other is none.
+    /// Calls `visit` for each pair of nodes in which two versions differ; shared subtrees are skipped. If only one
+    /// version has a label, the other side is none.
     pub fn diff<'a>(
         &'a self,
         other: &'a Self,
@@ -253,12 +254,12 @@
     }
 }
 
-/// Visits nodes one at a time, so that a long way can be interrupted; holds on to the version.
+/// Iterates over nodes one at a time, so that a long walk can be interrupted. Keeps the visited version alive.
 #[derive(Clone, Debug, Default)]
 pub struct Cursor(Vec<(Arc<Branch>, usize)>);
 
 impl Cursor {
-    /// Before the first of some nodes.
+    /// Starts before the first node.
     pub fn new(children: &Children) -> Self {
         Self(children.0.iter().map(|branch| (branch.clone(), 0)).collect())
     }
@@ -344,8 +345,8 @@
     }
 }
 
-/// Changes the node at the end of a path, outermost label first; nodes on the way that are not there are made, and
-/// those that hold nothing afterwards are taken out.
+/// Changes the node at the end of a path, outermost label first. Missing nodes on the path are created; nodes
+/// without records and children are removed afterwards.
 pub(crate) fn edit<R>(
     node: &mut Arc<Node>,
     path: &[&[u8]],
@@ -360,7 +361,7 @@
     if own.below.get(label).is_none() {
         own.below.insert(Arc::new(Node::new(label)));
     }
-    // It was there, or was inserted in the line above.
+    // The child existed or was inserted above.
     let child = own.below.get_mut(label).expect("the child was just inserted");
     let changed = edit(child, rest, before, change);
     if child.is_hollow() {
@@ -369,13 +370,13 @@
     changed
 }
 
-/// Visits a node and all below it that have records, in an order that the names alone decide.
+/// Calls `visit` for a node and all nodes below that have records, in an order that depends on the names alone.
 pub(crate) fn each<'a>(node: &'a Node, name: &Name, visit: &mut impl FnMut(&Name, &'a [RecordSet])) {
     if !node.sets.is_empty() {
         visit(name, &node.sets);
     }
     node.below.for_each(|child| {
-        // A node's label and all above it made a name once.
+        // Names were checked when they were added, so their length is valid.
         if let Ok(below) = name.child(child.label()) {
             each_dyn(child, &below, visit);
         }
--- a/crates/core/zones/src/rate_limit.rs
+++ b/crates/core/zones/src/rate_limit.rs
@@ -1,19 +1,19 @@
-//! Request rate limit by the prefix of the client's address, in memory that does not grow with the number of clients:
-//! a count-min sketch that fades. Source: G. Cormode, S. Muthukrishnan, "An improved data stream summary: the count-min sketch and
-//! its applications" (2005), with conservative updates (C. Estan, G. Varghese, 2002).
+//! Rate limit by prefixes of client addresses, in constant memory: a count-min sketch with exponential decay.
+//! Sources: G. Cormode, S. Muthukrishnan, "An improved data stream summary: the count-min sketch and its
+//! applications" (2005); conservative updates: C. Estan, G. Varghese (2002).
 
 use lynxtally::{Instant, Span};
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 use std::net::IpAddr;
 
-/// How many cells a prefix has; it is counted by the smallest.
+/// Number of cells per prefix; the smallest one is the estimate.
 const ROWS: usize = 4;
 
-/// Counts by prefix that fade over a span.
+/// Approximate counts by prefix that decay exponentially.
 #[derive(Clone, Debug)]
 pub struct CountMinSketch {
-    /// Each cell, and the turn in which it was last faded.
+    /// Each cell's count and the period in which it was last decayed.
     cells: Vec<(f32, u32)>,
     width: usize,
     key: u64,
@@ -23,10 +23,10 @@
     total_turn: u32,
 }
 
-/// A count keeps this part of itself from one turn to the next; so it stands for about two turns.
+/// Part of a count that remains after each period; a count thus covers about two periods.
 const FADE_PER_TURN: f32 = 0.5;
 
-/// The part of an address by which askers are counted: 24 bits of IPv4, 56 of IPv6.
+/// The prefix by which clients are counted: 24 bits of an IPv4 address, 56 bits of an IPv6 address.
 pub fn prefix(address: IpAddr) -> u64 {
     match address {
         IpAddr::V4(address) => u64::from(u32::from(address) >> 8) | 1 << 60,
@@ -38,13 +38,14 @@
 }
 
 impl CountMinSketch {
-    /// A sketch with so many cells in each row (a power of two), whose counts stand for about two turns.
+    /// Creates a sketch with `width` cells per row, rounded up to a power of two. Its counts cover about two
+    /// periods.
     pub fn new(width: usize, turn: Span, key: u64, now: Instant) -> Self {
         let width = width.next_power_of_two();
         Self { cells: vec![(0.0, 0); width * ROWS], width, key, start: now, turn, total: 0.0, total_turn: 0 }
     }
 
-    /// How many octets it takes.
+    /// The memory use in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.cells.len() * std::mem::size_of::<(f32, u32)>()
     }
@@ -57,7 +58,7 @@
         let mut hasher = SipHasher13::new_with_keys(self.key, !self.key);
         hasher.write_u64(prefix);
         let hash = hasher.finish();
-        // Each row takes sixteen bits of the one hash, stirred for rows wider than that.
+        // Each row uses other bits of one hash; the multiplication spreads them for rows wider than 16 bits.
         std::array::from_fn(|row| {
             let stirred = hash.rotate_left(16 * row as u32).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 20;
             row * self.width + (stirred as usize & (self.width - 1))
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Counts one more of a prefix; tells its count now, never less than the true one.
+    /// Counts a request and returns the new estimate for its prefix. The estimate is never below the true count.
     pub fn add(&mut self, now: Instant, prefix: u64) -> f64 {
         let turn = self.turn(now);
         let places = self.places(prefix);
@@ -85,7 +86,7 @@
         f64::from(count)
     }
 
-    /// The count of a prefix, never less than the true one.
+    /// The estimate for a prefix, which is never below the true count.
     pub fn count(&self, now: Instant, prefix: u64) -> f64 {
         let turn = self.turn(now);
         let faded = self.places(prefix).map(|at| Self::faded(self.cells[at], turn));
@@ -96,14 +97,14 @@
         self.total * f64::from(FADE_PER_TURN.powi(turn.saturating_sub(self.total_turn).min(64) as i32))
     }
 
-    /// The count of all.
+    /// The decayed count of all requests.
     pub fn total(&self, now: Instant) -> f64 {
         self.total_at(self.turn(now))
     }
 }
 
-/// Finds the prefixes that send more than their share of the requests. Such a request is not refused: it gets the
-/// lowest utility, so that it is answered only with the capacity that the others leave.
+/// Finds the prefixes that exceed their fraction of all requests. Such a request is not rejected: the caller gives
+/// it the lowest utility, so it is only answered with capacity that other requests leave free.
 #[derive(Clone, Debug)]
 pub struct RequestRateLimit {
     sketch: CountMinSketch,
@@ -112,12 +113,12 @@
 }
 
 impl RequestRateLimit {
-    /// A prefix may have this share of all that is asked, and so much (in counts of the sketch) in any case.
+    /// A prefix exceeds its share if its count is above `least` and above the fraction `share` of all requests.
     pub fn new(sketch: CountMinSketch, share: f64, least: f64) -> Self {
         Self { sketch, share, least }
     }
 
-    /// Counts one question; tells whether it is beyond the prefix's share.
+    /// Counts a request; returns whether its prefix exceeds its share.
     pub fn exceeds_share(&mut self, now: Instant, prefix: u64) -> bool {
         let count = self.sketch.add(now, prefix);
         count > self.least && count > self.sketch.total(now) * self.share
--- a/crates/core/zones/src/record.rs
+++ b/crates/core/zones/src/record.rs
@@ -1,4 +1,4 @@
-//! Resource records, and the sets of all records of one owner and type.
+//! Resource records and record sets.
 
 use crate::name::Name;
 use crate::record_type::RecordType;
@@ -6,21 +6,21 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// One record.
+/// A resource record.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Record {
-    /// Its owner.
+    /// The owner name.
     pub name: Name,
-    /// Its type.
+    /// The type.
     pub kind: RecordType,
-    /// For how long it may be kept, in seconds.
+    /// The time to live in seconds.
     pub ttl: u32,
-    /// Its data: wire form without pointers, names in lower case.
+    /// The data in wire form without compression pointers, with names in lower case.
     pub data: Vec<u8>,
 }
 
 impl Record {
-    /// What it is, but for its time to live.
+    /// Everything but the TTL. Two records with the same key are the same record.
     pub fn key(&self) -> (&Name, RecordType, &[u8]) {
         (&self.name, self.kind, &self.data)
     }
@@ -38,18 +38,18 @@
     }
 }
 
-/// All records of one owner and type; they have one time to live (RFC 2181 section 5.2).
+/// All records of one owner and type. They share one TTL (RFC 2181 section 5.2).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordSet {
     /// The type.
     pub kind: RecordType,
     /// The time to live, in seconds.
     pub ttl: u32,
-    /// Each record's data behind its length in two octets, in ascending order.
+    /// The data of the records in ascending order, each preceded by its length in two octets.
     data: Arc<[u8]>,
 }
 
-/// The data of the records in packed form.
+/// Iterates over the records' data in packed form.
 pub fn unpack(packed: &[u8]) -> impl Iterator<Item = &[u8]> {
     let mut rest = packed;
     std::iter::from_fn(move || {
@@ -60,7 +60,7 @@
     })
 }
 
-/// Data of records in packed form, in the order given.
+/// Packs the data of records: each is preceded by its length in two octets.
 pub fn pack<'a>(all: impl IntoIterator<Item = &'a [u8]>) -> Vec<u8> {
     let mut packed = Vec::new();
     for data in all {
@@ -71,37 +71,37 @@
 }
 
 impl RecordSet {
-    /// A set of one record.
+    /// Creates a set of one record.
     pub(crate) fn new(kind: RecordType, ttl: u32, data: &[u8]) -> Self {
         Self { kind, ttl, data: pack([data]).into() }
     }
 
-    /// The data of its records.
+    /// The data of each record.
     pub fn records(&self) -> impl Iterator<Item = &[u8]> {
         unpack(&self.data)
     }
 
-    /// The same in one piece.
+    /// The data of all records in packed form.
     pub fn packed(&self) -> &[u8] {
         &self.data
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub fn count(&self) -> usize {
         self.records().count()
     }
 
-    /// Whether there is a record with this data.
+    /// Whether the set has a record with this data.
     pub fn has(&self, data: &[u8]) -> bool {
         self.records().any(|own| own == data)
     }
 
-    /// Whether no record is left.
+    /// Whether the set has no records.
     pub(crate) fn is_empty(&self) -> bool {
         self.data.is_empty()
     }
 
-    /// Adds a record; one that is there already is no second one.
+    /// Adds a record, unless the set has it already.
     pub(crate) fn insert(&mut self, data: &[u8]) {
         let mut all: Vec<&[u8]> = self.records().collect();
         if let Err(at) = all.binary_search(&data) {
@@ -110,12 +110,12 @@
         self.data = pack(all).into();
     }
 
-    /// Removes the record with this data.
+    /// Removes the record with this data, if there is one.
     pub(crate) fn remove(&mut self, data: &[u8]) {
         self.data = pack(self.records().filter(|own| *own != data)).into();
     }
 
-    /// Replaces the data of each record; their order stays.
+    /// Replaces the data of each record and keeps their order.
     pub(crate) fn replace_each(&mut self, replace: impl Fn(&[u8]) -> Vec<u8>) {
         let data: Vec<Vec<u8>> = self.records().map(replace).collect();
         self.data = pack(data.iter().map(|data| &data[..])).into();
--- a/crates/core/zones/src/record_data.rs
+++ b/crates/core/zones/src/record_data.rs
@@ -1,30 +1,30 @@
-//! The data of resource records: read from text, checked in wire form and written as text (RFC 1035 section 5.1). Data
-//! of a type that is not in the table of [`RecordType`] is opaque and written as RFC 3597 says.
+//! The data of resource records: parsing from text, validation in wire form and formatting as text (RFC 1035
+//! section 5.1). The data of types without a field list in [`RecordType`] is opaque and written as in RFC 3597.
 
 use crate::name::{escape, write_text, Name, NameError};
 use crate::record_type::{Field, RecordType};
 use std::fmt::{self, Write};
 use std::net::{Ipv4Addr, Ipv6Addr};
 
-/// A word of a text: as it stands, with escapes, and whether it stood in quotes.
+/// A token of a zone file, with its escapes unresolved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token<'a> {
-    /// The text between the quotes or spaces.
+    /// The text between quotes or blanks.
     pub text: &'a [u8],
-    /// Whether it stood in quotes.
+    /// Whether the token was quoted.
     pub quoted: bool,
 }
 
-/// What is wrong with data as text: which word, and what.
+/// Why a text is not valid record data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidRecordData {
-    /// The word's number; past the last one where something is missing.
+    /// The index of the faulty token; past the last one if something is missing.
     pub token_index: usize,
-    /// What is wrong.
+    /// A description of the error.
     pub reason: String,
 }
 
-/// A time in seconds, with units as in `1h30m` or without; up to 2^31 - 1 (RFC 2181 section 8).
+/// Parses a time in seconds, with or without units as in `1h30m`; at most 2^31 - 1 (RFC 2181 section 8).
 pub fn read_time(text: &[u8]) -> Option<u32> {
     let (mut total, mut number, mut digits) = (0_u64, 0_u64, false);
     for octet in text {
@@ -52,7 +52,7 @@
     (!text.is_empty() && total < 1 << 31).then_some(total as u32)
 }
 
-/// The octets that a string stands for.
+/// Resolves the escapes in a token.
 fn octets(text: &[u8]) -> Option<Vec<u8>> {
     let (mut out, mut at) = (Vec::with_capacity(text.len()), 0);
     while at < text.len() {
@@ -69,15 +69,15 @@
     text.parse::<u64>().ok().and_then(|value| T::try_from(value).ok())
 }
 
-/// Why a word is not what its field takes.
+/// Why a token is not valid for its field.
 enum FieldError {
-    /// A backslash that begins no escape.
+    /// A backslash that starts no valid escape.
     Escape,
-    /// A string that does not fit its length octet.
+    /// A string that is too long for its length octet.
     LongString,
-    /// No name: why, and the word.
+    /// An invalid name: the error and the token.
     Name(NameError, String),
-    /// Not what the field takes: the word, and what that is.
+    /// Another invalid value: the token and what the field expects.
     Not(String, &'static str),
 }
 
@@ -105,7 +105,7 @@
 }
 
 impl Field {
-    /// Reads one word into octets.
+    /// Parses one token and appends its wire form to `out`.
     fn read(self, word: Token, origin: Option<&Name>, out: &mut Vec<u8>) -> Result<(), FieldError> {
         let text = word.text;
         let shown = || String::from_utf8_lossy(text).into_owned();
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    /// How many octets of some data it takes, if it is well made.
+    /// The length of the field at the start of `data`; none if it is malformed.
     fn length(self, data: &[u8]) -> Option<usize> {
         let fixed = |n: usize| (data.len() >= n).then_some(n);
         match self {
@@ -161,7 +161,8 @@
             Self::U32 | Self::Time | Self::V4 => fixed(4),
             Self::V6 => fixed(16),
             Self::Text => fixed(1 + usize::from(*data.first()?)),
-            // What could be had over the wire and not be written in a zone file would cost the whole file.
+            // A tag that can't be written in a zone file must be refused here too: stored from an update, it would
+            // make the whole zone file unusable.
             Self::Tag => fixed(1 + usize::from(*data.first()?))
                 .filter(|length| *length > 1 && data[1..*length].iter().all(u8::is_ascii_alphanumeric)),
             Self::Texts => {
@@ -220,11 +221,11 @@
     f.write_char('"')
 }
 
-/// The most octets that a record's data can have.
+/// The maximum length of record data in octets.
 pub const MAX_DATA_LENGTH: usize = 65_535;
 
 impl RecordType {
-    /// Reads data as text. Names in it are relative to the origin.
+    /// Parses record data from text. Relative names in it are completed with the origin.
     pub fn parse_data(self, words: &[Token], origin: Option<&Name>) -> Result<Vec<u8>, InvalidRecordData> {
         let bad = |word: usize, what: String| InvalidRecordData { token_index: word, reason: what };
         if words.first().is_some_and(|word| word.text == b"\\#" && !word.quoted) {
@@ -292,8 +293,8 @@
         self.canonical_data(&data).ok_or_else(|| bad(2, &format!("octets that are no {self} data")))
     }
 
-    /// Takes data in wire form without pointers, checked and with names in lower case; none where it is not
-    /// well made.
+    /// Validates data in wire form without compression pointers and converts its names to lower case; none if it
+    /// is malformed.
     pub fn canonical_data(self, data: &[u8]) -> Option<Vec<u8>> {
         if data.len() > MAX_DATA_LENGTH {
             return None;
@@ -310,10 +311,10 @@
         (at == data.len() || self.fields().is_none()).then_some(out)
     }
 
-    /// Writes data as text.
+    /// Formats record data as text.
     pub fn format_data(self, data: &[u8]) -> String {
         let mut text = String::new();
-        // A string takes whatever is written to it.
+        // Writing to a `String` can't fail.
         let Some(fields) = self.fields() else {
             let _ = write!(text, "\\# {} {}", data.len(), data_encoding::HEXUPPER.encode(data));
             return text;
@@ -330,7 +331,7 @@
         text
     }
 
-    /// The name in its data whose addresses go along with an answer (RFC 1035 section 3.3, RFC 2782).
+    /// The name in the data whose addresses belong into the additional section (RFC 1035 section 3.3, RFC 2782).
     pub fn additional_name(self, data: &[u8]) -> Option<&[u8]> {
         let at = match self {
             Self::NS | Self::CNAME | Self::DNAME | Self::PTR => 0,
--- a/crates/core/zones/src/record_type.rs
+++ b/crates/core/zones/src/record_type.rs
@@ -1,31 +1,32 @@
-//! Types of resource records: their numbers and names, and one table that tells of each type which fields its data is
-//! made of. Reading, writing and checking in [`crate::record_data`] follow the table; a type that is not in it is opaque.
+//! Types of resource records: numbers, mnemonics and a table of the fields of each type's data.
+//! [`crate::record_data`] parses, formats and validates data by this table; the data of a type outside the table
+//! is opaque.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A type of resource record, by its number.
+/// The number of a resource record type.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordType(pub u16);
 
-/// A part of a record's data.
+/// A field of record data.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Field {
     Name,
     U8,
     U16,
     U32,
-    /// A time in seconds; text may have units.
+    /// A time in seconds; its text form may have units.
     Time,
     V4,
     V6,
-    /// One string of up to 255 octets.
+    /// A string of up to 255 octets with a length octet.
     Text,
-    /// One or more of them.
+    /// One or more strings with a length octet each.
     Texts,
-    /// A short word, such as a property tag: a string of letters and digits.
+    /// A non-empty string of letters and digits with a length octet, such as the property tag of a CAA record.
     Tag,
-    /// The rest of the data as one string without a length.
+    /// The rest of the data as one string without a length octet.
     Bare,
     Base64,
     Hex,
@@ -88,19 +89,19 @@
 }
 
 impl RecordType {
-    /// In a question: all types.
+    /// Query type for all record sets of a name.
     pub const ANY: RecordType = RecordType(255);
-    /// In a question: the whole zone.
+    /// Query type for a full zone transfer.
     pub const AXFR: RecordType = RecordType(252);
-    /// In a question: what changed since a version.
+    /// Query type for an incremental zone transfer.
     pub const IXFR: RecordType = RecordType(251);
 
-    /// Whether it is meant for questions and messages only and can't be in a zone.
+    /// Whether the type is only valid in queries and messages, not in a zone.
     pub fn is_meta(self) -> bool {
         matches!(self.0, 0 | 41 | 128..=255) && self != Self::SPF
     }
 
-    /// Reads its name, or `TYPE` and a number.
+    /// Parses a mnemonic, or `TYPE` followed by a number.
     pub fn parse(text: &str) -> Option<Self> {
         let text = text.to_ascii_uppercase();
         let number = || text.strip_prefix("TYPE").and_then(|number| number.parse().ok()).map(RecordType);
--- a/crates/core/zones/src/secondary/notify.rs
+++ b/crates/core/zones/src/secondary/notify.rs
@@ -1,10 +1,10 @@
-//! Which secondaries are to be notified of a new serial, and when again.
+//! Decides which secondaries are sent a NOTIFY and when it is repeated.
 
 use super::retry::{RetryTimes, BACKOFF_FACTOR};
 use crate::serial::Serial;
 use lynxtally::{Instant, Pcg};
 
-/// Sends NOTIFY for a new serial to each secondary, again until it is acknowledged (RFC 1996).
+/// Sends NOTIFY (RFC 1996) for a new serial to each secondary and repeats it until it is acknowledged.
 #[derive(Clone, Debug)]
 pub struct NotifySender {
     targets: Vec<NotifyTarget>,
@@ -19,11 +19,12 @@
     due: Option<Instant>,
 }
 
-/// How often a secondary is told of one version before it is left to its own refresh.
+/// Maximum number of NOTIFY messages per serial and secondary. Afterwards the secondary relies on its refresh
+/// interval.
 const MAX_NOTIFIES: u32 = 8;
 
 impl NotifySender {
-    /// For so many secondaries.
+    /// Creates a sender for this number of secondaries.
     pub fn new(targets: usize, times: RetryTimes, seed: u64) -> Self {
         Self {
             targets: vec![NotifyTarget { told: 0, due: None }; targets],
@@ -33,7 +34,7 @@
         }
     }
 
-    /// There is a new version: all are told.
+    /// Schedules a NOTIFY of the serial to all secondaries, unless it is the serial that was announced last.
     pub fn serial_changed(&mut self, now: Instant, serial: Serial) {
         if self.serial != Some(serial) {
             self.serial = Some(serial);
@@ -41,12 +42,12 @@
         }
     }
 
-    /// When somebody is to be told next.
+    /// The time of the next NOTIFY.
     pub fn next_due(&self) -> Option<Instant> {
         self.targets.iter().filter_map(|target| target.due).min()
     }
 
-    /// Who is to be told now, and of which version.
+    /// The secondaries that are due for a NOTIFY, by index, and the serial to announce.
     pub fn due(&mut self, now: Instant) -> Vec<(usize, Serial)> {
         let Some(serial) = self.serial else { return Vec::new() };
         let mut all = Vec::new();
@@ -62,7 +63,7 @@
         all
     }
 
-    /// One says that it heard of a version.
+    /// Records an acknowledgement from a secondary. One for another serial is ignored.
     pub fn acknowledged(&mut self, target: usize, serial: Option<Serial>) {
         if let Some(target) =
             self.targets.get_mut(target).filter(|_| serial.is_none() || serial == self.serial)
--- a/crates/core/zones/src/secondary/refresh.rs
+++ b/crates/core/zones/src/secondary/refresh.rs
@@ -1,47 +1,47 @@
-//! When a secondary queries which primary, what it transfers, and when it stops serving. It never goes back to an
-//! older serial.
+//! Decides when a secondary queries which primary, what it transfers and when it stops serving. A secondary never
+//! returns to an older serial.
 
 use super::retry::{RetryTimes, BACKOFF_FACTOR};
 use crate::serial::Serial;
 use crate::soa::Soa;
 use lynxtally::{Instant, Pcg, Span};
 
-/// What a secondary has to do next.
+/// The next action of a secondary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SecondaryAction {
-    /// Query this primary for its SOA, and with it its serial.
+    /// Query the SOA of the primary with this index to learn its serial.
     QuerySerial(usize),
-    /// Transfer from this primary: IXFR from a serial on, or AXFR where there is none.
+    /// Transfer the zone from the primary with this index: IXFR from the serial, or AXFR if there is none.
     Transfer(usize, Option<Serial>),
-    /// Stop serving: no primary confirmed the zone within the SOA's expire time.
+    /// Stop serving: no primary confirmed the zone within the SOA's expire interval.
     Expire,
 }
 
-/// One zone that is kept in step with its primaries, by the refresh, retry and expire times of its SOA
-/// (RFC 1035 section 3.3.13).
+/// The schedule of one secondary zone, by the refresh, retry and expire intervals of its SOA (RFC 1035 section
+/// 3.3.13).
 #[derive(Clone, Debug)]
 pub struct SecondaryZone {
     times: RetryTimes,
     primaries: usize,
     primary: usize,
     chance: Pcg,
-    /// What is served, if anything is.
+    /// The SOA of the version that the secondary has; none before the first transfer.
     have: Option<Soa>,
-    /// When the zone was last known to be as the primary has it.
+    /// When a primary last confirmed that the version is up to date.
     heard: Instant,
     due: Instant,
     failures: u32,
-    /// A step under way, until when it is waited for.
+    /// The timeout of the query or transfer in progress.
     busy: Option<Instant>,
-    /// Whether the next transfer must be of the whole zone: changes did not fit.
+    /// Whether the next transfer must be an AXFR, because an IXFR could not be applied.
     whole: bool,
     expired: bool,
-    /// A notice came while a step was under way.
+    /// A NOTIFY arrived during a query or transfer, so another one follows.
     again: bool,
 }
 
 impl SecondaryZone {
-    /// Follows so many primaries, the first one first.
+    /// Creates the schedule for a number of primaries; the first one is queried first.
     pub fn new(now: Instant, primaries: usize, have: Option<Soa>, times: RetryTimes, seed: u64) -> Self {
         Self {
             times,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Whether what it has may be served.
+    /// Whether the secondary has a version that did not expire.
     pub fn is_serving(&self) -> bool {
         self.have.is_some() && !self.expired
     }
 
-    /// When something is to be done next.
+    /// The time of the next action, timeout or expiry.
     pub fn next_due(&self) -> Instant {
         let next = self.busy.unwrap_or(self.due);
         self.expire_at().map_or(next, |at| next.min(at))
@@ -75,7 +75,7 @@
         Some(self.heard + Span::from_secs(f64::from(soa.expire)))
     }
 
-    /// What is due.
+    /// Returns the action that is due, if any. A query or transfer that timed out counts as failed.
     pub fn due(&mut self, now: Instant) -> Option<SecondaryAction> {
         if self.expire_at().is_some_and(|at| at <= now) {
             self.expired = true;
@@ -94,7 +94,7 @@
         Some(SecondaryAction::QuerySerial(self.primary))
     }
 
-    /// A primary says that there is a newer version; without a number it is looked up.
+    /// Handles a NOTIFY. Without a serial, the primary is queried for it.
     pub fn notified(&mut self, now: Instant, serial: Option<Serial>) {
         let old = |serial: Serial| self.have.is_some_and(|soa| !serial.newer_than(soa.serial));
         if serial.is_some_and(old) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A primary told its serial.
+    /// Handles the serial in a primary's response.
     pub fn serial_received(&mut self, now: Instant, serial: Serial) -> Option<SecondaryAction> {
         let have = self.have?;
         if serial.newer_than(have.serial) {
@@ -118,20 +118,21 @@
         if serial == have.serial {
             self.current(now);
         } else {
-            // Restarted with an older file: another one may be right, and what we have stays.
+            // The primary may have restarted with an older file. The version stays, and the next primary is
+            // queried.
             self.step_failed(now);
         }
         None
     }
 
-    /// The version that is served now is the primary's.
+    /// Records that the version with this SOA is served now.
     pub fn transfer_completed(&mut self, now: Instant, soa: Soa) {
         self.have = Some(soa);
         self.whole = false;
         self.current(now);
     }
 
-    /// Changes came that don't fit what we have: the whole zone is asked for.
+    /// Records that an IXFR could not be applied; an AXFR follows at once.
     pub fn incremental_failed(&mut self, now: Instant) {
         self.whole = true;
         self.busy = None;
@@ -144,13 +145,13 @@
         self.heard = now;
         self.expired = false;
         let refresh = self.have.map_or(0, |soa| soa.refresh);
-        // All secondaries of a fleet would else ask in step.
+        // Jitter keeps the secondaries of a fleet from querying at the same time.
         let refresh = Span::from_secs(f64::from(refresh.max(1)));
         let jitter = 0.9 + 0.1 * self.chance.unit();
         self.due = if std::mem::take(&mut self.again) { now } else { now + refresh * jitter };
     }
 
-    /// A step failed: the next primary is asked after a pause that grows.
+    /// Records that a query or transfer failed; the next primary is queried after an exponential delay.
     pub fn step_failed(&mut self, now: Instant) {
         self.busy = None;
         self.again = false;
--- a/crates/core/zones/src/secondary/retry.rs
+++ b/crates/core/zones/src/secondary/retry.rs
@@ -1,15 +1,15 @@
-//! How long a secondary or a sender of NOTIFY waits before it tries again.
+//! Delays between attempts of secondaries and of NOTIFY senders.
 
 use lynxtally::Span;
 
-/// The pauses between attempts for a zone whose SOA is not known yet, and how long an answer is waited for.
+/// The retry delays of a zone whose SOA is not known yet, and the timeout of queries and transfers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryTimes {
-    /// The pause after the first failure.
+    /// The delay after the first failure.
     pub retry: Span,
-    /// The longest pause between two attempts.
+    /// The longest delay between two attempts.
     pub max_retry: Span,
-    /// A query or transfer that is not answered within this time has failed.
+    /// The time after which an unanswered query or transfer counts as failed.
     pub timeout: Span,
 }
 
@@ -23,5 +23,5 @@
     }
 }
 
-/// Each failure in a row makes the pause so many times as long; pauses are stretched or cut by up to half.
+/// Factor by which consecutive failures lengthen the delay. Each delay also varies at random by up to half.
 pub(crate) const BACKOFF_FACTOR: f64 = 2.0;
--- a/crates/core/zones/src/secondary/transfer.rs
+++ b/crates/core/zones/src/secondary/transfer.rs
@@ -1,4 +1,4 @@
-//! Reading of zone transfers: AXFR (RFC 5936) and IXFR (RFC 1995).
+//! Parsing of zone transfers: AXFR (RFC 5936) and IXFR (RFC 1995).
 
 use crate::change::Change;
 use crate::name::Name;
@@ -9,36 +9,36 @@
 use crate::zone::Zone;
 use std::fmt;
 
-/// What a completed transfer brought.
+/// The content of a completed transfer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TransferResult {
-    /// The primary has nothing newer than the serial that was asked from; this is its serial.
+    /// The primary has nothing newer than the requested serial; this is the primary's serial.
     UpToDate(Serial),
-    /// All records of the zone (AXFR, or an IXFR answered in full).
+    /// All records of the zone (AXFR, or an IXFR that the primary answered with the full zone).
     Full(Vec<Record>),
-    /// The changes, in order, from the serial asked from on (IXFR).
+    /// The changes from the requested serial on, in order (IXFR).
     Incremental(Vec<Change>),
 }
 
-/// Why a transfer is discarded.
+/// Why a transfer is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransferError {
-    /// It does not begin with the zone's SOA.
+    /// The first record is not the zone's SOA.
     NoLeadingSoa,
-    /// A change does not follow on the one before.
+    /// A change does not start from the serial at which the one before ends.
     OutOfOrder,
-    /// More came behind its end.
+    /// Records follow the end of the transfer.
     TrailingRecords,
-    /// The version is not newer than what is there.
+    /// The transferred version is not newer than the current one.
     NotNewer {
-        /// What came.
+        /// The serial of the transferred version.
         received: Serial,
-        /// What is there.
+        /// The serial of the current version.
         current: Serial,
     },
-    /// A record is out of the zone, or can't stand in it.
+    /// A record is outside the zone or violates a rule of the zone.
     Rejected(String),
-    /// More records than a zone may have.
+    /// The transfer has too many records.
     TooManyRecords,
 }
 
@@ -62,16 +62,16 @@
     Start,
     /// After the first SOA.
     First,
-    /// All records of the zone, until the SOA comes again (RFC 5936 section 2.2).
+    /// In the records of the full zone, until the SOA is repeated (RFC 5936 section 2.2).
     FullZone,
-    /// Records that are gone (RFC 1995 section 4).
+    /// In the removed records of a change (RFC 1995 section 4).
     Removed,
-    /// Records that are new.
+    /// In the added records of a change.
     Added,
     End,
 }
 
-/// Reads the records of an AXFR or IXFR response in the order in which they arrive.
+/// Parses the records of an AXFR or IXFR response in the order in which they arrive.
 #[derive(Clone, Debug)]
 pub struct TransferReader {
     apex: Name,
@@ -85,7 +85,8 @@
 }
 
 impl TransferReader {
-    /// A transfer of a zone, from a version on or of all of it.
+    /// Starts the parsing of a transfer: an IXFR from the serial `asked_from`, or an AXFR if there is none. `most`
+    /// is the maximum number of records in the zone; a transfer may have twice as many.
     pub fn new(apex: Name, asked_from: Option<Serial>, most: usize) -> Self {
         Self {
             apex,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Whether it is whole.
+    /// Whether the last record of the transfer arrived.
     pub fn is_complete(&self) -> bool {
         matches!(self.stage, TransferState::End)
     }
@@ -108,7 +109,7 @@
         Soa::parse(&record.data).map_or(Serial(0), |soa| soa.serial)
     }
 
-    /// Takes the next record.
+    /// Parses the next record.
     pub fn push(&mut self, record: Record) -> Result<(), TransferError> {
         self.count += 1;
         if self.count > self.most.saturating_mul(2) {
@@ -128,11 +129,11 @@
                 self.stage = TransferState::First;
             }
             TransferState::First if soa && self.asked_from == Some(Self::serial(&record)) => {
-                // The SOA of the version asked from: changes follow.
+                // The SOA of the requested serial comes second, so the response is incremental.
                 self.begin_change(record);
             }
             TransferState::First if soa && newest == Some(Self::serial(&record)) => {
-                // The whole of a zone with nothing but its SOA.
+                // A full zone that contains nothing but its SOA.
                 self.whole.extend(self.newest.clone());
                 self.stage = TransferState::End;
             }
@@ -182,8 +183,8 @@
         self.stage = TransferState::Removed;
     }
 
-    /// One message ended. The first alone, with one SOA, says that nothing is newer, or that the whole zone has
-    /// to be asked for (RFC 1995 section 2).
+    /// Handles the end of a message. If the first message of an IXFR holds a single SOA, the requested version is
+    /// up to date or the full zone must be requested (RFC 1995 section 2).
     pub fn message_ended(&mut self) -> Option<TransferResult> {
         if matches!(self.stage, TransferState::First) && self.asked_from.is_some() {
             let serial = self.newest.as_ref().map(Self::serial)?;
@@ -192,7 +193,7 @@
         None
     }
 
-    /// What it brought, once it is whole.
+    /// The content of the transfer; none if it is not complete.
     pub fn finish(self) -> Option<TransferResult> {
         if !self.is_complete() {
             return None;
@@ -205,7 +206,7 @@
     }
 }
 
-/// Makes a version of a whole transfer; never an older one than is there.
+/// Builds a version from the records of a full transfer. It must be newer than the version `have`.
 pub fn zone_from_records(
     apex: &Name,
     have: Option<Serial>,
--- a/crates/core/zones/src/serial.rs
+++ b/crates/core/zones/src/serial.rs
@@ -1,26 +1,26 @@
-//! Serial numbers that wrap, compared by RFC 1982.
+//! Serial numbers with wraparound, compared by RFC 1982.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::fmt;
 
-/// A version's number.
+/// The serial number of a version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Serial(pub u32);
 
 impl Serial {
-    /// The next one; it wraps.
+    /// The following serial, with wraparound.
     pub fn next(self) -> Self {
         Self(self.0.wrapping_add(1))
     }
 
-    /// Whether it is newer than the other. Of two that lie half of the circle apart neither is.
+    /// Whether this serial is newer. Of two serials that are 2^31 apart, neither is newer.
     pub fn newer_than(self, other: Self) -> bool {
         self.partial_cmp(&other) == Some(Ordering::Greater)
     }
 }
 
-/// RFC 1982 section 3.2; numbers 2^31 apart have no order.
+/// Order by RFC 1982 section 3.2; serials that are 2^31 apart are not ordered.
 impl PartialOrd for Serial {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         match self.0.wrapping_sub(other.0) {
--- a/crates/core/zones/src/soa.rs
+++ b/crates/core/zones/src/soa.rs
@@ -2,23 +2,23 @@
 
 use crate::serial::Serial;
 
-/// What a zone says of itself (RFC 1035 section 3.3.13); times in seconds.
+/// The fields of a SOA record (RFC 1035 section 3.3.13); intervals are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Soa {
-    /// The version.
+    /// The serial of the version.
     pub serial: Serial,
-    /// How often a secondary asks whether there is a newer one.
+    /// Interval at which a secondary checks for a newer version.
     pub refresh: u32,
-    /// How soon it asks again after a failure.
+    /// Interval after which a secondary checks again after a failure.
     pub retry: u32,
-    /// After how long without an answer it stops serving.
+    /// Time without a successful check after which a secondary stops serving.
     pub expire: u32,
-    /// For how long it may be kept that something is not there (RFC 2308).
+    /// Maximum TTL of negative responses (RFC 2308).
     pub minimum: u32,
 }
 
 impl Soa {
-    /// Reads it from a record's data.
+    /// Parses the fields from the record's data; none if it is too short.
     pub fn parse(data: &[u8]) -> Option<Self> {
         let tail = data.last_chunk::<20>()?;
         let part = |n: usize| u32::from_be_bytes([tail[n], tail[n + 1], tail[n + 2], tail[n + 3]]);
@@ -32,7 +32,7 @@
     }
 }
 
-/// The data of a zone's SOA with another serial.
+/// Returns the data of a SOA with the serial replaced.
 pub fn with_serial(data: &[u8], serial: Serial) -> Vec<u8> {
     let mut data = data.to_vec();
     if let Some(at) = data.len().checked_sub(20) {
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -1,4 +1,5 @@
-//! Updates by RFC 2136: what must hold before one, what it changes, all or nothing; and who may change what.
+//! Dynamic updates (RFC 2136): prerequisites, operations that are applied completely or not at all, and
+//! permissions of keys.
 
 use crate::change::{diff, Change};
 use crate::name::Name;
@@ -10,24 +11,24 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Why an update is refused; nothing of it was done.
+/// Why an update is refused. A refused update changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpdateError {
-    /// It is not made as it must be.
+    /// The update violates the message format of RFC 2136.
     Malformed,
-    /// A name in it is not in the zone.
+    /// A name in the update is outside the zone.
     OutOfZone,
-    /// A name that must be in use is not.
+    /// A name that must be in use has no records.
     NameMissing,
-    /// A name that must not be in use is.
+    /// A name that must not be in use has records.
     NameExists,
-    /// A set that must be there is not, or is another.
+    /// A record set that must exist is missing or has other records.
     SetMissing,
-    /// A set that must not be there is.
+    /// A record set that must not exist does.
     SetExists,
-    /// Who sent it may not change this.
+    /// The key of the update is not permitted to make this change.
     NotAllowed,
-    /// The zone takes no updates now.
+    /// The zone accepts no updates at present.
     Frozen,
 }
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// How the class field of a record in an update is meant.
+/// The meaning of a record's class field in an update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateClass {
     /// The zone's class.
@@ -59,14 +60,14 @@
     Other,
 }
 
-/// A record of an update as it was read; its data is in wire form without pointers, not checked yet.
+/// A record from an update message. Its data is in wire form without compression pointers and not validated yet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpdateRecord {
     /// The owner.
     pub name: Name,
     /// The type.
     pub kind: RecordType,
-    /// What its class field says.
+    /// The class, which selects the kind of prerequisite or operation.
     pub class: UpdateClass,
     /// The time to live.
     pub ttl: u32,
@@ -74,36 +75,36 @@
     pub data: Vec<u8>,
 }
 
-/// What must hold before an update (RFC 2136 section 2.4).
+/// A prerequisite of an update (RFC 2136 section 2.4).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Prerequisite {
     /// The name has records.
     NameInUse(Name),
-    /// The name has none.
+    /// The name has no records.
     NameNotInUse(Name),
-    /// There is a set of the type.
+    /// A record set of this type exists.
     SetExists(Name, RecordType),
-    /// There is none.
+    /// No record set of this type exists.
     SetMissing(Name, RecordType),
     /// The set has exactly these records.
     SetEquals(Name, RecordType, Vec<Vec<u8>>),
 }
 
-/// One step of an update (RFC 2136 section 2.5).
+/// One operation of an update (RFC 2136 section 2.5).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpdateOperation {
-    /// Add to a set.
+    /// Adds a record to its set.
     AddRecord(Record),
-    /// Take a set out.
+    /// Deletes a record set.
     DeleteSet(Name, RecordType),
-    /// Take all records of a name out.
+    /// Deletes all records of a name.
     DeleteName(Name),
-    /// Take one record out.
+    /// Deletes one record.
     DeleteRecord(Name, RecordType, Vec<u8>),
 }
 
 impl UpdateOperation {
-    /// The name that it changes, and the type where it is about one.
+    /// The owner name that the operation changes, and the type; none if it deletes the whole name.
     pub fn target(&self) -> (&Name, Option<RecordType>) {
         match self {
             Self::AddRecord(record) => (&record.name, Some(record.kind)),
@@ -113,20 +114,20 @@
     }
 }
 
-/// One update.
+/// An update: its operations are applied if all prerequisites hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Update {
-    /// What must hold.
+    /// The conditions that must hold.
     pub prerequisites: Vec<Prerequisite>,
-    /// What is done then.
+    /// The operations, in order.
     pub operations: Vec<UpdateOperation>,
 }
 
-/// The longest time to live (RFC 2181 section 8).
+/// The largest valid TTL (RFC 2181 section 8).
 const MAX_TTL: u32 = (1 << 31) - 1;
 
 impl Update {
-    /// Reads the sections of an update for a zone (RFC 2136 sections 3.2 and 3.4.1).
+    /// Parses the prerequisite and update sections for a zone (RFC 2136 sections 3.2 and 3.4.1).
     pub fn read(
         apex: &Name,
         prerequisites: &[UpdateRecord],
@@ -161,7 +162,7 @@
             UpdateClass::None => Prerequisite::SetMissing(name.clone(), *kind),
             UpdateClass::Zone => {
                 let data = kind.canonical_data(data).ok_or(UpdateError::Malformed)?;
-                // All records of one set make one need.
+                // All records of one set form a single prerequisite.
                 for prerequisite in &mut self.prerequisites {
                     if let Prerequisite::SetEquals(own, of, all) = prerequisite {
                         if own == name && of == kind {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Whether all that must hold does (RFC 2136 section 3.2.5).
+    /// Checks all prerequisites (RFC 2136 section 3.2.5).
     pub fn check_prerequisites(&self, zone: &Zone) -> Result<(), UpdateError> {
         for prerequisite in &self.prerequisites {
             let used = |name: &Name| zone.node(name.wire()).is_some_and(|node| !node.sets().is_empty());
@@ -232,15 +233,15 @@
         Ok(())
     }
 
-    /// Makes the next version (RFC 2136 section 3.4.2) and what leads to it; none where nothing changes. A
-    /// version that changed has a newer serial, also where the update brings none.
+    /// Applies the operations and returns the next version and the change that leads to it (RFC 2136 section
+    /// 3.4.2); none if nothing changes. The next version gets a newer serial even if the update contains no SOA.
     pub fn apply(&self, zone: &Zone) -> Option<(Zone, Change)> {
         let mut next = zone.clone();
         self.operations.iter().for_each(|operation| apply(&mut next, operation));
         complete_version(zone, next)
     }
 
-    /// Judges what must hold, and who may do it, and makes the next version; none where nothing changes.
+    /// Checks prerequisites and permissions, then applies the operations. Returns none if nothing changes.
     pub fn evaluate(
         &self,
         zone: &Zone,
@@ -255,7 +256,7 @@
     }
 }
 
-/// Numbers a changed version; none where nothing changed.
+/// Gives a changed version its next serial and returns it with its change; none if nothing changed.
 pub fn complete_version(zone: &Zone, mut next: Zone) -> Option<(Zone, Change)> {
     if next.is_same_version(zone) || diff(zone, &next).is_empty() {
         return None;
@@ -273,7 +274,7 @@
             let newer = Soa::parse(&record.data).is_some_and(|soa| soa.serial.newer_than(zone.serial()));
             if record.name == *zone.apex() && newer {
                 zone.remove_set(&record.name, RecordType::SOA);
-                // A SOA at the apex that has none fits.
+                // The old SOA was removed above, so the new one can always be added.
                 let _ = zone.add(record);
             }
         }
@@ -286,7 +287,7 @@
                     zone.remove_set(&record.name, record.kind);
                 }
             }
-            // What can't stand beside what is there is passed over (section 3.4.2.2).
+            // A record that conflicts with existing data is ignored (RFC 2136 section 3.4.2.2).
             let _ = zone.add(record);
         }
         UpdateOperation::DeleteSet(name, kind) => {
@@ -313,14 +314,14 @@
     }
 }
 
-/// Which names a grant is about.
+/// The names that a grant covers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Scope {
-    /// This one.
+    /// This name only.
     Exact(Name),
-    /// This one and all below.
+    /// This name and all names below it.
     Tree(Name),
-    /// All below, but not this one.
+    /// All names below this one, without the name itself.
     Below(Name),
 }
 
@@ -334,18 +335,18 @@
     }
 }
 
-/// What the holder of a key may change.
+/// The changes that a key permits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// The key's name.
     pub key: Name,
-    /// Which names.
+    /// The names that may be changed.
     pub scope: Scope,
-    /// Which types; empty means all but SOA and NS.
+    /// The types that may be changed; if empty, all but SOA and NS.
     pub kinds: Vec<RecordType>,
 }
 
-/// Whether some key may make an edit. Taking a name out whole needs a grant for all types.
+/// Whether a grant permits the operation for the key. Deleting a whole name needs a grant for all types.
 pub fn is_allowed(grants: &[Grant], key: Option<&Name>, operation: &UpdateOperation) -> bool {
     let (name, kind) = operation.target();
     grants.iter().any(|grant| {
@@ -358,7 +359,8 @@
     })
 }
 
-/// The serial that a reread file gets: its own where that is newer than the one in force, else the next.
+/// The serial of a zone file that was read again: its own if that is newer than the one in force, else the next
+/// one.
 pub fn reload_serial(in_force: Serial, file: Serial) -> Serial {
     if file.newer_than(in_force) {
         file
--- a/crates/core/zones/src/zone.rs
+++ b/crates/core/zones/src/zone.rs
@@ -1,4 +1,5 @@
-//! A zone is an immutable version. A change makes the next one, which shares with it all that did not change.
+//! One immutable version of a zone. Changing a copy yields the next version, which shares all unchanged nodes with
+//! it.
 
 use crate::name::{within, LabelOffsets, Name};
 use crate::name_tree::{each, edit, Cursor, Node};
@@ -10,18 +11,18 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Why a record can't stand in a zone.
+/// Why a record can't be added to a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// Its owner is not in the zone.
+    /// The record's owner is outside the zone.
     OutOfZone,
-    /// The type is for messages only.
+    /// The type is only valid in queries and messages.
     Meta(RecordType),
-    /// An alias beside other data, or other data beside an alias (RFC 1034 section 3.6.2).
+    /// A CNAME next to other records of the same name, or the reverse (RFC 1034 section 3.6.2).
     Alias(RecordType),
-    /// A second SOA, or one elsewhere than at the apex.
+    /// A second SOA, or a SOA below the apex.
     Soa,
-    /// A second alias at one name.
+    /// A second CNAME or DNAME at one name.
     TwoAliases(RecordType),
 }
 
@@ -50,7 +51,7 @@
 type Path<'a> = SmallVec<[&'a [u8]; 8]>;
 
 impl Zone {
-    /// A zone without a record.
+    /// Creates a zone without records.
     pub fn new(apex: Name) -> Self {
         let apex_labels = apex.labels().count();
         let root = Arc::new(Node::new(apex.labels().next().unwrap_or(&[])));
@@ -67,32 +68,32 @@
         &self.root
     }
 
-    /// How many records there are.
+    /// The number of records.
     pub fn record_count(&self) -> usize {
         self.records
     }
 
-    /// How many names have records.
+    /// The number of names that have records.
     pub fn name_count(&self) -> usize {
         self.names
     }
 
-    /// Whether two are the very same version, part by part shared.
+    /// Whether both are the same version. Compares the shared root node, so it costs the same for any size.
     pub fn is_same_version(&self, other: &Zone) -> bool {
         Arc::ptr_eq(&self.root, &other.root)
     }
 
-    /// The set with its SOA, once it has one.
+    /// The record set of the SOA; none if the zone has no SOA yet.
     pub fn soa_set(&self) -> Option<&RecordSet> {
         self.root.set(RecordType::SOA)
     }
 
-    /// What it says of itself.
+    /// The fields of the SOA; none if the zone has no SOA yet.
     pub fn soa(&self) -> Option<Soa> {
         Soa::parse(self.soa_set()?.records().next()?)
     }
 
-    /// Its number; 0 before it has a SOA.
+    /// The serial; 0 if the zone has no SOA yet.
     pub fn serial(&self) -> Serial {
         self.soa().map_or(Serial(0), |soa| soa.serial)
     }
@@ -104,7 +105,7 @@
         Some(Record { name: self.apex.clone(), kind: RecordType::SOA, ttl: set.ttl, data })
     }
 
-    /// The labels from below the apex down; none where the name is not in the zone.
+    /// The labels below the apex, outermost first; none if the name is outside the zone.
     fn path<'a>(&self, name: &'a [u8]) -> Option<Path<'a>> {
         if !within(name, self.apex.wire()) {
             return None;
@@ -114,7 +115,7 @@
         Some((0..starts.count() - self.apex_labels).rev().map(label).collect())
     }
 
-    /// The node of a name in wire form and lower case, also where it only has others below it.
+    /// The node of a name in lower-case wire form. A node without records exists if there are names below it.
     pub fn node(&self, name: &[u8]) -> Option<&Node> {
         let mut node = &*self.root;
         for label in self.path(name)? {
@@ -123,12 +124,12 @@
         Some(node)
     }
 
-    /// One set.
+    /// The record set of a name and type.
     pub fn set(&self, name: &Name, kind: RecordType) -> Option<&RecordSet> {
         self.node(name.wire())?.set(kind)
     }
 
-    /// Changes the sets of a name; `make` makes the name where it is not there.
+    /// Changes the record sets of a name and updates the counts. With `make`, a missing node is created.
     fn edit<R>(
         &mut self,
         name: &Name,
@@ -158,7 +159,7 @@
         Some(changed)
     }
 
-    /// Whether a record may be added, by the rules of one zone.
+    /// Checks whether a record may be added.
     fn fits(&self, record: &Record) -> Result<(), RecordError> {
         let kind = record.kind;
         if !record.name.is_within(&self.apex) {
@@ -187,8 +188,8 @@
         Ok(())
     }
 
-    /// Adds a record. One that is there already is no second one; the set takes over its time to live. Tells
-    /// whether anything changed.
+    /// Adds a record and returns whether anything changed. The set takes over the record's TTL, even if the record
+    /// exists already.
     pub fn add(&mut self, record: &Record) -> Result<bool, RecordError> {
         self.fits(record)?;
         let Record { name, kind, ttl, data } = record;
@@ -208,7 +209,7 @@
         Ok(true)
     }
 
-    /// Takes a record out; tells whether it was there.
+    /// Removes a record; returns whether it existed.
     pub fn remove(&mut self, name: &Name, kind: RecordType, data: &[u8]) -> bool {
         if !self.set(name, kind).is_some_and(|set| set.has(data)) {
             return false;
@@ -222,7 +223,7 @@
         true
     }
 
-    /// Takes all of a type out; tells whether there was any.
+    /// Removes a record set; returns whether it existed.
     pub fn remove_set(&mut self, name: &Name, kind: RecordType) -> bool {
         self.set(name, kind).is_some() && {
             self.edit(name, false, |sets| sets.retain(|set| set.kind != kind));
@@ -230,7 +231,7 @@
         }
     }
 
-    /// The same version under another number.
+    /// Sets the serial in the SOA.
     pub fn set_serial(&mut self, serial: Serial) {
         self.edit(&self.apex.clone(), false, |sets| {
             if let Some(set) = sets.iter_mut().find(|set| set.kind == RecordType::SOA) {
@@ -239,12 +240,13 @@
         });
     }
 
-    /// Visits each name with its sets; the apex first, then in an order that the names alone decide.
+    /// Calls `visit` for each name with records: first the apex, then an order that depends on the names alone.
     pub fn for_each_name<'a>(&'a self, mut visit: impl FnMut(&Name, &'a [RecordSet])) {
         each(&self.root, &self.apex, &mut visit);
     }
 
-    /// The same one at a time, for long ways; the version stays as it is for as long as the walk goes on.
+    /// Iterates over all nodes one at a time, for long walks that are interrupted. The iterator keeps this version
+    /// alive.
     pub fn walk(&self) -> Walk {
         Walk {
             first: Some(self.root.clone()),
@@ -269,7 +271,7 @@
     }
 }
 
-/// Visits all names of a version, the apex first.
+/// An iterator over all nodes of a version, the apex first.
 #[derive(Clone, Debug)]
 pub struct Walk {
     first: Option<Arc<Node>>,
@@ -289,7 +291,7 @@
                 self.above.pop();
                 continue;
             };
-            // A node's label and all above it made a name once.
+            // Names were checked when they were added, so their length is valid.
             let Ok(below) = name.child(node.label()) else { continue };
             if !node.children().is_empty() {
                 self.above.push((below.clone(), Cursor::new(node.children())));
--- a/crates/core/zones/src/zone_file/mod.rs
+++ b/crates/core/zones/src/zone_file/mod.rs
@@ -1,6 +1,6 @@
-//! Zone files: RFC 1035 section 5, `$TTL` by RFC 2308 section 4, unknown types by RFC 3597. What can't be taken
-//! is refused by itself with its place and reason, all of it in one pass, and reading goes on at the next
-//! record. Whether the file as a whole can be used is judged at the end.
+//! Parsing of zone files: RFC 1035 section 5, `$TTL` by RFC 2308 section 4, unknown types by RFC 3597. An invalid
+//! record is refused on its own, with its position and the reason, and parsing continues at the next record. So
+//! one pass reports all errors; whether the file is usable as a whole is decided at the end.
 
 mod reader;
 mod scanner;
@@ -13,16 +13,16 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// What is wrong, and where.
+/// An error in a zone file, with its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneFileError {
-    /// The file's name as it was given.
+    /// The file's name as passed to [`read`] or written in `$INCLUDE`.
     pub file: Arc<str>,
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: u32,
-    /// The column in octets, from 1.
+    /// The column in octets, counted from 1.
     pub column: u32,
-    /// What is wrong.
+    /// A description of the error.
     pub reason: String,
 }
 
@@ -32,14 +32,14 @@
     }
 }
 
-/// What a file is held to.
+/// Limits for parsing a zone file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneFileLimits {
-    /// With more refused records than this the file is of no use.
+    /// Maximum number of refused records in a usable file.
     pub max_refused: usize,
-    /// How deep files may include one another.
+    /// Maximum depth of nested `$INCLUDE` directives.
     pub max_include_depth: usize,
-    /// So many faults are told at most; the others are only counted.
+    /// Maximum number of errors that are reported; further ones are only counted.
     pub max_reported: usize,
 }
 
@@ -49,21 +49,21 @@
     }
 }
 
-/// What came of a file.
+/// The result of parsing a zone file.
 #[derive(Clone, Debug)]
 pub struct ParsedZoneFile {
-    /// What was kept; it can be used only where `unusable` is none.
+    /// The accepted records. They are usable only if `unusable` is none.
     pub zone: Zone,
-    /// What was refused, in the order of the file.
+    /// The refused records and directives, in the order of the file.
     pub faults: Vec<ZoneFileError>,
-    /// How many were refused, told or not.
+    /// The number of refused records and directives, including unreported ones.
     pub refused: usize,
-    /// Why the file as a whole can't be used.
+    /// Why the file is unusable as a whole; none if it is usable.
     pub unusable: Option<ZoneFileError>,
 }
 
-/// Reads a zone file. Without an apex the SOA's owner is it. `include` gives the text of a file that the text
-/// names; its path is within the zone's folder.
+/// Parses a zone file. Without an apex, the owner of the SOA is the apex. `include` reads the file that an
+/// `$INCLUDE` directive names; its path is always within the zone's directory.
 pub fn read(
     file: &str,
     text: &[u8],
@@ -104,7 +104,7 @@
     ParsedZoneFile { zone, faults, refused, unusable }
 }
 
-/// Writes a version as a zone file that reads back as the same; the apex first, names in canonical order.
+/// Formats a version as a zone file that parses to the same records: the SOA first, then names in canonical order.
 pub fn write(zone: &Zone) -> String {
     use std::fmt::Write;
     let mut all = zone.all_records();
@@ -112,7 +112,7 @@
     all[soa..].sort();
     let mut text = format!("$ORIGIN {}\n", zone.apex());
     for record in all {
-        // A string takes whatever is written to it.
+        // Writing to a `String` can't fail.
         let _ = writeln!(text, "{record}");
     }
     text
--- a/crates/core/zones/src/zone_file/reader.rs
+++ b/crates/core/zones/src/zone_file/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of the entries of a zone file: directives and records.
+//! Parses the entries of a zone file: directives and records.
 
 use super::scanner::{EntryError, LineStart, Position, Scanner};
 use super::{ZoneFileError, ZoneFileLimits};
@@ -10,19 +10,19 @@
 use crate::zone::{RecordError, Zone};
 use std::sync::Arc;
 
-/// The owner that a line without one takes over.
+/// The owner of records that have no owner field.
 #[derive(Clone)]
 pub(super) enum LastOwner {
     None,
     Known(Name),
-    /// Its record was refused for its owner: what follows without one is refused too.
+    /// The last owner was refused, so records without an owner field are refused too.
     Refused,
 }
 
 /// The state of reading one zone file and the files that it includes.
 pub(super) struct Reader<'a> {
     pub(super) zone: Option<Zone>,
-    /// Records that came before the SOA told the apex.
+    /// Records before the SOA, while the apex is not known.
     pub(super) early: Vec<(Record, Arc<str>, Position)>,
     pub(super) origin: Option<Name>,
     pub(super) owner: LastOwner,
@@ -214,7 +214,7 @@
 
     fn add(&mut self, file: &Arc<str>, position: Position, record: &Record) -> Result<(), EntryError> {
         let Some(zone) = &mut self.zone else { return Ok(()) };
-        // Of several times to live in one set the first stands (RFC 2181 section 5.2 wants one).
+        // All records of a set must share one TTL (RFC 2181 section 5.2); the first one applies.
         let ttl = zone.set(&record.name, record.kind).map_or(record.ttl, |set| set.ttl);
         match zone.add(&Record { ttl, ..record.clone() }) {
             Ok(_) => Ok(()),
--- a/crates/core/zones/src/zone_file/scanner.rs
+++ b/crates/core/zones/src/zone_file/scanner.rs
@@ -1,22 +1,22 @@
-//! Splitting of a zone file into entries: words, quotes, comments and parentheses (RFC 1035 section 5.1).
+//! Splits a zone file into entries and tokens: quotes, comments and parentheses (RFC 1035 section 5.1).
 
 use crate::record_data::Token;
 
-/// A place in a text, both from 1; the column in octets.
+/// A position in a text; line and column (in octets) are counted from 1.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Position {
     pub(super) line: u32,
     pub(super) column: u32,
 }
 
-/// Why an entry is refused, and where in it.
+/// Why an entry is refused, and at which position.
 #[derive(Debug)]
 pub(super) struct EntryError {
     pub(super) position: Position,
     pub(super) reason: String,
 }
 
-/// Whether a line begins with a blank: then its owner is that of the line before.
+/// Whether a line starts with an owner field, or with a blank and takes the owner of the record before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LineStart {
     Owner,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Splits a text into entries: the words of a line, or of several within parentheses.
+/// Splits a text into entries. An entry is one line, or several lines within parentheses.
 pub(super) struct Scanner<'a> {
     text: &'a [u8],
     at: usize,
@@ -37,13 +37,13 @@
     line_start: usize,
 }
 
-/// Where an open parenthesis stands, and where the line after it begins.
+/// The position of an open parenthesis, and where parsing resumes if it is never closed.
 #[derive(Clone, Copy)]
 struct Paren {
     position: Position,
-    /// The offset of the next line in the text.
+    /// The offset of the following line.
     resume_at: usize,
-    /// The number of that line.
+    /// The number of the following line.
     resume_line: u32,
 }
 
@@ -82,8 +82,8 @@
         }
     }
 
-    /// After a fault: to the next record. An entry in parentheses is left behind its end, or, where that is
-    /// missing, behind the line on which it began, so that it does not swallow the good ones after it.
+    /// Skips to the next entry after an error. Within parentheses, parsing resumes after the closing one or, if
+    /// that is missing, on the line after the opening one, so that the valid records there are not lost.
     fn recover(&mut self, paren: Option<Paren>) {
         let Some(Paren { resume_at, resume_line, .. }) = paren else { return self.skip_line() };
         loop {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Reads the words of the next entry and how it began; none at the end of the text.
+    /// Reads the tokens of the next entry and how its line starts; none at the end of the text.
     pub(super) fn entry(
         &mut self,
         words: &mut Vec<Token<'a>>,
--- a/crates/core/zones/src/zone_store/known_updates.rs
+++ b/crates/core/zones/src/zone_store/known_updates.rs
@@ -1,4 +1,4 @@
-//! Updates that were answered lately, so that a repeated one gets the answer of its first.
+//! Recently answered updates, so that a duplicate gets the result of the first attempt.
 
 use super::{UpdateId, ZoneStoreLimits};
 use crate::serial::Serial;
@@ -6,7 +6,7 @@
 use lynxtally::Instant;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Repeats known for a time and up to a number; the oldest go first.
+/// The results of updates by identifier, limited in age and number; the oldest are dropped first.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KnownUpdates {
     known: BTreeMap<UpdateId, (Instant, Result<Serial, UpdateError>)>,
@@ -39,12 +39,12 @@
         update_id: &UpdateId,
         limits: &ZoneStoreLimits,
     ) -> Option<Result<Serial, UpdateError>> {
-        // What is over its time may still stand in the table.
+        // Expired entries stay in the map until the next `add`.
         let (since, result) = self.known.get(update_id)?;
         (now - *since <= limits.deduplication_window).then_some(*result)
     }
 
-    /// All that are known and how each was answered, the oldest first.
+    /// All known updates and their results, the oldest first.
     pub(super) fn all(&self) -> impl Iterator<Item = (UpdateId, Result<Serial, UpdateError>)> + '_ {
         self.by_time.iter().filter_map(|(_, id)| Some((*id, self.known.get(id)?.1)))
     }
--- a/crates/core/zones/src/zone_store/log_entry.rs
+++ b/crates/core/zones/src/zone_store/log_entry.rs
@@ -1,6 +1,6 @@
-//! What the log of a zone holds: entries, snapshots and bases, and their stored form.
+//! The contents of a zone's log (entries, snapshots and bases) and their stored format.
 //!
-//! The stored form has no names in it: the order of fields and of variants is the form.
+//! The stored format contains no names: it depends on the order of fields and variants, which must not change.
 
 use crate::change::{Change, ChangeError};
 use crate::name::Name;
@@ -12,66 +12,66 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// By what a repeated update is known.
+/// The identifier by which a duplicate of an update is recognized.
 pub type UpdateId = [u8; 16];
 
-/// A record that may be held.
+/// A record that can have a lease: owner, type and data.
 pub type LeasedRecord = (Name, RecordType, Vec<u8>);
 
-/// What is kept of a zone on the log: one accepted step.
+/// One accepted change of a zone, as it is stored in the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ZoneLogEntry {
-    /// An update or a lapse.
+    /// An update, an incremental transfer or a lease expiry.
     Changed {
-        /// What changed.
+        /// The change of records.
         change: Change,
-        /// By what a repeat is known.
+        /// The identifier of the update, for recognizing duplicates.
         update_id: Option<UpdateId>,
-        /// For how many seconds what was added is held; 0 for good.
+        /// The lease of the added records in seconds; 0 for permanent records.
         lease: u32,
-        /// Records that were held before and are there for good now.
+        /// Records that lost their lease and are permanent now.
         kept: Vec<LeasedRecord>,
     },
-    /// These records, held until now, are there for good.
+    /// These records lost their lease and are permanent now.
     Kept(Vec<LeasedRecord>),
-    /// The file was read again: the accepted changes are put on the new base as they were on the old one.
+    /// The zone file was read again: the accepted changes are applied to the new base.
     Based {
-        /// The file with the new base.
+        /// The name of the new base's file.
         base: String,
-        /// The version that it makes.
+        /// The serial of the resulting version.
         serial: Serial,
-        /// What was accepted while the new base was made ready, and is put on last.
+        /// The changes accepted while the new base was prepared; they are applied last.
         since: Change,
     },
-    /// A whole version came from a primary: it is the base and the version in force.
+    /// A full transfer from a primary: it is the new base and the new version.
     Followed {
-        /// The file with it.
+        /// The name of the file that holds the version.
         base: String,
     },
 }
 
-/// All of a zone's state at one point of the log.
+/// The complete state of a zone at one position of its log.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The form of this snapshot.
+    /// The format version of this snapshot.
     pub form: u16,
-    /// The file with the base.
+    /// The name of the base's file.
     pub base: String,
-    /// From the base to the version in force.
+    /// The change from the base to the version in force.
     pub overlay: Change,
-    /// The last changes.
+    /// The change history that is kept for IXFR.
     pub history: Vec<Change>,
-    /// Repeats known, and how their first was answered.
+    /// The identifiers of known updates and their results.
     pub known_updates: Vec<(UpdateId, Result<Serial, UpdateError>)>,
-    /// What is held, and for how many seconds.
+    /// The leased records and their lease durations in seconds.
     pub leases: Vec<(Name, RecordType, Vec<u8>, u32)>,
 }
 
-/// The form that is written now.
+/// The format version that is written.
 pub const FORMAT_VERSION: u16 = 1;
 
 impl ZoneLogEntry {
-    /// What changed.
+    /// The change of records, if the entry holds one.
     pub fn change(&self) -> Option<&Change> {
         match self {
             Self::Changed { change, .. } => Some(change),
@@ -83,11 +83,11 @@
 /// Why a zone can't be restored from its log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ZoneLogError {
-    /// The octets are not an entry or a snapshot in the form of this version.
+    /// The bytes are not an entry or a snapshot in this version's format.
     Undecodable(postcard::Error),
-    /// The file with a base that the log names is missing or damaged.
+    /// A base file that the log names is missing or damaged.
     MissingBase(String),
-    /// An entry does not follow on the version before it.
+    /// An entry does not apply to the version before it.
     Change(ChangeError),
 }
 
@@ -111,21 +111,21 @@
 
 /// Encodes an entry or a snapshot for the log.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
-    // An entry or a snapshot holds plain values only, and memory is the only limit of the output.
+    // Serializing plain values to memory can't fail.
     postcard::to_allocvec(value).expect("plain values always have a form")
 }
 
-/// Decodes it.
+/// Decodes an entry or a snapshot from the log.
 pub fn decode<'a, T: Deserialize<'a>>(octets: &'a [u8]) -> Result<T, ZoneLogError> {
     postcard::from_bytes(octets).map_err(ZoneLogError::Undecodable)
 }
 
-/// Encodes a base for its own file.
+/// Encodes a base for its file.
 pub fn encode_base(zone: &Zone) -> Vec<u8> {
     encode(&(FORMAT_VERSION, zone.apex(), zone.all_records()))
 }
 
-/// Decodes a base; none where the octets are not one.
+/// Decodes a base; none if the bytes are damaged or in another format.
 pub fn decode_base(octets: &[u8]) -> Option<Zone> {
     let (form, apex, all): (u16, Name, Vec<Record>) = decode(octets).ok()?;
     let mut zone = Zone::new(apex);
--- a/crates/core/zones/src/zone_store/mod.rs
+++ b/crates/core/zones/src/zone_store/mod.rs
@@ -1,9 +1,9 @@
-//! The store of one zone: which version is in force, which ones wait to be durable, and what an update, a reloaded
-//! file and expired leases make of them. It does no I/O: what must be durable goes out as an entry of a log and
-//! comes back as a number.
+//! The state of one zone: its versions, its pending log entries, and the effect of updates, reloads and lease
+//! expiry. The store does no I/O: it returns the log entries that must be made durable, and the caller reports
+//! back the log position up to which they are durable.
 //!
-//! A zone has a *base*, the file as last read, and the *version in force*, which is the base with all accepted
-//! changes on it. Reading the file again puts the same changes on the new base.
+//! A zone has a *base*, which is the zone file as last read, and a *version in force*, which is the base with all
+//! durable changes applied. A reload applies the same changes to the new base.
 
 mod known_updates;
 mod log_entry;
@@ -32,15 +32,15 @@
 /// The limits of a zone store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneStoreLimits {
-    /// Records that the log of changes names at most.
+    /// Maximum number of records in the change history that is kept for IXFR.
     pub max_history_records: usize,
-    /// For how long a repeat is known.
+    /// How long an update identifier is remembered for detecting duplicates.
     pub deduplication_window: Span,
-    /// How many repeats are known at most.
+    /// Maximum number of update identifiers that are remembered.
     pub max_known_updates: usize,
-    /// Records in one zone at most.
+    /// Maximum number of records in the zone.
     pub max_records: usize,
-    /// How leases are kept.
+    /// Limits for the leases of records.
     pub leases: LeaseLimits,
 }
 
@@ -56,14 +56,14 @@
     }
 }
 
-/// Why a zone takes no updates.
+/// Why a zone accepts no updates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FreezeReason {
-    /// An operator said so.
+    /// An operator froze the zone.
     Operator,
-    /// The log can't be trusted or written; what it said.
+    /// The log is damaged or can't be written; holds the error text.
     LogFailed(String),
-    /// It follows a primary.
+    /// The zone is a secondary: only its primaries change it.
     Secondary,
 }
 
@@ -77,42 +77,42 @@
     }
 }
 
-/// What became of an update.
+/// The result of an update.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpdateOutcome {
-    /// The serial that holds it, or why it is refused. It is answered once all entries below
-    /// [`ZoneStore::answer_after`] are durable.
+    /// The serial of the version that contains the update, or the reason for the refusal. The response must wait
+    /// until all entries below [`ZoneStore::respond_after`] are durable.
     pub result: Result<Serial, UpdateError>,
-    /// What must be durable for it.
+    /// The log entry to make durable; none if the update changed nothing.
     pub entry: Option<ZoneLogEntry>,
-    /// For how long what it added is held.
+    /// The granted lease duration of the added records.
     pub lease: Option<Span>,
-    /// Whether it was known as a repeat.
+    /// Whether the update identifier was known, so that `result` is that of the first attempt.
     pub duplicate: bool,
 }
 
-/// One zone: its base, its versions, the history for IXFR, the updates known and the leases of records.
+/// One zone: its base, its versions, the change history for IXFR, the known updates and the leases.
 #[derive(Clone, Debug)]
 pub struct ZoneStore {
     limits: ZoneStoreLimits,
     base: Zone,
     base_file: String,
-    /// With all accepted steps, durable or not.
+    /// The newest version, including changes that are not durable yet.
     latest: Zone,
-    /// What answers come from.
+    /// The version in force, from which queries are answered.
     current: Arc<Zone>,
-    /// Steps that wait to be durable: the number that must be, and the version.
+    /// Versions that are not durable yet: the log position that must be durable first, the version and its change.
     waiting: VecDeque<(u64, Arc<Zone>, Option<Arc<Change>>)>,
     history: ChangeHistory,
     known_updates: KnownUpdates,
     leases: LeaseTable,
     frozen: Option<FreezeReason>,
-    /// What a new base changed, until its entry is on the log.
+    /// The change that a reload or a transfer made, until its log entry is appended.
     reload_change: Option<Arc<Change>>,
 }
 
 impl ZoneStore {
-    /// A zone as its file has it.
+    /// Creates a store whose version in force is the base, without history, known updates or leases.
     pub fn new(base: Zone, base_file: String, limits: ZoneStoreLimits) -> Self {
         Self {
             latest: base.clone(),
@@ -129,7 +129,7 @@
         }
     }
 
-    /// A zone as its log has it, from the newest snapshot on.
+    /// Restores a zone from the newest snapshot of its log; [`Self::replay`] then applies the later entries.
     pub fn restore(
         now: Instant,
         base: Zone,
@@ -152,7 +152,7 @@
         Ok(store)
     }
 
-    /// Applies an entry that stands on the log. A new base must be at hand.
+    /// Applies a log entry during recovery. `base` reads the base file that the entry names.
     pub fn replay(
         &mut self,
         now: Instant,
@@ -198,7 +198,7 @@
         Ok(())
     }
 
-    /// The state as of the last durable step, for a snapshot. Steps that wait are not in it.
+    /// Returns the state for a snapshot. Changes of records that are not durable yet are not part of it.
     pub fn snapshot(&self) -> Snapshot {
         let secs = |span: Span| span.secs().round() as u32;
         Snapshot {
@@ -220,22 +220,22 @@
         &self.current
     }
 
-    /// The newest version, durable or not.
+    /// The newest version, including changes that are not durable yet.
     pub fn latest(&self) -> &Zone {
         &self.latest
     }
 
-    /// The file as last read.
+    /// The zone file as last read, or the last full transfer.
     pub fn base(&self) -> &Zone {
         &self.base
     }
 
-    /// The file that holds the base.
+    /// The name of the file that holds the base.
     pub fn base_file(&self) -> &str {
         &self.base_file
     }
 
-    /// What leads on from a version to the one in force; none where the log does not reach back to it.
+    /// Returns the changes from a version to the one in force; none if the history does not reach back that far.
     pub fn changes_since(&self, serial: Serial) -> Option<Vec<Arc<Change>>> {
         if serial == self.current.serial() {
             return Some(Vec::new());
@@ -243,30 +243,31 @@
         self.history.since(serial)
     }
 
-    /// Whether all accepted steps are durable.
+    /// Whether every accepted change is durable.
     pub fn is_durable(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Below which number all entries must be durable before an update judged now is answered: what it was
-    /// judged by must outlast a restart, also where it changed nothing itself.
+    /// The log position up to which entries must be durable before an update evaluated now gets its response. This
+    /// also applies to updates that changed nothing: the changes that they were evaluated against must survive a
+    /// restart.
     pub fn respond_after(&self) -> u64 {
         self.waiting.back().map_or(0, |(number, ..)| *number)
     }
 
-    /// Why it takes no updates, if it doesn't.
+    /// Why the zone accepts no updates; none if it accepts them.
     pub fn frozen(&self) -> Option<&FreezeReason> {
         self.frozen.as_ref()
     }
 
-    /// Takes no updates from now on.
+    /// Stops accepting updates. An operator's freeze does not replace another reason.
     pub fn freeze(&mut self, why: FreezeReason) {
         if self.frozen.is_none() || !matches!(why, FreezeReason::Operator) {
             self.frozen = Some(why);
         }
     }
 
-    /// Takes updates again, unless it is not an operator's word that stopped it.
+    /// Ends an operator's freeze and returns whether the zone accepts updates. Other reasons stay in force.
     pub fn thaw(&mut self) -> bool {
         if self.frozen == Some(FreezeReason::Operator) {
             self.frozen = None;
@@ -279,7 +280,7 @@
         &self.leases
     }
 
-    /// Judges an update on top of all accepted ones. A repeat gets the answer of its first.
+    /// Evaluates an update against the newest version. A duplicate gets the result of the first attempt.
     pub fn update(
         &mut self,
         now: Instant,
@@ -330,7 +331,7 @@
         UpdateOutcome { result, entry, lease, duplicate: false }
     }
 
-    /// Records that are held and that an update without a lease adds again: they are there for good from then on.
+    /// The leased records that an update without a lease adds again. They lose their lease and become permanent.
     fn made_permanent(&self, update: &Update, lease: Option<Span>) -> Vec<LeasedRecord> {
         let of = |operation: &UpdateOperation| match operation {
             UpdateOperation::AddRecord(record) if lease.is_none() && self.leases.contains(record) => {
@@ -341,7 +342,7 @@
         update.operations.iter().filter_map(of).collect()
     }
 
-    /// Holds what was added, and lets go of what was removed.
+    /// Grants or renews the leases of added records and releases those of removed records.
     fn renew_leases<'a>(
         &mut self,
         now: Instant,
@@ -358,7 +359,7 @@
         }
     }
 
-    /// Takes out what ran out; none where nothing goes.
+    /// Removes records whose lease expired. Returns no entry if nothing was removed.
     pub fn expire_leases(&mut self, now: Instant) -> (Option<ZoneLogEntry>, LeaseExpiry) {
         if self.frozen.is_some() {
             return (None, LeaseExpiry::default());
@@ -377,14 +378,15 @@
         (entry, lapse)
     }
 
-    /// An entry was added to the log; once all below this number are durable, its version is in force.
+    /// Records that an entry was appended to the log. Its version comes into force once all entries below `up_to`
+    /// are durable.
     pub fn entry_appended(&mut self, up_to: u64, entry: &ZoneLogEntry) {
         let change =
             self.reload_change.take().or_else(|| entry.change().map(|change| Arc::new(change.clone())));
         self.waiting.push_back((up_to, Arc::new(self.latest.clone()), change));
     }
 
-    /// All entries below this number are durable; tells whether another version is in force now.
+    /// Records that all entries below `up_to` are durable; returns whether a newer version came into force.
     pub fn entries_durable(&mut self, up_to: u64) -> bool {
         let mut moved = false;
         while let Some((_, zone, change)) = self.waiting.pop_front_if(|(number, ..)| *number <= up_to) {
@@ -395,7 +397,7 @@
         moved
     }
 
-    /// The log failed: what waits is not durable and never will be, and nothing more is taken.
+    /// Handles a log failure: discards the changes that are not durable and freezes the zone.
     pub fn log_failed(&mut self, why: String) {
         self.waiting.clear();
         self.latest = (*self.current).clone();
--- a/crates/core/zones/src/zone_store/reload.rs
+++ b/crates/core/zones/src/zone_store/reload.rs
@@ -1,5 +1,5 @@
-//! Replacing the base of a zone: by its file, read again, on which the accepted updates are put; or by a version from a
-//! primary.
+//! Replacing the base of a zone, either by the zone file after it was read again, with the accepted updates
+//! applied to it, or by a version from a primary.
 
 use super::{ZoneLogEntry, ZoneStore};
 use crate::change::{diff, diff_at_names, Change, ChangeError};
@@ -13,14 +13,14 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A change of an operator's file that meets an accepted update.
+/// A change in the operator's file that conflicts with an accepted update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReloadConflict {
-    /// The name.
+    /// The owner name of the record set.
     pub name: Name,
-    /// The type.
+    /// The type of the record set.
     pub kind: RecordType,
-    /// What happened.
+    /// How the conflict was resolved.
     pub description: &'static str,
 }
 
@@ -30,17 +30,17 @@
     }
 }
 
-/// Why a file that was read again is not taken.
+/// Why a zone file that was read again is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReloadError {
-    /// Its serial is lower than that of the file in force.
+    /// The file's serial is not newer than that of the file read before.
     SerialNotNewer {
-        /// That of the file.
+        /// The serial of the file.
         file: Serial,
-        /// That of the file before.
+        /// The serial of the file read before.
         before: Serial,
     },
-    /// It is the same as the file in force.
+    /// The file has the same records as the one read before.
     Unchanged,
 }
 
@@ -55,22 +55,22 @@
     }
 }
 
-/// A new base, made ready aside while the zone goes on: as of this version.
+/// A new base, prepared in the background while the zone keeps serving and accepting updates.
 #[derive(Clone, Debug)]
 pub struct PreparedReload {
     /// The new base.
     pub base: Zone,
-    /// The base with the accepted changes on it.
+    /// The new base with the accepted changes applied.
     pub(super) merged: Zone,
-    /// What leads there from the version that was seen.
+    /// The change from `seen` to `merged`.
     pub(super) change: Change,
-    /// The version in force when it was made.
+    /// The newest version when the preparation began.
     pub(super) seen: Zone,
-    /// What met.
+    /// Conflicts between the file and accepted updates.
     pub conflicts: Vec<ReloadConflict>,
 }
 
-/// What making a new base ready needs of a zone store; cheap to copy, as versions share their parts.
+/// The part of a zone store that preparing a new base needs. Copying it is cheap: versions share their nodes.
 #[derive(Clone, Debug)]
 pub struct ReloadInput {
     pub(super) base: Zone,
@@ -78,8 +78,8 @@
 }
 
 impl ReloadInput {
-    /// Makes a new base ready; costs as much as the file is long, so it is done aside. Changes accepted since are
-    /// put on in [`super::ZoneStore::reload`].
+    /// Prepares a new base. The cost grows with the size of the file, so callers run it in the background.
+    /// [`super::ZoneStore::reload`] applies the changes that are accepted in the meantime.
     pub fn prepare(&self, base: Zone) -> Result<PreparedReload, ReloadError> {
         let (file, before) = (base.serial(), self.base.serial());
         if file != before && !file.newer_than(before) {
@@ -102,14 +102,14 @@
 }
 
 impl ZoneStore {
-    /// What making a new base ready needs.
+    /// Returns the input for [`ReloadInput::prepare`].
     pub fn reload_input(&self) -> ReloadInput {
         ReloadInput { base: self.base.clone(), latest: self.latest.clone() }
     }
 
-    /// Takes a new base over: what was accepted since it was made ready is put on too, and all of it is the next
-    /// version. Costs as much as was accepted meanwhile. The versions that are not needed any more come out: to
-    /// let go of them may take long.
+    /// Installs a prepared base as the next version, with the changes accepted since its preparation applied. The
+    /// cost grows with the number of these changes only. Returns the old versions too: dropping them can take
+    /// long, so the caller does it in the background.
     pub fn reload(
         &mut self,
         base_file: String,
@@ -122,13 +122,13 @@
         } else {
             diff(&ready.seen, &self.latest)
         };
-        // Never back, whatever the file says.
+        // The serial never decreases, even if the file has an older one.
         let serial = reload_serial(self.latest.serial(), ready.base.serial());
         self.install_base(base_file.clone(), ready, since.clone(), serial, &mut conflicts);
         (ZoneLogEntry::Based { base: base_file, serial, since }, conflicts, retired)
     }
 
-    /// Makes a prepared base the base, and the changes accepted meanwhile a part of the latest version.
+    /// Makes a prepared base the base and applies the changes accepted since its preparation to the new version.
     pub(super) fn install_base(
         &mut self,
         file: String,
@@ -140,8 +140,8 @@
         let PreparedReload { base, mut merged, change, .. } = ready;
         merge_changes(&mut merged, &since, None, conflicts);
         merged.set_serial(serial);
-        // Where nothing was accepted meanwhile the change stands as it is; else it is looked at anew, at the
-        // names that are touched, of which the apex with its serial always is one.
+        // The prepared change stays valid except at names that were changed since, which are compared again. The
+        // apex always belongs to them, because its SOA holds the serial.
         let mut touched: BTreeSet<&Name> = since.names().collect();
         touched.insert(merged.apex());
         let same = |record: &Record| !touched.contains(&record.name);
@@ -154,7 +154,7 @@
         self.reload_change = Some(Arc::new(whole));
     }
 
-    /// A whole version from the primary is the next one, and the base too.
+    /// Installs a full version from a primary as both the base and the next version.
     pub fn replace_from_primary(
         &mut self,
         base_file: String,
@@ -169,7 +169,7 @@
         (ZoneLogEntry::Followed { base: base_file }, retired)
     }
 
-    /// Changes from the primary lead to the next version; the base stays.
+    /// Applies incremental changes from a primary. The base stays as it is.
     pub fn apply_from_primary(&mut self, changes: &[Change]) -> Result<ZoneLogEntry, ChangeError> {
         let mut next = self.latest.clone();
         for change in changes {
@@ -181,8 +181,8 @@
     }
 }
 
-/// Puts accepted changes on another version. Where the file changed the same set, the accepted change stands,
-/// and the meeting is told.
+/// Applies accepted changes to another version. Where the file changed the same record set, the accepted change
+/// takes precedence and the conflict is reported.
 pub(super) fn merge_changes(
     zone: &mut Zone,
     change: &Change,
@@ -205,7 +205,7 @@
     }
     let before: BTreeSet<_> = change.removed.iter().map(Record::key).collect();
     for record in change.added.iter().filter(|record| record.kind != RecordType::SOA) {
-        // Of a record that only got another time to live nobody said that it should be there.
+        // An update that only changed a record's TTL must not bring the record back if the file dropped it.
         let there =
             |zone: &Zone| zone.set(&record.name, record.kind).is_some_and(|set| set.has(&record.data));
         let fresh = !before.contains(&record.key());
