--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -100,7 +100,7 @@
                 })
                 .collect();
             if pairs.is_empty() {
-                return Err(Failed::Usage("the two have no run in common".to_owned()));
+                return Err(Failed::Error("the two record files have no run in common".to_owned()));
             }
             let (a, b): (Vec<f64>, Vec<f64>) = pairs.into_iter().unzip();
             let (by, verdict) = stats::compare(&a, &b);
@@ -119,7 +119,7 @@
             let cell = Cell { policy, nodes, load, script, seed: seed.unwrap_or(spec.seeds[0]) };
             let told = explain(&spec, &cell, task);
             if told.is_empty() {
-                return Err(Failed::Usage(format!("the run has no task {task}")));
+                return Err(Failed::Error(format!("the run has no task {task}")));
             }
             told.iter().for_each(|line| println!("{line}"));
             Ok(())
@@ -154,7 +154,7 @@
             }
             match checks.iter().all(check::Check::holds) {
                 true => Ok(()),
-                false => Err(Failed::Wrong),
+                false => Err(Failed::CheckFailed),
             }
         }
     }
@@ -244,7 +244,7 @@
     }
     // Only violations by the module count as failures: the baselines give no guarantees.
     match broken.iter().any(|record| record.cell.policy == "module") {
-        true => Err(Failed::Wrong),
+        true => Err(Failed::CheckFailed),
         false => Ok(()),
     }
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -79,14 +79,14 @@
 /// Why a command failed.
 pub enum Failed {
     /// A check found errors, which are printed already; the exit code is 1.
-    Wrong,
+    CheckFailed,
     /// The command could not be carried out; the message is printed and the exit code is 2.
-    Usage(String),
+    Error(String),
 }
 
 impl From<String> for Failed {
     fn from(what: String) -> Self {
-        Self::Usage(what)
+        Self::Error(what)
     }
 }
 
@@ -111,8 +111,8 @@
     };
     match done {
         Ok(()) => ExitCode::SUCCESS,
-        Err(Failed::Wrong) => ExitCode::from(1),
-        Err(Failed::Usage(what)) => {
+        Err(Failed::CheckFailed) => ExitCode::from(1),
+        Err(Failed::Error(what)) => {
             eprintln!("lynxtally: {what}");
             ExitCode::from(2)
         }
@@ -136,9 +136,9 @@
             });
             if let Err(what) = checked {
                 eprintln!("{what}");
-                return Err(Failed::Wrong);
+                return Err(Failed::CheckFailed);
             }
-            println!("{}: well", file.display());
+            println!("{}: valid", file.display());
         }
     }
     Ok(())
--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -147,7 +147,7 @@
 }
 
 fn kind(text: &str) -> Result<RecordType, String> {
-    RecordType::parse(text).ok_or_else(|| format!("{text:?} is no kind of record"))
+    RecordType::parse(text).ok_or_else(|| format!("{text:?} is not a record type"))
 }
 
 impl Server {
@@ -171,8 +171,8 @@
     file.check().map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-fn wrong(what: impl std::fmt::Display) -> Failed {
-    Failed::Usage(what.to_string())
+fn failure(what: impl std::fmt::Display) -> Failed {
+    Failed::Error(what.to_string())
 }
 
 /// Runs a `lynxtally names` command.
@@ -184,12 +184,12 @@
             let client = server.client()?;
             let question = query(rand::rng().random(), &name, kind);
             let answered = if tcp { client.ask(&question) } else { client.ask_by_datagram(&question) };
-            let answered = answered.map_err(|fault| wrong(format!("{}: {fault}", server.server)))?;
+            let answered = answered.map_err(|fault| failure(format!("{}: {fault}", server.server)))?;
             print_answer(&answered, format);
             if answered.code == 0 {
                 Ok(())
             } else {
-                Err(Failed::Wrong)
+                Err(Failed::CheckFailed)
             }
         }
         Verb::Update { server, zone, lease, file, steps } => {
@@ -203,29 +203,30 @@
             if change.is_empty() {
                 Ok(())
             } else {
-                Err(Failed::Wrong)
+                Err(Failed::CheckFailed)
             }
         }
-        Verb::Freeze(running) => tell(&running, Control::Freeze),
-        Verb::Thaw(running) => tell(&running, Control::Thaw),
-        Verb::Reread(running) => tell(&running, Control::Reread),
-        Verb::Status { settings: path } => say(&settings(&path)?.state, &Control::Status),
-        Verb::Journal(JournalVerb::Compact(running)) => tell(&running, Control::Compact),
-        Verb::Journal(JournalVerb::Show(running)) => journal(&running, true, format),
-        Verb::Journal(JournalVerb::Verify(running)) => journal(&running, false, format),
+        Verb::Freeze(running) => send_zone_command(&running, Control::Freeze),
+        Verb::Thaw(running) => send_zone_command(&running, Control::Thaw),
+        Verb::Reread(running) => send_zone_command(&running, Control::Reread),
+        Verb::Status { settings: path } => send_command(&settings(&path)?.state, &Control::Status),
+        Verb::Journal(JournalVerb::Compact(running)) => send_zone_command(&running, Control::Compact),
+        Verb::Journal(JournalVerb::Show(running)) => inspect_log(&running, true, format),
+        Verb::Journal(JournalVerb::Verify(running)) => inspect_log(&running, false, format),
     }
 }
 
-fn tell(running: &Running, verb: impl FnOnce(String) -> Control) -> Result<(), Failed> {
-    say(&settings(&running.settings)?.state, &verb(running.zone.to_string()))
+fn send_zone_command(running: &Running, verb: impl FnOnce(String) -> Control) -> Result<(), Failed> {
+    send_command(&settings(&running.settings)?.state, &verb(running.zone.to_string()))
 }
 
-fn say(state: &Path, verb: &Control) -> Result<(), Failed> {
-    let said = control::ask(state, verb)
-        .map_err(|fault| wrong(format!("no server runs on {}: {fault}", state.display())))?;
+fn send_command(state: &Path, verb: &Control) -> Result<(), Failed> {
+    let said = control::ask(state, verb).map_err(|fault| {
+        failure(format!("can't reach the server with the state directory {}: {fault}", state.display()))
+    })?;
     println!("{said}");
     if said.starts_with("{\"error\"") {
-        Err(Failed::Wrong)
+        Err(Failed::CheckFailed)
     } else {
         Ok(())
     }
@@ -233,7 +234,7 @@
 
 fn read_file(path: &Path, apex: Option<&Name>, refused: usize) -> Result<zone_file::ParsedZoneFile, Failed> {
     let shown = path.display().to_string();
-    let text = std::fs::read(path).map_err(|fault| wrong(format!("{shown}: {fault}")))?;
+    let text = std::fs::read(path).map_err(|fault| failure(format!("{shown}: {fault}")))?;
     let folder = path.parent().map(Path::to_owned).unwrap_or_default();
     let limits = zone_file::ZoneFileLimits { max_refused: refused, ..zone_file::ZoneFileLimits::default() };
     Ok(zone_file::read(&shown, &text, apex, limits, &mut |name| server::include(&folder, name)))
@@ -243,13 +244,13 @@
     let read = read_file(path, apex, usize::MAX)?;
     read.faults.iter().for_each(|fault| eprintln!("{fault}"));
     match read.unusable {
-        Some(fault) => Err(wrong(fault)),
+        Some(fault) => Err(failure(fault)),
         None => Ok(read.zone),
     }
 }
 
 fn check(files: &[PathBuf], apex: Option<&Name>, refused: usize, format: Format) -> Result<(), Failed> {
-    let (mut kept, mut all_refused, mut usable, mut told) = (0, 0, true, Vec::new());
+    let (mut kept, mut all_refused, mut usable, mut errors) = (0, 0, true, Vec::new());
     for path in files {
         let read = read_file(path, apex, refused)?;
         kept += read.zone.record_count();
@@ -259,7 +260,7 @@
         for fault in read.faults.iter().chain(unusable) {
             match format {
                 Format::Text => println!("{fault}"),
-                Format::Json => told.push(json!({
+                Format::Json => errors.push(json!({
                     "file": &*fault.file, "line": fault.line, "column": fault.column, "reason": fault.reason,
                 })),
             }
@@ -268,13 +269,13 @@
     match format {
         Format::Text => println!("{kept} records kept, {all_refused} refused"),
         Format::Json => {
-            println!("{}", json!({"kept": kept, "refused": all_refused, "usable": usable, "faults": told}))
+            println!("{}", json!({"kept": kept, "refused": all_refused, "usable": usable, "faults": errors}))
         }
     }
     if usable && all_refused == 0 {
         Ok(())
     } else {
-        Err(Failed::Wrong)
+        Err(Failed::CheckFailed)
     }
 }
 
@@ -307,7 +308,7 @@
     if ended.adds_up {
         Ok(())
     } else {
-        Err(wrong("a task that was read got no answer, or more than one"))
+        Err(failure("the counters are inconsistent: a request got no response, or more than one"))
     }
 }
 
@@ -320,31 +321,31 @@
     });
     let brought = client
         .transfer(zone, soa.as_ref(), usize::MAX / 2, rand::rng().random())
-        .map_err(|fault| wrong(format!("{}: {fault}", client.server)))?;
+        .map_err(|fault| failure(format!("{}: {fault}", client.server)))?;
     match brought {
-        TransferResult::UpToDate(serial) => println!("; nothing is newer than {serial}"),
+        TransferResult::UpToDate(serial) => println!("; up to date: the server has serial {serial}"),
         TransferResult::Incremental(changes) => changes.iter().for_each(print_change),
         TransferResult::Full(records) => {
             let version =
-                lynxtally_zones::secondary::zone_from_records(zone, None, &records).map_err(wrong)?;
+                lynxtally_zones::secondary::zone_from_records(zone, None, &records).map_err(failure)?;
             print!("{}", zone_file::write(&version));
         }
     }
     Ok(())
 }
 
-fn journal(running: &Running, show: bool, format: Format) -> Result<(), Failed> {
+fn inspect_log(running: &Running, show: bool, format: Format) -> Result<(), Failed> {
     let checked = settings(&running.settings)?;
     let zone = checked.zones.iter().find(|zone| zone.apex == running.zone);
-    let zone = zone.ok_or_else(|| wrong(format!("{} is no zone of the settings", running.zone)))?;
+    let zone = zone.ok_or_else(|| failure(format!("the settings have no zone {}", running.zone)))?;
     let name = server::journal_name(zone);
     let mut folder = server::folder(&checked.state)?;
-    let (_, found) = WriteAheadLog::inspect(&mut folder, &name).map_err(wrong)?;
+    let (_, found) = WriteAheadLog::inspect(&mut folder, &name).map_err(failure)?;
     let mut faults: Vec<String> = found.damage.iter().map(ToString::to_string).collect();
     let snapshot = found.snapshot.as_deref().map(decode::<Snapshot>).transpose();
     if let Ok(Some(snapshot)) = &snapshot {
         if server::read_base(&mut folder, &snapshot.base).is_none() {
-            faults.push(format!("{}: the base is missing or damaged", snapshot.base));
+            faults.push(format!("{}: the base file is missing or damaged", snapshot.base));
         }
         if show {
             println!("; snapshot: base {}, {} records changed since", snapshot.base, snapshot.overlay.len());
@@ -368,7 +369,10 @@
     }
     if let Some(cut) = &found.torn_tail {
         // An incomplete last entry was never acknowledged, so it is reported but is no fault.
-        println!("; {}: {} octets at {} broke off and will be cut off", cut.file, cut.length, cut.offset);
+        println!(
+            "; {}: {} octets at offset {} are an incomplete entry and will be cut off",
+            cut.file, cut.length, cut.offset
+        );
     }
     match format {
         Format::Text => {
@@ -382,7 +386,7 @@
     if faults.is_empty() {
         Ok(())
     } else {
-        Err(Failed::Wrong)
+        Err(Failed::CheckFailed)
     }
 }
 
@@ -399,8 +403,8 @@
             }
         }
         ZoneLogEntry::Based { base, serial, .. } => {
-            println!("; {serial}: the file was read again, base {base}")
+            println!("; {serial}: the zone file was reloaded, base {base}")
         }
-        ZoneLogEntry::Followed { base } => println!("; a version from a primary, base {base}"),
+        ZoneLogEntry::Followed { base } => println!("; full transfer from a primary, base {base}"),
     }
 }
--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -43,7 +43,7 @@
         Verb::Check { settings: path, method, path: target } => {
             let checked = settings(&path)?;
             let Some(target) = target else {
-                println!("{}: well", path.display());
+                println!("{}: valid", path.display());
                 return Ok(());
             };
             match checked.stage_of(&method, &target) {
@@ -51,9 +51,9 @@
                     println!("{method} {target}: {}", checked.stages[stage].name);
                     Ok(())
                 }
-                Err(bad) => {
-                    println!("{method} {target}: {bad}");
-                    Err(Failed::Wrong)
+                Err(error) => {
+                    println!("{method} {target}: {error}");
+                    Err(Failed::CheckFailed)
                 }
             }
         }
@@ -66,18 +66,21 @@
     for at in &running.listen_addresses {
         println!("listening on {at}");
     }
-    let ear = running.commands.clone();
+    let commands = running.commands.clone();
     let mut signals =
         signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGUSR1]).map_err(|fault| fault.to_string())?;
     std::thread::spawn(move || {
         for signal in signals.forever() {
-            let (to, told) = std::sync::mpsc::channel();
-            let heard =
-                if signal == SIGUSR1 { ServerCommand::ReportCounters(to) } else { ServerCommand::Shutdown };
-            if ear.send(heard).is_err() {
+            let (response_sender, response) = std::sync::mpsc::channel();
+            let command = if signal == SIGUSR1 {
+                ServerCommand::ReportCounters(response_sender)
+            } else {
+                ServerCommand::Shutdown
+            };
+            if commands.send(command).is_err() {
                 return;
             }
-            if let Ok(counters) = told.recv() {
+            if let Ok(counters) = response.recv() {
                 info!("{counters}");
             }
         }
@@ -87,6 +90,8 @@
     if ended.is_consistent {
         Ok(())
     } else {
-        Err(Failed::Usage("a stream that was read got no answer, or more than one".to_owned()))
+        Err(Failed::Error(
+            "the counters are inconsistent: a request got no response, or more than one".to_owned(),
+        ))
     }
 }
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -53,24 +53,21 @@
         let name = Name::parse(name.text, Some(zone)).map_err(|bad| bad.to_string())?;
         let kind = |n: usize| {
             word(n)
-                .map(|text| RecordType::parse(&text).ok_or_else(|| format!("{text:?} is no kind of record")))
+                .map(|text| RecordType::parse(&text).ok_or_else(|| format!("{text:?} is not a record type")))
                 .transpose()
         };
         let data = |kind: RecordType, from: usize| {
             kind.parse_data(&words[from..], Some(zone)).map_err(|bad| bad.reason)
         };
-        let raw = |kind: RecordType, sense, ttl, data| UpdateRecord {
-            name: name.clone(),
-            kind,
-            class: sense,
-            ttl,
-            data,
-        };
+        let raw =
+            |kind: RecordType, class, ttl, data| UpdateRecord { name: name.clone(), kind, class, ttl, data };
         match verb.as_str() {
             "add" => {
-                let ttl =
-                    words.get(2).and_then(|word| read_time(word.text)).ok_or("a time to live is missing")?;
-                let kind = kind(3)?.ok_or("a kind of record is missing")?;
+                let ttl = words
+                    .get(2)
+                    .and_then(|word| read_time(word.text))
+                    .ok_or("the TTL is missing or invalid")?;
+                let kind = kind(3)?.ok_or("the record type is missing")?;
                 self.edits.push(raw(kind, UpdateClass::Zone, ttl, data(kind, 4)?));
             }
             "del" => self.edits.push(match kind(2)? {
@@ -86,7 +83,7 @@
             "need-not" => {
                 self.needs.push(raw(kind(2)?.unwrap_or(RecordType::ANY), UpdateClass::None, 0, Vec::new()))
             }
-            other => return Err(format!("{other:?} is no step; add, del, need and need-not are")),
+            other => return Err(format!("unknown step {other:?}; expected add, del, need or need-not")),
         }
         Ok(())
     }
@@ -114,7 +111,7 @@
         all.add(step, zone).map_err(|what| format!("step {:?}: {what}", step.trim()))?;
     }
     if all == Steps::default() {
-        return Err(Failed::Usage("no steps; give some, or --file".to_owned()));
+        return Err(Failed::Error("no steps given; pass steps or --file".to_owned()));
     }
     let question = Question {
         opcode: 5,
@@ -128,6 +125,6 @@
     if answered.code == 0 {
         Ok(())
     } else {
-        Err(Failed::Wrong)
+        Err(Failed::CheckFailed)
     }
 }
--- a/crates/core/zones/src/change.rs
+++ b/crates/core/zones/src/change.rs
@@ -40,10 +40,10 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::SerialMismatch(own, from) => {
-                write!(f, "the version is {own}, the change leads on from {from}")
+                write!(f, "the zone has serial {own}, but the change starts from serial {from}")
             }
-            Self::Missing(record) => write!(f, "not there to be removed: {record}"),
-            Self::Rejected(record) => write!(f, "can't be added: {record}"),
+            Self::Missing(record) => write!(f, "the record to remove does not exist: {record}"),
+            Self::Rejected(record) => write!(f, "the record to add exists or conflicts: {record}"),
         }
     }
 }
@@ -109,7 +109,7 @@
 /// the difference.
 pub fn diff(old: &Zone, new: &Zone) -> Change {
     let mut change = Change { from: old.serial(), to: new.serial(), ..Change::default() };
-    nodes(Some(old.root()), Some(new.root()), old.apex(), &mut change);
+    diff_nodes(Some(old.root()), Some(new.root()), old.apex(), &mut change);
     change
 }
 
@@ -118,30 +118,30 @@
     let mut change = Change { from: old.serial(), to: new.serial(), ..Change::default() };
     for name in names {
         let sets = |zone: &Zone| zone.node(name.wire()).map_or(Vec::new(), |node| node.sets().to_vec());
-        sets_differ(&sets(old), &sets(new), name, &mut change);
+        diff_sets(&sets(old), &sets(new), name, &mut change);
     }
     change
 }
 
-fn nodes(old: Option<&Arc<Node>>, new: Option<&Arc<Node>>, name: &Name, change: &mut Change) {
+fn diff_nodes(old: Option<&Arc<Node>>, new: Option<&Arc<Node>>, name: &Name, change: &mut Change) {
     if let (Some(old), Some(new)) = (old, new) {
         if Arc::ptr_eq(old, new) {
             return;
         }
     }
     let sets = |node: Option<&'_ Arc<Node>>| node.map_or(&[][..], |node| node.sets()).to_vec();
-    sets_differ(&sets(old), &sets(new), name, change);
+    diff_sets(&sets(old), &sets(new), name, change);
     let none = Default::default();
     let (a, b) = (old.map_or(&none, |node| node.children()), new.map_or(&none, |node| node.children()));
     a.diff(b, &mut |old, new| {
         let Some(label) = old.or(new).map(|node| node.label()) else { return };
         if let Ok(below) = name.child(label) {
-            nodes(old, new, &below, change);
+            diff_nodes(old, new, &below, change);
         }
     });
 }
 
-fn sets_differ(old: &[RecordSet], new: &[RecordSet], name: &Name, change: &mut Change) {
+fn diff_sets(old: &[RecordSet], new: &[RecordSet], name: &Name, change: &mut Change) {
     let find = |sets: &[RecordSet], kind: RecordType| sets.iter().find(|set| set.kind == kind).cloned();
     let record = |kind: RecordType, ttl: u32, data: &[u8]| Record {
         name: name.clone(),
@@ -167,8 +167,8 @@
             continue;
         }
         for data in set.records() {
-            let was = other.as_ref().is_some_and(|other| other.ttl == set.ttl && other.has(data));
-            if !was {
+            let existed = other.as_ref().is_some_and(|other| other.ttl == set.ttl && other.has(data));
+            if !existed {
                 change.added.push(record(set.kind, set.ttl, data));
             }
         }
@@ -180,13 +180,13 @@
 pub struct ChangeHistory {
     changes: VecDeque<Arc<Change>>,
     records: usize,
-    most: usize,
+    max_records: usize,
 }
 
 impl ChangeHistory {
-    /// Creates an empty history for at most `most` records.
-    pub fn new(most: usize) -> Self {
-        Self { most, ..Self::default() }
+    /// Creates an empty history for at most `max_records` records.
+    pub fn new(max_records: usize) -> Self {
+        Self { max_records, ..Self::default() }
     }
 
     /// Appends the newest change. If it does not start from the last serial, the earlier history is useless and is
@@ -197,7 +197,7 @@
         }
         self.records += change.len();
         self.changes.push_back(change);
-        while self.records > self.most {
+        while self.records > self.max_records {
             let Some(first) = self.changes.pop_front() else { break };
             self.records -= first.len();
         }
--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -55,13 +55,13 @@
     /// Numbers of renewed and of expired leases; both decay exponentially over `usual`, the typical lease
     /// duration.
     renewed: f64,
-    lapsed: f64,
-    faded: Instant,
-    usual: Span,
+    expired: f64,
+    decayed_at: Instant,
+    typical_duration: Span,
     /// When addresses of a name were removed, for one lease duration back.
-    gone: BTreeMap<Name, Vec<Instant>>,
+    recent_removals: BTreeMap<Name, Vec<Instant>>,
     /// When the path to the clients became suspect; none if it is not.
-    suspect: Option<Instant>,
+    suspect_since: Option<Instant>,
 }
 
 /// The consequences of expired leases.
@@ -76,7 +76,7 @@
 }
 
 /// A retained record's lease is checked again after this fraction of its duration.
-const AGAIN: f64 = 0.1;
+const RECHECK_FRACTION: f64 = 0.1;
 
 impl LeaseTable {
     /// Creates an empty table.
@@ -86,11 +86,11 @@
             by_record: BTreeMap::new(),
             by_time: BTreeSet::new(),
             renewed: 0.0,
-            lapsed: 0.0,
-            faded: Instant::default(),
-            usual: limits.min_duration,
-            gone: BTreeMap::new(),
-            suspect: None,
+            expired: 0.0,
+            decayed_at: Instant::default(),
+            typical_duration: limits.min_duration,
+            recent_removals: BTreeMap::new(),
+            suspect_since: None,
         }
     }
 
@@ -106,7 +106,7 @@
 
     /// Since when the path to the clients is suspect; none if it is not.
     pub fn suspect_since(&self) -> Option<Instant> {
-        self.suspect
+        self.suspect_since
     }
 
     /// The lease duration that is granted for a requested one.
@@ -121,131 +121,136 @@
 
     /// All leases with their durations, for the snapshot.
     pub fn all(&self) -> impl Iterator<Item = (&LeasedRecord, Span)> {
-        self.by_record.iter().map(|(held, lease)| (held, lease.span))
+        self.by_record.iter().map(|(record, lease)| (record, lease.span))
     }
 
-    fn fade(&mut self, now: Instant) {
-        let past = (now - self.faded) / self.usual;
-        let keep = (-past).exp();
+    fn decay(&mut self, now: Instant) {
+        let elapsed_durations = (now - self.decayed_at) / self.typical_duration;
+        let keep = (-elapsed_durations).exp();
         self.renewed *= keep;
-        self.lapsed *= keep;
-        self.faded = self.faded.max(now);
+        self.expired *= keep;
+        self.decayed_at = self.decayed_at.max(now);
     }
 
     /// Grants or renews the lease of a record for the duration `span`.
     pub fn grant(&mut self, now: Instant, name: &Name, kind: RecordType, data: &[u8], span: Span) {
-        self.fade(now);
-        let held = (name.clone(), kind, data.to_vec());
+        self.decay(now);
+        let record = (name.clone(), kind, data.to_vec());
         let lease = Lease { span, until: now + span };
-        self.by_time.insert((lease.until, held.clone()));
-        if let Some(before) = self.by_record.insert(held.clone(), lease) {
+        self.by_time.insert((lease.until, record.clone()));
+        if let Some(before) = self.by_record.insert(record.clone(), lease) {
             if before.until != now + span {
-                self.by_time.remove(&(before.until, held));
+                self.by_time.remove(&(before.until, record));
             }
             self.renewed += 1.0;
-            self.usual = self.usual.max(span);
+            self.typical_duration = self.typical_duration.max(span);
         } else {
-            self.usual = if self.by_record.len() == 1 { span } else { self.usual.max(span) };
+            self.typical_duration =
+                if self.by_record.len() == 1 { span } else { self.typical_duration.max(span) };
         }
     }
 
     /// Ends the lease of a record that was removed or became permanent.
     pub fn release(&mut self, name: &Name, kind: RecordType, data: &[u8]) {
-        let held = (name.clone(), kind, data.to_vec());
-        if let Some(lease) = self.by_record.remove(&held) {
-            self.by_time.remove(&(lease.until, held));
+        let record = (name.clone(), kind, data.to_vec());
+        if let Some(lease) = self.by_record.remove(&record) {
+            self.by_time.remove(&(lease.until, record));
         }
     }
 
     /// Decides whether the path to the clients is suspect: many leases expired that were due for renewal. This
     /// detects a broken network path, a stopped local clock and a restart during renewals. The downside: if most
     /// clients leave together without deregistering, their records are retained until others renew.
-    fn judge(&mut self, now: Instant) -> Option<bool> {
-        let missing = self.lapsed >= self.limits.suspect_min_expired as f64;
-        let share = self.lapsed / (self.lapsed + self.renewed).max(1e-9);
+    fn update_suspicion(&mut self, now: Instant) -> Option<bool> {
+        let missing = self.expired >= self.limits.suspect_min_expired as f64;
+        let share = self.expired / (self.expired + self.renewed).max(1e-9);
         let suspect = missing && share > self.limits.suspect_fraction;
-        if suspect == self.suspect.is_some() {
+        if suspect == self.suspect_since.is_some() {
             return None;
         }
-        self.suspect = suspect.then_some(now);
+        self.suspect_since = suspect.then_some(now);
         Some(suspect)
     }
 
     /// Expires the leases that are due and returns the records to remove.
     pub fn expire(&mut self, now: Instant, zone: &Zone) -> LeaseExpiry {
-        self.fade(now);
-        let mut over = Vec::new();
-        while let Some((at, held)) = self.by_time.first().filter(|(at, _)| *at <= now).cloned() {
-            self.by_time.remove(&(at, held.clone()));
-            over.push(held);
+        self.decay(now);
+        let mut due_records = Vec::new();
+        while let Some((at, record)) = self.by_time.first().filter(|(at, _)| *at <= now).cloned() {
+            self.by_time.remove(&(at, record.clone()));
+            due_records.push(record);
         }
-        if over.is_empty() {
-            return LeaseExpiry { suspect_changed: self.judge(now), ..LeaseExpiry::default() };
+        if due_records.is_empty() {
+            return LeaseExpiry { suspect_changed: self.update_suspicion(now), ..LeaseExpiry::default() };
         }
-        self.lapsed += over.len() as f64;
-        let mut lapse = LeaseExpiry { suspect_changed: self.judge(now), ..LeaseExpiry::default() };
+        self.expired += due_records.len() as f64;
+        let mut expiry =
+            LeaseExpiry { suspect_changed: self.update_suspicion(now), ..LeaseExpiry::default() };
         // Number of records removed in this pass, by name.
-        let mut taken: BTreeMap<Name, usize> = BTreeMap::new();
-        for held in over {
-            let span = self.by_record.get(&held).map_or(self.usual, |lease| lease.span);
-            let (name, kind, data) = &held;
+        let mut removed_now: BTreeMap<Name, usize> = BTreeMap::new();
+        for record in due_records {
+            let span = self.by_record.get(&record).map_or(self.typical_duration, |lease| lease.span);
+            let (name, kind, data) = &record;
             let there = zone.set(name, *kind).is_some_and(|set| set.has(data));
             if !there {
-                self.by_record.remove(&held);
-            } else if self.suspect.is_none() && self.may_go(now, zone, name, *kind, span, &taken) {
-                *taken.entry(name.clone()).or_default() += 1;
-                self.gone.entry(name.clone()).or_default().push(now);
-                self.by_record.remove(&held);
-                lapse.removed.push(held);
+                self.by_record.remove(&record);
+            } else if self.suspect_since.is_none()
+                && self.may_remove(now, zone, name, *kind, span, &removed_now)
+            {
+                *removed_now.entry(name.clone()).or_default() += 1;
+                self.recent_removals.entry(name.clone()).or_default().push(now);
+                self.by_record.remove(&record);
+                expiry.removed.push(record);
             } else {
-                lapse.retained += 1;
-                let until = now + span * AGAIN;
-                if let Some(lease) = self.by_record.get_mut(&held) {
+                expiry.retained += 1;
+                let until = now + span * RECHECK_FRACTION;
+                if let Some(lease) = self.by_record.get_mut(&record) {
                     lease.until = until;
                 }
-                self.by_time.insert((until, held));
+                self.by_time.insert((until, record));
             }
         }
-        lapse
+        expiry
     }
 
     /// Whether one more record of a name may be removed now.
-    fn may_go(
+    fn may_remove(
         &mut self,
         now: Instant,
         zone: &Zone,
         name: &Name,
         kind: RecordType,
         span: Span,
-        taken: &BTreeMap<Name, usize>,
+        removed_now: &BTreeMap<Name, usize>,
     ) -> bool {
         if !matches!(kind, RecordType::A | RecordType::AAAA) {
             return true;
         }
-        let lately = self.gone.entry(name.clone()).or_default();
-        lately.retain(|at| now - *at < span);
-        let now_gone = taken.get(name).copied().unwrap_or(0);
+        let recent = self.recent_removals.entry(name.clone()).or_default();
+        recent.retain(|at| now - *at < span);
+        let removed_count = removed_now.get(name).copied().unwrap_or(0);
         let of = |kind| zone.set(name, kind).map_or(0, |set| set.count());
         let there = of(RecordType::A) + of(RecordType::AAAA);
-        let left = there - now_gone;
+        let left = there - removed_count;
         // Recently removed addresses still count for the total. Otherwise the fraction would apply again to each
-        // remainder, and the name would shrink to one address.
-        let whole = there + lately.len() - now_gone;
-        let may = (whole as f64 * self.limits.max_removed_fraction).floor().max(1.0) as usize;
-        left > 1 && lately.len() < may
+        // remainder, and the name would shrink to one address within one lease duration.
+        let whole = there + recent.len() - removed_count;
+        let max_removed = (whole as f64 * self.limits.max_removed_fraction).floor().max(1.0) as usize;
+        left > 1 && recent.len() < max_removed
     }
 
     /// Starts every lease anew after a restart, because clients could not renew while the server was down.
     pub fn restart(&mut self, now: Instant) {
-        let all: Vec<(LeasedRecord, Span)> = self.all().map(|(held, span)| (held.clone(), span)).collect();
+        let all: Vec<(LeasedRecord, Span)> =
+            self.all().map(|(record, span)| (record.clone(), span)).collect();
         self.by_time.clear();
         self.by_record.clear();
         for ((name, kind, data), span) in all {
             self.grant(now, &name, kind, &data, span);
         }
         self.renewed = 0.0;
-        self.lapsed = 0.0;
-        self.faded = now;
+        self.expired = 0.0;
+        self.decayed_at = now;
     }
 
     /// Whether a record has a lease.
--- a/crates/core/zones/src/name.rs
+++ b/crates/core/zones/src/name.rs
@@ -45,7 +45,7 @@
             Self::Long => "a name of over 255 octets",
             Self::Escape => "a backslash that begins no escape",
             Self::Relative => "a relative name, and no origin is set",
-            Self::Short => "a name that breaks off",
+            Self::Short => "a name that is cut short or followed by more octets",
             Self::LabelKind => "a label of an unknown kind",
         })
     }
--- a/crates/core/zones/src/record_data.rs
+++ b/crates/core/zones/src/record_data.rs
@@ -87,7 +87,7 @@
             Self::Escape => f.write_str("a backslash that begins no escape"),
             Self::LongString => f.write_str("a string of over 255 octets"),
             Self::Name(fault, word) => write!(f, "{fault}: {word:?}"),
-            Self::Not(word, what) => write!(f, "{word:?} is no {what}"),
+            Self::Not(word, what) => write!(f, "{word:?} is not a valid {what}"),
         }
     }
 }
@@ -232,13 +232,13 @@
             return self.read_opaque(words);
         }
         let Some(fields) = self.fields() else {
-            let what = format!("data of the kind {self} is written as \\# LENGTH HEX (RFC 3597)");
+            let what = format!("data of type {self} is written as \\# LENGTH HEX (RFC 3597)");
             return Err(bad(0, what));
         };
         let mut out = Vec::new();
         let mut at = 0;
         for field in fields {
-            let missing = || bad(at, format!("{self} data ends early"));
+            let missing = || bad(at, format!("{self} data is incomplete"));
             match field {
                 Field::Base64 | Field::Hex => {
                     let text: Vec<u8> = words[at..].iter().flat_map(|word| word.text).copied().collect();
@@ -249,7 +249,7 @@
                     if text.is_empty() {
                         return Err(missing());
                     }
-                    out.extend(coding.decode(&text).map_err(|_| bad(at, format!("no {name}")))?);
+                    out.extend(coding.decode(&text).map_err(|_| bad(at, format!("not valid {name}")))?);
                     at = words.len();
                 }
                 Field::Texts => {
@@ -271,7 +271,7 @@
             }
         }
         if at < words.len() {
-            return Err(bad(at, format!("more than {self} data needs")));
+            return Err(bad(at, format!("too many fields in {self} data")));
         }
         if out.len() > MAX_DATA_LENGTH {
             return Err(bad(0, "data of over 65535 octets".to_owned()));
@@ -286,11 +286,11 @@
             .and_then(|word| number(word.text))
             .ok_or_else(|| bad(1, "\\# is not followed by a length"))?;
         let text: Vec<u8> = words[2..].iter().flat_map(|word| word.text.to_ascii_uppercase()).collect();
-        let data = data_encoding::HEXUPPER.decode(&text).map_err(|_| bad(2, "no hex"))?;
+        let data = data_encoding::HEXUPPER.decode(&text).map_err(|_| bad(2, "not valid hex"))?;
         if data.len() != usize::from(length) {
             return Err(bad(1, &format!("the length says {length}, the data has {} octets", data.len())));
         }
-        self.canonical_data(&data).ok_or_else(|| bad(2, &format!("octets that are no {self} data")))
+        self.canonical_data(&data).ok_or_else(|| bad(2, &format!("the octets are not valid {self} data")))
     }
 
     /// Validates data in wire form without compression pointers and converts its names to lower case; none if it
--- a/crates/core/zones/src/secondary/notify.rs
+++ b/crates/core/zones/src/secondary/notify.rs
@@ -10,12 +10,12 @@
     targets: Vec<NotifyTarget>,
     serial: Option<Serial>,
     times: RetryTimes,
-    chance: Pcg,
+    rng: Pcg,
 }
 
 #[derive(Clone, Debug)]
 struct NotifyTarget {
-    told: u32,
+    sent: u32,
     due: Option<Instant>,
 }
 
@@ -27,10 +27,10 @@
     /// Creates a sender for this number of secondaries.
     pub fn new(targets: usize, times: RetryTimes, seed: u64) -> Self {
         Self {
-            targets: vec![NotifyTarget { told: 0, due: None }; targets],
+            targets: vec![NotifyTarget { sent: 0, due: None }; targets],
             serial: None,
             times,
-            chance: Pcg::new(seed),
+            rng: Pcg::new(seed),
         }
     }
 
@@ -38,7 +38,7 @@
     pub fn serial_changed(&mut self, now: Instant, serial: Serial) {
         if self.serial != Some(serial) {
             self.serial = Some(serial);
-            self.targets.iter_mut().for_each(|target| *target = NotifyTarget { told: 0, due: Some(now) });
+            self.targets.iter_mut().for_each(|target| *target = NotifyTarget { sent: 0, due: Some(now) });
         }
     }
 
@@ -54,10 +54,10 @@
         for (n, target) in self.targets.iter_mut().enumerate() {
             if target.due.is_some_and(|due| due <= now) {
                 all.push((n, serial));
-                target.told += 1;
-                let pause = self.times.retry * BACKOFF_FACTOR.powi(target.told.min(16) as i32 - 1);
-                let at = now + pause.min(self.times.max_retry) * (0.5 + self.chance.unit());
-                target.due = (target.told < MAX_NOTIFIES).then_some(at);
+                target.sent += 1;
+                let pause = self.times.retry * BACKOFF_FACTOR.powi(target.sent.min(16) as i32 - 1);
+                let at = now + pause.min(self.times.max_retry) * (0.5 + self.rng.unit());
+                target.due = (target.sent < MAX_NOTIFIES).then_some(at);
             }
         }
         all
--- a/crates/core/zones/src/secondary/refresh.rs
+++ b/crates/core/zones/src/secondary/refresh.rs
@@ -24,55 +24,55 @@
     times: RetryTimes,
     primaries: usize,
     primary: usize,
-    chance: Pcg,
+    rng: Pcg,
     /// The SOA of the version that the secondary has; none before the first transfer.
-    have: Option<Soa>,
+    soa: Option<Soa>,
     /// When a primary last confirmed that the version is up to date.
-    heard: Instant,
+    confirmed_at: Instant,
     due: Instant,
     failures: u32,
     /// The timeout of the query or transfer in progress.
-    busy: Option<Instant>,
+    timeout_at: Option<Instant>,
     /// Whether the next transfer must be an AXFR, because an IXFR could not be applied.
-    whole: bool,
+    needs_full_transfer: bool,
     expired: bool,
     /// A NOTIFY arrived during a query or transfer, so another one follows.
-    again: bool,
+    notify_pending: bool,
 }
 
 impl SecondaryZone {
     /// Creates the schedule for a number of primaries; the first one is queried first.
-    pub fn new(now: Instant, primaries: usize, have: Option<Soa>, times: RetryTimes, seed: u64) -> Self {
+    pub fn new(now: Instant, primaries: usize, soa: Option<Soa>, times: RetryTimes, seed: u64) -> Self {
         Self {
             times,
             primaries: primaries.max(1),
             primary: 0,
-            chance: Pcg::new(seed),
-            have,
-            heard: now,
+            rng: Pcg::new(seed),
+            soa,
+            confirmed_at: now,
             due: now,
             failures: 0,
-            busy: None,
-            whole: false,
+            timeout_at: None,
+            needs_full_transfer: false,
             expired: false,
-            again: false,
+            notify_pending: false,
         }
     }
 
     /// Whether the secondary has a version that did not expire.
     pub fn is_serving(&self) -> bool {
-        self.have.is_some() && !self.expired
+        self.soa.is_some() && !self.expired
     }
 
     /// The time of the next action, timeout or expiry.
     pub fn next_due(&self) -> Instant {
-        let next = self.busy.unwrap_or(self.due);
+        let next = self.timeout_at.unwrap_or(self.due);
         self.expire_at().map_or(next, |at| next.min(at))
     }
 
     fn expire_at(&self) -> Option<Instant> {
-        let soa = self.have.filter(|_| !self.expired)?;
-        Some(self.heard + Span::from_secs(f64::from(soa.expire)))
+        let soa = self.soa.filter(|_| !self.expired)?;
+        Some(self.confirmed_at + Span::from_secs(f64::from(soa.expire)))
     }
 
     /// Returns the action that is due, if any. A query or transfer that timed out counts as failed.
@@ -81,14 +81,14 @@
             self.expired = true;
             return Some(SecondaryAction::Expire);
         }
-        if self.busy.is_some_and(|until| until <= now) {
+        if self.timeout_at.is_some_and(|until| until <= now) {
             self.step_failed(now);
         }
-        if self.busy.is_some() || self.due > now {
+        if self.timeout_at.is_some() || self.due > now {
             return None;
         }
-        self.busy = Some(now + self.times.timeout);
-        if self.have.is_none() || self.whole {
+        self.timeout_at = Some(now + self.times.timeout);
+        if self.soa.is_none() || self.needs_full_transfer {
             return Some(SecondaryAction::Transfer(self.primary, None));
         }
         Some(SecondaryAction::QuerySerial(self.primary))
@@ -96,12 +96,12 @@
 
     /// Handles a NOTIFY. Without a serial, the primary is queried for it.
     pub fn notified(&mut self, now: Instant, serial: Option<Serial>) {
-        let old = |serial: Serial| self.have.is_some_and(|soa| !serial.newer_than(soa.serial));
+        let old = |serial: Serial| self.soa.is_some_and(|soa| !serial.newer_than(soa.serial));
         if serial.is_some_and(old) {
             return;
         }
-        if self.busy.is_some() {
-            self.again = true;
+        if self.timeout_at.is_some() {
+            self.notify_pending = true;
         } else {
             self.due = now;
         }
@@ -109,14 +109,14 @@
 
     /// Handles the serial in a primary's response.
     pub fn serial_received(&mut self, now: Instant, serial: Serial) -> Option<SecondaryAction> {
-        let have = self.have?;
-        if serial.newer_than(have.serial) {
-            self.busy = Some(now + self.times.timeout);
-            let from = (!self.whole).then_some(have.serial);
+        let soa = self.soa?;
+        if serial.newer_than(soa.serial) {
+            self.timeout_at = Some(now + self.times.timeout);
+            let from = (!self.needs_full_transfer).then_some(soa.serial);
             return Some(SecondaryAction::Transfer(self.primary, from));
         }
-        if serial == have.serial {
-            self.current(now);
+        if serial == soa.serial {
+            self.confirmed(now);
         } else {
             // The primary may have restarted with an older file. The version stays, and the next primary is
             // queried.
@@ -127,39 +127,39 @@
 
     /// Records that the version with this SOA is served now.
     pub fn transfer_completed(&mut self, now: Instant, soa: Soa) {
-        self.have = Some(soa);
-        self.whole = false;
-        self.current(now);
+        self.soa = Some(soa);
+        self.needs_full_transfer = false;
+        self.confirmed(now);
     }
 
     /// Records that an IXFR could not be applied; an AXFR follows at once.
     pub fn incremental_failed(&mut self, now: Instant) {
-        self.whole = true;
-        self.busy = None;
+        self.needs_full_transfer = true;
+        self.timeout_at = None;
         self.due = now;
     }
 
-    fn current(&mut self, now: Instant) {
-        self.busy = None;
+    fn confirmed(&mut self, now: Instant) {
+        self.timeout_at = None;
         self.failures = 0;
-        self.heard = now;
+        self.confirmed_at = now;
         self.expired = false;
-        let refresh = self.have.map_or(0, |soa| soa.refresh);
+        let refresh = self.soa.map_or(0, |soa| soa.refresh);
         // Jitter keeps the secondaries of a fleet from querying at the same time.
         let refresh = Span::from_secs(f64::from(refresh.max(1)));
-        let jitter = 0.9 + 0.1 * self.chance.unit();
-        self.due = if std::mem::take(&mut self.again) { now } else { now + refresh * jitter };
+        let jitter = 0.9 + 0.1 * self.rng.unit();
+        self.due = if std::mem::take(&mut self.notify_pending) { now } else { now + refresh * jitter };
     }
 
     /// Records that a query or transfer failed; the next primary is queried after an exponential delay.
     pub fn step_failed(&mut self, now: Instant) {
-        self.busy = None;
-        self.again = false;
+        self.timeout_at = None;
+        self.notify_pending = false;
         self.primary = (self.primary + 1) % self.primaries;
-        let retry = self.have.map_or(self.times.retry, |soa| Span::from_secs(f64::from(soa.retry.max(1))));
+        let retry = self.soa.map_or(self.times.retry, |soa| Span::from_secs(f64::from(soa.retry.max(1))));
         let round = self.failures / self.primaries as u32;
         self.failures += 1;
         let pause = retry.min(self.times.max_retry) * BACKOFF_FACTOR.powi(round.min(16) as i32);
-        self.due = now + pause.min(self.times.max_retry) * (0.5 + self.chance.unit());
+        self.due = now + pause.min(self.times.max_retry) * (0.5 + self.rng.unit());
     }
 }
--- a/crates/core/zones/src/secondary/transfer.rs
+++ b/crates/core/zones/src/secondary/transfer.rs
@@ -45,14 +45,18 @@
 impl fmt::Display for TransferError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::NoLeadingSoa => f.write_str("it does not begin with the zone's SOA"),
-            Self::OutOfOrder => f.write_str("its changes do not follow on one another"),
-            Self::TrailingRecords => f.write_str("more came behind its end"),
-            Self::NotNewer { received: came, current: have } => {
-                write!(f, "it brings {came}, which is not newer than {have}")
+            Self::NoLeadingSoa => f.write_str("the transfer does not begin with the zone's SOA"),
+            Self::OutOfOrder => {
+                f.write_str("a change in the transfer does not start from the serial of the change before it")
             }
-            Self::Rejected(what) => write!(f, "a record can't stand in the zone: {what}"),
-            Self::TooManyRecords => f.write_str("more records than a zone may have"),
+            Self::TrailingRecords => f.write_str("records follow the end of the transfer"),
+            Self::NotNewer { received, current } => {
+                write!(f, "the transferred serial {received} is not newer than the current serial {current}")
+            }
+            Self::Rejected(what) => {
+                write!(f, "the transfer has a record that is not valid in the zone: {what}")
+            }
+            Self::TooManyRecords => f.write_str("the transfer has more records than a zone may have"),
         }
     }
 }
@@ -76,25 +80,25 @@
 pub struct TransferReader {
     apex: Name,
     asked_from: Option<Serial>,
-    most: usize,
-    stage: TransferState,
+    max_records: usize,
+    state: TransferState,
     newest: Option<Record>,
-    whole: Vec<Record>,
+    full_zone: Vec<Record>,
     changes: Vec<Change>,
     count: usize,
 }
 
 impl TransferReader {
-    /// Starts the parsing of a transfer: an IXFR from the serial `asked_from`, or an AXFR if there is none. `most`
+    /// Starts the parsing of a transfer: an IXFR from the serial `asked_from`, or an AXFR if there is none. `max_records`
     /// is the maximum number of records in the zone; a transfer may have twice as many.
-    pub fn new(apex: Name, asked_from: Option<Serial>, most: usize) -> Self {
+    pub fn new(apex: Name, asked_from: Option<Serial>, max_records: usize) -> Self {
         Self {
             apex,
             asked_from,
-            most,
-            stage: TransferState::Start,
+            max_records,
+            state: TransferState::Start,
             newest: None,
-            whole: Vec::new(),
+            full_zone: Vec::new(),
             changes: Vec::new(),
             count: 0,
         }
@@ -102,7 +106,7 @@
 
     /// Whether the last record of the transfer arrived.
     pub fn is_complete(&self) -> bool {
-        matches!(self.stage, TransferState::End)
+        matches!(self.state, TransferState::End)
     }
 
     fn serial(record: &Record) -> Serial {
@@ -112,7 +116,7 @@
     /// Parses the next record.
     pub fn push(&mut self, record: Record) -> Result<(), TransferError> {
         self.count += 1;
-        if self.count > self.most.saturating_mul(2) {
+        if self.count > self.max_records.saturating_mul(2) {
             return Err(TransferError::TooManyRecords);
         }
         if !record.name.is_within(&self.apex) {
@@ -120,13 +124,13 @@
         }
         let soa = record.kind == RecordType::SOA;
         let newest = self.newest.as_ref().map(Self::serial);
-        match self.stage {
+        match self.state {
             TransferState::Start => {
                 if !soa || record.name != self.apex {
                     return Err(TransferError::NoLeadingSoa);
                 }
                 self.newest = Some(record);
-                self.stage = TransferState::First;
+                self.state = TransferState::First;
             }
             TransferState::First if soa && self.asked_from == Some(Self::serial(&record)) => {
                 // The SOA of the requested serial comes second, so the response is incremental.
@@ -134,23 +138,23 @@
             }
             TransferState::First if soa && newest == Some(Self::serial(&record)) => {
                 // A full zone that contains nothing but its SOA.
-                self.whole.extend(self.newest.clone());
-                self.stage = TransferState::End;
+                self.full_zone.extend(self.newest.clone());
+                self.state = TransferState::End;
             }
             TransferState::First if soa => return Err(TransferError::OutOfOrder),
             TransferState::First => {
-                self.whole.extend(self.newest.clone());
-                self.whole.push(record);
-                self.stage = TransferState::FullZone;
+                self.full_zone.extend(self.newest.clone());
+                self.full_zone.push(record);
+                self.state = TransferState::FullZone;
             }
-            TransferState::FullZone if soa => self.stage = TransferState::End,
-            TransferState::FullZone => self.whole.push(record),
+            TransferState::FullZone if soa => self.state = TransferState::End,
+            TransferState::FullZone => self.full_zone.push(record),
             TransferState::Removed if soa => {
                 if let Some(change) = self.changes.last_mut() {
                     change.to = Self::serial(&record);
                     change.added.push(record);
                 }
-                self.stage = TransferState::Added;
+                self.state = TransferState::Added;
             }
             TransferState::Removed => {
                 if let Some(change) = self.changes.last_mut() {
@@ -160,7 +164,7 @@
             TransferState::Added if soa => {
                 let last = self.changes.last().map(|change| change.to);
                 if last == newest && newest == Some(Self::serial(&record)) {
-                    self.stage = TransferState::End;
+                    self.state = TransferState::End;
                 } else if last == Some(Self::serial(&record)) {
                     self.begin_change(record);
                 } else {
@@ -180,13 +184,13 @@
     fn begin_change(&mut self, record: Record) {
         let from = Self::serial(&record);
         self.changes.push(Change { from, removed: vec![record], ..Change::default() });
-        self.stage = TransferState::Removed;
+        self.state = TransferState::Removed;
     }
 
     /// Handles the end of a message. If the first message of an IXFR holds a single SOA, the requested version is
     /// up to date or the full zone must be requested (RFC 1995 section 2).
     pub fn message_ended(&mut self) -> Option<TransferResult> {
-        if matches!(self.stage, TransferState::First) && self.asked_from.is_some() {
+        if matches!(self.state, TransferState::First) && self.asked_from.is_some() {
             let serial = self.newest.as_ref().map(Self::serial)?;
             return Some(TransferResult::UpToDate(serial));
         }
@@ -199,28 +203,26 @@
             return None;
         }
         Some(if self.changes.is_empty() {
-            TransferResult::Full(self.whole)
+            TransferResult::Full(self.full_zone)
         } else {
             TransferResult::Incremental(self.changes)
         })
     }
 }
 
-/// Builds a version from the records of a full transfer. It must be newer than the version `have`.
+/// Builds a version from the records of a full transfer. It must be newer than `current`.
 pub fn zone_from_records(
     apex: &Name,
-    have: Option<Serial>,
+    current: Option<Serial>,
     records: &[Record],
 ) -> Result<Zone, TransferError> {
     let mut zone = Zone::new(apex.clone());
     for record in records {
-        zone.add(record).map_err(|unfit| TransferError::Rejected(format!("{record}: {unfit}")))?;
+        zone.add(record).map_err(|error| TransferError::Rejected(format!("{record}: {error}")))?;
     }
-    let came = zone.soa().ok_or(TransferError::NoLeadingSoa)?.serial;
-    match have {
-        Some(have) if !came.newer_than(have) => {
-            Err(TransferError::NotNewer { received: came, current: have })
-        }
+    let received = zone.soa().ok_or(TransferError::NoLeadingSoa)?.serial;
+    match current {
+        Some(current) if !received.newer_than(current) => Err(TransferError::NotNewer { received, current }),
         _ => Ok(zone),
     }
 }
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -35,8 +35,8 @@
 impl fmt::Display for UpdateError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         f.write_str(match self {
-            Self::Malformed => "not made as RFC 2136 says",
-            Self::OutOfZone => "a name is out of the zone",
+            Self::Malformed => "the message violates RFC 2136",
+            Self::OutOfZone => "a name is outside the zone",
             Self::NameMissing => "a name that must be in use is not",
             Self::NameExists => "a name that must not be in use is",
             Self::SetMissing => "a set that must be there is not",
@@ -145,7 +145,7 @@
     }
 
     fn prerequisite(&mut self, apex: &Name, raw: &UpdateRecord) -> Result<(), UpdateError> {
-        let UpdateRecord { name, kind, class: sense, ttl, data } = raw;
+        let UpdateRecord { name, kind, class, ttl, data } = raw;
         if *ttl != 0 {
             return Err(UpdateError::Malformed);
         }
@@ -153,7 +153,7 @@
             return Err(UpdateError::OutOfZone);
         }
         let plain = kind.is_meta();
-        let prerequisite = match sense {
+        let prerequisite = match class {
             UpdateClass::Any | UpdateClass::None if !data.is_empty() => return Err(UpdateError::Malformed),
             UpdateClass::Any if *kind == RecordType::ANY => Prerequisite::NameInUse(name.clone()),
             UpdateClass::None if *kind == RecordType::ANY => Prerequisite::NameNotInUse(name.clone()),
@@ -180,13 +180,13 @@
     }
 
     fn operation(apex: &Name, raw: &UpdateRecord) -> Result<UpdateOperation, UpdateError> {
-        let UpdateRecord { name, kind, class: sense, ttl, data } = raw;
+        let UpdateRecord { name, kind, class, ttl, data } = raw;
         if !name.is_within(apex) {
             return Err(UpdateError::OutOfZone);
         }
         let bare = *ttl == 0 && data.is_empty();
         let checked = || kind.canonical_data(data).ok_or(UpdateError::Malformed);
-        match sense {
+        match class {
             UpdateClass::Any if *kind == RecordType::ANY && bare => {
                 Ok(UpdateOperation::DeleteName(name.clone()))
             }
--- a/crates/core/zones/src/zone.rs
+++ b/crates/core/zones/src/zone.rs
@@ -29,9 +29,9 @@
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::OutOfZone => f.write_str("the owner is out of the zone"),
-            Self::Meta(kind) => write!(f, "{kind} can't stand in a zone"),
-            Self::Alias(kind) => write!(f, "{kind} beside other records of the name"),
+            Self::OutOfZone => f.write_str("the owner is outside the zone"),
+            Self::Meta(kind) => write!(f, "{kind} is not allowed in a zone"),
+            Self::Alias(kind) => write!(f, "{kind} can't coexist with other records of the name"),
             Self::Soa => f.write_str("a second SOA, or one that is not at the apex"),
             Self::TwoAliases(kind) => write!(f, "a second {kind} at one name"),
         }
@@ -129,14 +129,14 @@
         self.node(name.wire())?.set(kind)
     }
 
-    /// Changes the record sets of a name and updates the counts. With `make`, a missing node is created.
+    /// Changes the record sets of a name and updates the counts. With `create_missing`, a missing node is created.
     fn edit<R>(
         &mut self,
         name: &Name,
-        make: bool,
+        create_missing: bool,
         change: impl FnOnce(&mut SmallVec<[RecordSet; 1]>) -> R,
     ) -> Option<R> {
-        if !make {
+        if !create_missing {
             self.node(name.wire())?;
         }
         let path = self.path(name.wire())?;
@@ -160,7 +160,7 @@
     }
 
     /// Checks whether a record may be added.
-    fn fits(&self, record: &Record) -> Result<(), RecordError> {
+    fn check_record(&self, record: &Record) -> Result<(), RecordError> {
         let kind = record.kind;
         if !record.name.is_within(&self.apex) {
             return Err(RecordError::OutOfZone);
@@ -191,7 +191,7 @@
     /// Adds a record and returns whether anything changed. The set takes over the record's TTL, even if the record
     /// exists already.
     pub fn add(&mut self, record: &Record) -> Result<bool, RecordError> {
-        self.fits(record)?;
+        self.check_record(record)?;
         let Record { name, kind, ttl, data } = record;
         if self.set(name, *kind).is_some_and(|set| set.ttl == *ttl && set.has(data)) {
             return Ok(false);
--- a/crates/core/zones/src/zone_file/mod.rs
+++ b/crates/core/zones/src/zone_file/mod.rs
@@ -89,7 +89,7 @@
     reader.text(&file, text, 0);
     let mut early = std::mem::take(&mut reader.early);
     for (_, file, position) in early.drain(..) {
-        reader.refuse(&file, position, "no SOA says which zone this belongs to".to_owned());
+        reader.refuse(&file, position, "the zone of the record is unknown because no SOA follows".to_owned());
     }
     let Reader { zone, faults, refused, mut unusable, .. } = reader;
     let start = Position { line: 1, column: 1 };
--- a/crates/core/zones/src/zone_file/reader.rs
+++ b/crates/core/zones/src/zone_file/reader.rs
@@ -71,7 +71,9 @@
                 .ok_or_else(|| EntryError::new(position_of(n), format!("{what} is missing")))
         };
         let too_many = |most: usize| match words.len() > most {
-            true => Err(EntryError::new(position_of(most), "more than the directive takes".to_owned())),
+            true => {
+                Err(EntryError::new(position_of(most), "too many arguments for the directive".to_owned()))
+            }
             false => Ok(()),
         };
         match words[0].text.to_ascii_uppercase().as_slice() {
@@ -83,9 +85,9 @@
             b"$TTL" => {
                 too_many(2)?;
                 let ttl = read_time(word(1, "the time")?);
-                self.ttl_default = Some(
-                    ttl.ok_or_else(|| EntryError::new(position_of(1), "no time in seconds".to_owned()))?,
-                );
+                self.ttl_default = Some(ttl.ok_or_else(|| {
+                    EntryError::new(position_of(1), "not a valid time in seconds".to_owned())
+                })?);
             }
             b"$INCLUDE" => {
                 too_many(3)?;
@@ -100,7 +102,7 @@
                 if depth >= self.limits.max_include_depth {
                     return Err(EntryError::new(
                         position_of(0),
-                        format!("files include one another over {depth} deep"),
+                        format!("$INCLUDE directives are nested more than {depth} deep"),
                     ));
                 }
                 let origin_before = self.origin.clone();
@@ -121,7 +123,7 @@
             other => {
                 return Err(EntryError::new(
                     position_of(0),
-                    format!("{} is no directive", String::from_utf8_lossy(other)),
+                    format!("{} is not a known directive", String::from_utf8_lossy(other)),
                 ));
             }
         }
@@ -143,11 +145,14 @@
                 LastOwner::None => {
                     return Err(EntryError::new(
                         position_of(0),
-                        "no owner, and none stands before it".to_owned(),
+                        "the owner is missing and no record precedes it".to_owned(),
                     ))
                 }
                 LastOwner::Refused => {
-                    return Err(EntryError::new(position_of(0), "its owner was refused above".to_owned()))
+                    return Err(EntryError::new(
+                        position_of(0),
+                        "the owner is missing and the owner before it was refused".to_owned(),
+                    ))
                 }
             }
         } else {
@@ -159,13 +164,13 @@
         let (mut ttl, mut class) = (None, false);
         let kind = loop {
             let Some(word) = words.get(n) else {
-                return Err(EntryError::new(position_of(n), "no kind of record".to_owned()));
+                return Err(EntryError::new(position_of(n), "the record type is missing".to_owned()));
             };
             if ttl.is_none() && word.text.first().is_some_and(u8::is_ascii_digit) {
                 let time = read_time(word.text);
-                ttl = Some(
-                    time.ok_or_else(|| EntryError::new(position_of(n), "no time in seconds".to_owned()))?,
-                );
+                ttl = Some(time.ok_or_else(|| {
+                    EntryError::new(position_of(n), "not a valid time in seconds".to_owned())
+                })?);
             } else if !class && is_class(word.text) {
                 if !word.text.eq_ignore_ascii_case(b"IN") {
                     return Err(EntryError::new(position_of(n), "the class is not IN".to_owned()));
@@ -174,7 +179,7 @@
             } else {
                 let text = String::from_utf8_lossy(word.text);
                 break RecordType::parse(&text).ok_or_else(|| {
-                    EntryError::new(position_of(n), format!("{text:?} is no kind of record"))
+                    EntryError::new(position_of(n), format!("{text:?} is not a record type"))
                 })?;
             }
             n += 1;
@@ -192,7 +197,10 @@
         self.ttl_last = ttl.or(self.ttl_last);
         let ttl = ttl.or(self.ttl_default).or(self.ttl_last).or(self.minimum);
         let ttl = ttl.ok_or_else(|| {
-            EntryError::new(position_of(n - 1), "no time to live, and no $TTL stands before it".to_owned())
+            EntryError::new(
+                position_of(n - 1),
+                "the TTL is missing and no $TTL precedes the record".to_owned(),
+            )
         })?;
         let record = Record { name, kind, ttl, data };
         if self.zone.is_none() {
--- a/crates/core/zones/src/zone_store/log_entry.rs
+++ b/crates/core/zones/src/zone_store/log_entry.rs
@@ -94,8 +94,8 @@
 impl fmt::Display for ZoneLogError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Undecodable(fault) => write!(f, "an entry of another form: {fault}"),
-            Self::MissingBase(file) => write!(f, "{file}: the base is missing or damaged"),
+            Self::Undecodable(fault) => write!(f, "the log entry or snapshot has an unknown format: {fault}"),
+            Self::MissingBase(file) => write!(f, "{file}: the base file is missing or damaged"),
             Self::Change(fault) => fault.fmt(f),
         }
     }
--- a/crates/core/zones/src/zone_store/mod.rs
+++ b/crates/core/zones/src/zone_store/mod.rs
@@ -72,7 +72,7 @@
         match self {
             Self::Operator => f.write_str("frozen by an operator"),
             Self::LogFailed(what) => write!(f, "the log failed: {what}"),
-            Self::Secondary => f.write_str("it follows a primary"),
+            Self::Secondary => f.write_str("the zone is a secondary"),
         }
     }
 }
@@ -102,7 +102,7 @@
     /// The version in force, from which queries are answered.
     current: Arc<Zone>,
     /// Versions that are not durable yet: the log position that must be durable first, the version and its change.
-    waiting: VecDeque<(u64, Arc<Zone>, Option<Arc<Change>>)>,
+    pending: VecDeque<(u64, Arc<Zone>, Option<Arc<Change>>)>,
     history: ChangeHistory,
     known_updates: KnownUpdates,
     leases: LeaseTable,
@@ -119,7 +119,7 @@
             current: Arc::new(base.clone()),
             base,
             base_file,
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             history: ChangeHistory::new(limits.max_history_records),
             known_updates: KnownUpdates::default(),
             leases: LeaseTable::new(limits.leases),
@@ -175,8 +175,8 @@
             }
             ZoneLogEntry::Based { base: file, serial, since } => {
                 let new = base(&file).ok_or_else(|| ZoneLogError::MissingBase(file.clone()))?;
-                let seen = since.reversed().apply(&self.latest)?;
-                let input = ReloadInput { base: self.base.clone(), latest: seen };
+                let prepared_from = since.reversed().apply(&self.latest)?;
+                let input = ReloadInput { base: self.base.clone(), latest: prepared_from };
                 self.install_base(file, input.merge(new), since, serial, &mut Vec::new());
                 self.reload_change.take().into_iter().for_each(|change| self.history.push(change));
                 self.current = Arc::new(self.latest.clone());
@@ -245,14 +245,14 @@
 
     /// Whether every accepted change is durable.
     pub fn is_durable(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
     /// The log position up to which entries must be durable before an update evaluated now gets its response. This
     /// also applies to updates that changed nothing: the changes that they were evaluated against must survive a
     /// restart.
     pub fn respond_after(&self) -> u64 {
-        self.waiting.back().map_or(0, |(number, ..)| *number)
+        self.pending.back().map_or(0, |(number, ..)| *number)
     }
 
     /// Why the zone accepts no updates; none if it accepts them.
@@ -290,21 +290,21 @@
         update_id: Option<UpdateId>,
         lease: Option<Span>,
     ) -> UpdateOutcome {
-        let lease = lease.map(|asked| self.leases.granted_duration(asked));
+        let lease = lease.map(|requested| self.leases.granted_duration(requested));
         if let Some(result) =
             update_id.and_then(|update_id| self.known_updates.get(now, &update_id, &self.limits))
         {
             return UpdateOutcome { result, entry: None, lease, duplicate: true };
         }
-        let judged = match &self.frozen {
+        let evaluated = match &self.frozen {
             Some(_) => Err(UpdateError::Frozen),
             None => update.evaluate(&self.latest, grants, key),
         };
-        let judged = judged.and_then(|next| match next {
+        let evaluated = evaluated.and_then(|next| match next {
             Some((zone, _)) if zone.record_count() > self.limits.max_records => Err(UpdateError::NotAllowed),
             next => Ok(next),
         });
-        let (result, entry) = match judged {
+        let (result, entry) = match evaluated {
             Err(refusal) => (Err(refusal), None),
             Ok(None) => {
                 let kept = self.made_permanent(update, lease);
@@ -364,8 +364,8 @@
         if self.frozen.is_some() {
             return (None, LeaseExpiry::default());
         }
-        let lapse = self.leases.expire(now, &self.latest);
-        let operations = lapse
+        let expiry = self.leases.expire(now, &self.latest);
+        let operations = expiry
             .removed
             .iter()
             .map(|(name, kind, data)| UpdateOperation::DeleteRecord(name.clone(), *kind, data.clone()));
@@ -375,7 +375,7 @@
             self.latest = next;
             ZoneLogEntry::Changed { change, update_id: None, lease: 0, kept: Vec::new() }
         });
-        (entry, lapse)
+        (entry, expiry)
     }
 
     /// Records that an entry was appended to the log. Its version comes into force once all entries below `up_to`
@@ -383,23 +383,23 @@
     pub fn entry_appended(&mut self, up_to: u64, entry: &ZoneLogEntry) {
         let change =
             self.reload_change.take().or_else(|| entry.change().map(|change| Arc::new(change.clone())));
-        self.waiting.push_back((up_to, Arc::new(self.latest.clone()), change));
+        self.pending.push_back((up_to, Arc::new(self.latest.clone()), change));
     }
 
     /// Records that all entries below `up_to` are durable; returns whether a newer version came into force.
     pub fn entries_durable(&mut self, up_to: u64) -> bool {
-        let mut moved = false;
-        while let Some((_, zone, change)) = self.waiting.pop_front_if(|(number, ..)| *number <= up_to) {
+        let mut advanced = false;
+        while let Some((_, zone, change)) = self.pending.pop_front_if(|(number, ..)| *number <= up_to) {
             self.current = zone;
             change.into_iter().for_each(|change| self.history.push(change));
-            moved = true;
+            advanced = true;
         }
-        moved
+        advanced
     }
 
     /// Handles a log failure: discards the changes that are not durable and freezes the zone.
     pub fn log_failed(&mut self, why: String) {
-        self.waiting.clear();
+        self.pending.clear();
         self.latest = (*self.current).clone();
         self.freeze(FreezeReason::LogFailed(why));
     }
--- a/crates/core/zones/src/zone_store/reload.rs
+++ b/crates/core/zones/src/zone_store/reload.rs
@@ -50,7 +50,7 @@
             Self::SerialNotNewer { file, before } => {
                 write!(f, "the file's serial {file} is not newer than {before}, which was read before")
             }
-            Self::Unchanged => f.write_str("the file is the same as before"),
+            Self::Unchanged => f.write_str("the file's records did not change"),
         }
     }
 }
@@ -62,10 +62,10 @@
     pub base: Zone,
     /// The new base with the accepted changes applied.
     pub(super) merged: Zone,
-    /// The change from `seen` to `merged`.
+    /// The change from `prepared_from` to `merged`.
     pub(super) change: Change,
     /// The newest version when the preparation began.
-    pub(super) seen: Zone,
+    pub(super) prepared_from: Zone,
     /// Conflicts between the file and accepted updates.
     pub conflicts: Vec<ReloadConflict>,
 }
@@ -97,7 +97,7 @@
         let overlay = diff(&self.base, &self.latest);
         merge_changes(&mut merged, &overlay, Some((&self.base, &base)), &mut conflicts);
         let change = diff(&self.latest, &merged);
-        PreparedReload { base, merged, change, seen: self.latest.clone(), conflicts }
+        PreparedReload { base, merged, change, prepared_from: self.latest.clone(), conflicts }
     }
 }
 
@@ -116,11 +116,11 @@
         ready: PreparedReload,
     ) -> (ZoneLogEntry, Vec<ReloadConflict>, Vec<Zone>) {
         let mut conflicts = ready.conflicts.clone();
-        let retired = vec![self.base.clone(), self.latest.clone(), ready.seen.clone()];
-        let since = if ready.seen.is_same_version(&self.latest) {
+        let retired = vec![self.base.clone(), self.latest.clone(), ready.prepared_from.clone()];
+        let since = if ready.prepared_from.is_same_version(&self.latest) {
             Change { from: self.latest.serial(), to: self.latest.serial(), ..Change::default() }
         } else {
-            diff(&ready.seen, &self.latest)
+            diff(&ready.prepared_from, &self.latest)
         };
         // The serial never decreases, even if the file has an older one.
         let serial = reload_serial(self.latest.serial(), ready.base.serial());
@@ -145,13 +145,13 @@
         let mut touched: BTreeSet<&Name> = since.names().collect();
         touched.insert(merged.apex());
         let same = |record: &Record| !touched.contains(&record.name);
-        let mut whole = diff_at_names(&self.latest, &merged, touched.iter().copied());
-        whole.removed.extend(change.removed.into_iter().filter(same));
-        whole.added.extend(change.added.into_iter().filter(same));
+        let mut full_change = diff_at_names(&self.latest, &merged, touched.iter().copied());
+        full_change.removed.extend(change.removed.into_iter().filter(same));
+        full_change.added.extend(change.added.into_iter().filter(same));
         self.base = base;
         self.base_file = file;
         self.latest = merged;
-        self.reload_change = Some(Arc::new(whole));
+        self.reload_change = Some(Arc::new(full_change));
     }
 
     /// Installs a full version from a primary as both the base and the next version.
@@ -189,34 +189,34 @@
     bases: Option<(&Zone, &Zone)>,
     conflicts: &mut Vec<ReloadConflict>,
 ) {
-    let mut told: Vec<(Name, RecordType)> = Vec::new();
-    let mut meets = |record: &Record, conflicts: &mut Vec<ReloadConflict>| {
+    let mut reported: Vec<(Name, RecordType)> = Vec::new();
+    let mut report_conflict = |record: &Record, conflicts: &mut Vec<ReloadConflict>| {
         let Some((old, new)) = bases else { return };
         let at = (record.name.clone(), record.kind);
-        if old.set(&at.0, at.1) != new.set(&at.0, at.1) && !told.contains(&at) {
-            let what = "changed in the file and by updates; the updates stand on the file's records";
+        if old.set(&at.0, at.1) != new.set(&at.0, at.1) && !reported.contains(&at) {
+            let what = "changed both in the file and by updates; the updates take precedence";
             conflicts.push(ReloadConflict { name: at.0.clone(), kind: at.1, description: what });
-            told.push(at);
+            reported.push(at);
         }
     };
     for record in change.deleted_records().filter(|record| record.kind != RecordType::SOA) {
-        meets(record, conflicts);
+        report_conflict(record, conflicts);
         zone.remove(&record.name, record.kind, &record.data);
     }
     let before: BTreeSet<_> = change.removed.iter().map(Record::key).collect();
     for record in change.added.iter().filter(|record| record.kind != RecordType::SOA) {
         // An update that only changed a record's TTL must not bring the record back if the file dropped it.
-        let there =
+        let exists =
             |zone: &Zone| zone.set(&record.name, record.kind).is_some_and(|set| set.has(&record.data));
-        let fresh = !before.contains(&record.key());
-        if !fresh && !there(zone) {
+        let is_new = !before.contains(&record.key());
+        if !is_new && !exists(zone) {
             continue;
         }
-        if fresh {
-            meets(record, conflicts);
+        if is_new {
+            report_conflict(record, conflicts);
         }
         if zone.add(record).is_err() {
-            let what = "an updated record can't stand beside the file's; it is left out";
+            let what = "a record added by an update conflicts with the file's records; it is dropped";
             conflicts.push(ReloadConflict {
                 name: record.name.clone(),
                 kind: record.kind,
