--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,4 +1,4 @@
-//! `lynxtally lab`.
+//! The `lynxtally lab` commands: run, compare and explain experiments.
 
 use crate::{Failed, Format};
 use clap::Subcommand;
@@ -95,8 +95,8 @@
             let pairs: Vec<(f64, f64)> = one
                 .iter()
                 .filter_map(|record| {
-                    let twin = other.iter().find(|twin| twin.cell == record.cell)?;
-                    Some((record.service, twin.service))
+                    let counterpart = other.iter().find(|counterpart| counterpart.cell == record.cell)?;
+                    Some((record.service, counterpart.service))
                 })
                 .collect();
             if pairs.is_empty() {
@@ -117,11 +117,11 @@
             let spec = spec(&file)?;
             let (nodes, load) = (nodes.unwrap_or(spec.nodes[0]), load.unwrap_or(spec.loads[0]));
             let cell = Cell { policy, nodes, load, script, seed: seed.unwrap_or(spec.seeds[0]) };
-            let told = explain(&spec, &cell, task);
-            if told.is_empty() {
+            let lines = explain(&spec, &cell, task);
+            if lines.is_empty() {
                 return Err(Failed::Error(format!("the run has no task {task}")));
             }
-            told.iter().for_each(|line| println!("{line}"));
+            lines.iter().for_each(|line| println!("{line}"));
             Ok(())
         }
         Verb::Search { file, starts, steps, seed, threads, out } => {
--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -1,4 +1,4 @@
-//! `lynxtally names`.
+//! The `lynxtally names` commands: check, serve, query and change DNS zones.
 
 use crate::output::{print_answer, print_change};
 use crate::{updates, Failed, Format};
@@ -221,11 +221,11 @@
 }
 
 fn send_command(state: &Path, verb: &Control) -> Result<(), Failed> {
-    let said = control::ask(state, verb).map_err(|fault| {
+    let response = control::ask(state, verb).map_err(|fault| {
         failure(format!("can't reach the server with the state directory {}: {fault}", state.display()))
     })?;
-    println!("{said}");
-    if said.starts_with("{\"error\"") {
+    println!("{response}");
+    if response.starts_with("{\"error\"") {
         Err(Failed::CheckFailed)
     } else {
         Ok(())
@@ -350,7 +350,7 @@
         if show {
             println!("; snapshot: base {}, {} records changed since", snapshot.base, snapshot.overlay.len());
             println!(
-                "; {} changes kept, {} leases, {} repeats known",
+                "; {} changes kept, {} leases, {} known updates",
                 snapshot.history.len(),
                 snapshot.leases.len(),
                 snapshot.known_updates.len()
@@ -393,13 +393,13 @@
 fn show_entry(entry: &ZoneLogEntry) {
     match entry {
         ZoneLogEntry::Changed { change, lease, .. } => {
-            let held = if *lease > 0 { format!(", held for {lease} s") } else { String::new() };
+            let held = if *lease > 0 { format!(", lease {lease} s") } else { String::new() };
             println!("; {} to {}{held}", change.from, change.to);
             print_change(change);
         }
         ZoneLogEntry::Kept(records) => {
             for (name, kind, data) in records {
-                println!("; no longer held: {name} {kind} {}", kind.format_data(data));
+                println!("; lease released: {name} {kind} {}", kind.format_data(data));
             }
         }
         ZoneLogEntry::Based { base, serial, .. } => {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -24,11 +24,11 @@
             .map(|(n, all)| (n, all.iter().map(record_json).collect()))
             .collect();
         let reason = answered.reason.as_ref().map(|(code, text)| json!({"code": code, "text": text}));
-        let said = json!({
+        let response = json!({
             "code": Code(answered.code).to_string(), "authoritative": answered.authoritative, "reason": reason,
             "lease": answered.lease, "sections": sections,
         });
-        return println!("{said}");
+        return println!("{response}");
     }
     let kind = if answered.authoritative { "authoritative" } else { "not authoritative" };
     println!("; {}, {kind}", Code(answered.code));
@@ -36,7 +36,7 @@
         println!("; reason {code}: {text}");
     }
     if let Some(lease) = answered.lease {
-        println!("; held for {lease} s");
+        println!("; lease {lease} s");
     }
     for (name, records) in names.into_iter().zip(&answered.sections) {
         if !records.is_empty() {
--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -1,4 +1,4 @@
-//! `lynxtally stream`.
+//! The `lynxtally stream` commands: run a stream server and check its settings.
 
 use crate::Failed;
 use clap::Subcommand;
@@ -81,7 +81,7 @@
                 return;
             }
             if let Ok(counters) = response.recv() {
-                info!("{counters}");
+                info!("stream server counters: {counters}");
             }
         }
     });
