--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -89,7 +89,7 @@
 /// Runs a `lynxtally lab` command.
 pub fn run(verb: Verb, format: Format) -> Result<(), Failed> {
     match verb {
-        Verb::Run { file, out, threads } => experiment(&file, &out, threads),
+        Verb::Run { file, out, threads } => run_experiment(&file, &out, threads),
         Verb::Compare { one, other } => {
             let (one, other) = (records(&one)?, records(&other)?);
             let pairs: Vec<(f64, f64)> = one
@@ -129,7 +129,7 @@
             let found = search::search(&spec, starts, steps, seed, threads, |found| {
                 eprintln!("{:+.3} against {}", -found.loss(), found.best.0);
             });
-            let table = searched(&file, &spec, &found);
+            let table = search_table(&file, &spec, &found);
             print!("{table}");
             if let Some(out) = out {
                 std::fs::write(&out, &table).map_err(|fault| format!("{}: {fault}", out.display()))?;
@@ -160,7 +160,7 @@
     }
 }
 
-fn searched(file: &Path, spec: &Spec, found: &[search::Found]) -> String {
+fn search_table(file: &Path, spec: &Spec, found: &[search::Found]) -> String {
     let first = &spec.policies[0];
     let mut out = format!(
         "# Where {first} loses most\n\nMade by `lynxtally lab search {}`: simulated time, {} nodes, seeds {:?}; each row is the \
@@ -200,7 +200,7 @@
     out
 }
 
-fn experiment(file: &Path, out: &Path, threads: usize) -> Result<(), Failed> {
+fn run_experiment(file: &Path, out: &Path, threads: usize) -> Result<(), Failed> {
     let spec = spec(file)?;
     let io = |fault: std::io::Error| format!("{}: {fault}", out.display());
     std::fs::create_dir_all(out).map_err(io)?;
--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -197,7 +197,7 @@
         }
         Verb::Transfer { server, zone, since } => transfer(&server.client()?, &zone, since),
         Verb::Diff { old, new, apex } => {
-            let read = |path: &Path| zone_of(path, apex.as_ref());
+            let read = |path: &Path| read_zone(path, apex.as_ref());
             let change = diff(&read(&old)?, &read(&new)?);
             print_change(&change);
             if change.is_empty() {
@@ -240,7 +240,7 @@
     Ok(zone_file::read(&shown, &text, apex, limits, &mut |name| server::include(&folder, name)))
 }
 
-fn zone_of(path: &Path, apex: Option<&Name>) -> Result<Zone, Failed> {
+fn read_zone(path: &Path, apex: Option<&Name>) -> Result<Zone, Failed> {
     let read = read_file(path, apex, usize::MAX)?;
     read.faults.iter().for_each(|fault| eprintln!("{fault}"));
     match read.unusable {
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Steps {
     /// The prerequisites.
-    pub needs: Vec<UpdateRecord>,
+    pub prerequisites: Vec<UpdateRecord>,
     /// The operations.
-    pub edits: Vec<UpdateRecord>,
+    pub operations: Vec<UpdateRecord>,
 }
 
 /// Splits a step into tokens; blanks within quotes do not separate tokens.
@@ -50,14 +50,14 @@
         let word = |n: usize| words.get(n).map(|word| String::from_utf8_lossy(word.text).into_owned());
         let verb = word(0).ok_or("an empty step")?;
         let name = words.get(1).ok_or("a name is missing")?;
-        let name = Name::parse(name.text, Some(zone)).map_err(|bad| bad.to_string())?;
+        let name = Name::parse(name.text, Some(zone)).map_err(|error| error.to_string())?;
         let kind = |n: usize| {
             word(n)
                 .map(|text| RecordType::parse(&text).ok_or_else(|| format!("{text:?} is not a record type")))
                 .transpose()
         };
         let data = |kind: RecordType, from: usize| {
-            kind.parse_data(&words[from..], Some(zone)).map_err(|bad| bad.reason)
+            kind.parse_data(&words[from..], Some(zone)).map_err(|error| error.reason)
         };
         let raw =
             |kind: RecordType, class, ttl, data| UpdateRecord { name: name.clone(), kind, class, ttl, data };
@@ -68,21 +68,24 @@
                     .and_then(|word| read_time(word.text))
                     .ok_or("the TTL is missing or invalid")?;
                 let kind = kind(3)?.ok_or("the record type is missing")?;
-                self.edits.push(raw(kind, UpdateClass::Zone, ttl, data(kind, 4)?));
+                self.operations.push(raw(kind, UpdateClass::Zone, ttl, data(kind, 4)?));
             }
-            "del" => self.edits.push(match kind(2)? {
+            "del" => self.operations.push(match kind(2)? {
                 None => raw(RecordType::ANY, UpdateClass::Any, 0, Vec::new()),
                 Some(kind) if words.len() == 3 => raw(kind, UpdateClass::Any, 0, Vec::new()),
                 Some(kind) => raw(kind, UpdateClass::None, 0, data(kind, 3)?),
             }),
-            "need" => self.needs.push(match kind(2)? {
+            "need" => self.prerequisites.push(match kind(2)? {
                 None => raw(RecordType::ANY, UpdateClass::Any, 0, Vec::new()),
                 Some(kind) if words.len() == 3 => raw(kind, UpdateClass::Any, 0, Vec::new()),
                 Some(kind) => raw(kind, UpdateClass::Zone, 0, data(kind, 3)?),
             }),
-            "need-not" => {
-                self.needs.push(raw(kind(2)?.unwrap_or(RecordType::ANY), UpdateClass::None, 0, Vec::new()))
-            }
+            "need-not" => self.prerequisites.push(raw(
+                kind(2)?.unwrap_or(RecordType::ANY),
+                UpdateClass::None,
+                0,
+                Vec::new(),
+            )),
             other => return Err(format!("unknown step {other:?}; expected add, del, need or need-not")),
         }
         Ok(())
@@ -115,8 +118,8 @@
     }
     let question = Question {
         opcode: 5,
-        needs: &all.needs,
-        edits: &all.edits,
+        needs: &all.prerequisites,
+        edits: &all.operations,
         lease,
         ..lynxtally_dns::client::query(rand::rng().random(), zone, RecordType::SOA)
     };
--- a/crates/core/zones/src/record_data.rs
+++ b/crates/core/zones/src/record_data.rs
@@ -78,7 +78,7 @@
     /// An invalid name: the error and the token.
     Name(NameError, String),
     /// Another invalid value: the token and what the field expects.
-    Not(String, &'static str),
+    InvalidValue(String, &'static str),
 }
 
 impl fmt::Display for FieldError {
@@ -87,7 +87,7 @@
             Self::Escape => f.write_str("a backslash that begins no escape"),
             Self::LongString => f.write_str("a string of over 255 octets"),
             Self::Name(fault, word) => write!(f, "{fault}: {word:?}"),
-            Self::Not(word, what) => write!(f, "{word:?} is not a valid {what}"),
+            Self::InvalidValue(word, what) => write!(f, "{word:?} is not a valid {what}"),
         }
     }
 }
@@ -100,7 +100,7 @@
     Ok(())
 }
 
-fn parsed<T: std::str::FromStr>(text: &[u8]) -> Option<T> {
+fn parse_as<T: std::str::FromStr>(text: &[u8]) -> Option<T> {
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
@@ -108,45 +108,46 @@
     /// Parses one token and appends its wire form to `out`.
     fn read(self, word: Token, origin: Option<&Name>, out: &mut Vec<u8>) -> Result<(), FieldError> {
         let text = word.text;
-        let shown = || String::from_utf8_lossy(text).into_owned();
-        let none = |what: &'static str| FieldError::Not(shown(), what);
+        let token_text = || String::from_utf8_lossy(text).into_owned();
+        let invalid = |what: &'static str| FieldError::InvalidValue(token_text(), what);
         match self {
             Self::Name => {
-                let name = Name::parse(text, origin).map_err(|fault| FieldError::Name(fault, shown()))?;
+                let name =
+                    Name::parse(text, origin).map_err(|fault| FieldError::Name(fault, token_text()))?;
                 out.extend_from_slice(name.wire());
             }
-            Self::U8 => out.push(number(text).ok_or_else(|| none("number from 0 to 255"))?),
+            Self::U8 => out.push(number(text).ok_or_else(|| invalid("number from 0 to 255"))?),
             Self::U16 => {
-                let value: u16 = number(text).ok_or_else(|| none("number from 0 to 65535"))?;
+                let value: u16 = number(text).ok_or_else(|| invalid("number from 0 to 65535"))?;
                 out.extend(value.to_be_bytes());
             }
             Self::U32 => {
-                let value: u32 = number(text).ok_or_else(|| none("number of 32 bits"))?;
+                let value: u32 = number(text).ok_or_else(|| invalid("number from 0 to 4294967295"))?;
                 out.extend(value.to_be_bytes());
             }
             Self::Time => {
-                let value = read_time(text).ok_or_else(|| none("time in seconds"))?;
+                let value = read_time(text).ok_or_else(|| invalid("time in seconds"))?;
                 out.extend(value.to_be_bytes());
             }
             Self::V4 => {
-                let address: Ipv4Addr = parsed(text).ok_or_else(|| none("IPv4 address"))?;
+                let address: Ipv4Addr = parse_as(text).ok_or_else(|| invalid("IPv4 address"))?;
                 out.extend(address.octets());
             }
             Self::V6 => {
-                let address: Ipv6Addr = parsed(text).ok_or_else(|| none("IPv6 address"))?;
+                let address: Ipv6Addr = parse_as(text).ok_or_else(|| invalid("IPv6 address"))?;
                 out.extend(address.octets());
             }
             Self::Text | Self::Texts => string(out, text)?,
             Self::Tag => {
                 if text.is_empty() || !text.iter().all(u8::is_ascii_alphanumeric) {
-                    return Err(none("word of letters and digits"));
+                    return Err(invalid("word of letters and digits"));
                 }
                 string(out, text)?;
             }
-            Self::Bare => {
+            Self::UnprefixedText => {
                 out.extend(octets(text).ok_or(FieldError::Escape)?);
             }
-            Self::Base64 | Self::Hex => unreachable!("read with all words that are left"),
+            Self::Base64 | Self::Hex => unreachable!("base64 and hex fields are decoded by parse_data"),
         }
         Ok(())
     }
@@ -172,7 +173,7 @@
                 }
                 (at == data.len() && at > 0).then_some(at)
             }
-            Self::Bare | Self::Base64 | Self::Hex => Some(data.len()),
+            Self::UnprefixedText | Self::Base64 | Self::Hex => Some(data.len()),
         }
     }
 
@@ -192,7 +193,7 @@
             }
             Self::Text => quoted(&data[1..], f),
             Self::Tag => f.write_str(&String::from_utf8_lossy(&data[1..])),
-            Self::Bare => quoted(data, f),
+            Self::UnprefixedText => quoted(data, f),
             Self::Texts => {
                 let mut at = 0;
                 while at < data.len() {
--- a/crates/core/zones/src/record_type.rs
+++ b/crates/core/zones/src/record_type.rs
@@ -27,12 +27,12 @@
     /// A non-empty string of letters and digits with a length octet, such as the property tag of a CAA record.
     Tag,
     /// The rest of the data as one string without a length octet.
-    Bare,
+    UnprefixedText,
     Base64,
     Hex,
 }
 
-macro_rules! kinds {
+macro_rules! record_types {
     ($($name:ident = $number:literal: $($field:ident)*;)*) => {
         impl RecordType {
             $(#[doc = concat!("The type `", stringify!($name), "`.")] pub const $name: RecordType = RecordType($number);)*
@@ -61,7 +61,7 @@
     };
 }
 
-kinds! {
+record_types! {
     A = 1: V4;
     NS = 2: Name;
     CNAME = 5: Name;
@@ -84,8 +84,8 @@
     SMIMEA = 53: U8 U8 U8 Hex;
     OPENPGPKEY = 61: Base64;
     SPF = 99: Texts;
-    URI = 256: U16 U16 Bare;
-    CAA = 257: U8 Tag Bare;
+    URI = 256: U16 U16 UnprefixedText;
+    CAA = 257: U8 Tag UnprefixedText;
 }
 
 impl RecordType {
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -37,12 +37,12 @@
         f.write_str(match self {
             Self::Malformed => "the message violates RFC 2136",
             Self::OutOfZone => "a name is outside the zone",
-            Self::NameMissing => "a name that must be in use is not",
-            Self::NameExists => "a name that must not be in use is",
-            Self::SetMissing => "a set that must be there is not",
-            Self::SetExists => "a set that must not be there is",
-            Self::NotAllowed => "the key may not change this",
-            Self::Frozen => "the zone takes no updates now",
+            Self::NameMissing => "a name that must be in use has no records",
+            Self::NameExists => "a name that must not be in use has records",
+            Self::SetMissing => "a record set that must exist is missing or has other records",
+            Self::SetExists => "a record set that must not exist does exist",
+            Self::NotAllowed => "the key is not permitted to make this change",
+            Self::Frozen => "the zone accepts no updates at present",
         })
     }
 }
--- a/crates/core/zones/src/zone_file/mod.rs
+++ b/crates/core/zones/src/zone_file/mod.rs
@@ -74,7 +74,7 @@
     let file: Arc<str> = file.into();
     let mut reader = Reader {
         zone: apex.cloned().map(Zone::new),
-        early: Vec::new(),
+        before_soa: Vec::new(),
         origin: apex.cloned(),
         owner: LastOwner::None,
         ttl_default: None,
@@ -87,8 +87,8 @@
         include,
     };
     reader.text(&file, text, 0);
-    let mut early = std::mem::take(&mut reader.early);
-    for (_, file, position) in early.drain(..) {
+    let mut before_soa = std::mem::take(&mut reader.before_soa);
+    for (_, file, position) in before_soa.drain(..) {
         reader.refuse(&file, position, "the zone of the record is unknown because no SOA follows".to_owned());
     }
     let Reader { zone, faults, refused, mut unusable, .. } = reader;
--- a/crates/core/zones/src/zone_file/reader.rs
+++ b/crates/core/zones/src/zone_file/reader.rs
@@ -23,7 +23,7 @@
 pub(super) struct Reader<'a> {
     pub(super) zone: Option<Zone>,
     /// Records before the SOA, while the apex is not known.
-    pub(super) early: Vec<(Record, Arc<str>, Position)>,
+    pub(super) before_soa: Vec<(Record, Arc<str>, Position)>,
     pub(super) origin: Option<Name>,
     pub(super) owner: LastOwner,
     pub(super) ttl_default: Option<u32>,
@@ -49,14 +49,14 @@
         let mut scanner = Scanner::new(text);
         let (mut words, mut positions) = (Vec::new(), Vec::new());
         while let Some(entry) = scanner.entry(&mut words, &mut positions) {
-            let taken = match entry {
+            let result = match entry {
                 Ok(LineStart::Owner) if words[0].text.first() == Some(&b'$') && !words[0].quoted => {
                     self.directive(&words, &positions, depth)
                 }
                 Ok(line_start) => self.record(file, line_start, &words, &positions),
                 Err(fault) => Err(fault),
             };
-            if let Err(fault) = taken {
+            if let Err(fault) = result {
                 self.refuse(file, fault.position, fault.reason);
             }
         }
@@ -80,7 +80,7 @@
             b"$ORIGIN" => {
                 too_many(2)?;
                 let name = Name::parse(word(1, "the origin")?, self.origin.as_ref());
-                self.origin = Some(name.map_err(|bad| EntryError::new(position_of(1), bad.to_string()))?);
+                self.origin = Some(name.map_err(|error| EntryError::new(position_of(1), error.to_string()))?);
             }
             b"$TTL" => {
                 too_many(2)?;
@@ -109,7 +109,8 @@
                 let owner_before = self.owner.clone();
                 if let Some(origin) = words.get(2) {
                     let name = Name::parse(origin.text, self.origin.as_ref());
-                    self.origin = Some(name.map_err(|bad| EntryError::new(position_of(2), bad.to_string()))?);
+                    self.origin =
+                        Some(name.map_err(|error| EntryError::new(position_of(2), error.to_string()))?);
                 }
                 let text = (self.include)(&path)
                     .map_err(|why| EntryError::new(position_of(1), format!("{path:?}: {why}")));
@@ -159,7 +160,7 @@
             n = 1;
             let name = Name::parse(words[0].text, self.origin.as_ref());
             self.owner = name.as_ref().map_or(LastOwner::Refused, |name| LastOwner::Known(name.clone()));
-            name.map_err(|bad| EntryError::new(position_of(0), bad.to_string()))?
+            name.map_err(|error| EntryError::new(position_of(0), error.to_string()))?
         };
         let (mut ttl, mut class) = (None, false);
         let kind = loop {
@@ -190,7 +191,7 @@
         }
         let data = kind
             .parse_data(&words[n..], self.origin.as_ref())
-            .map_err(|bad| EntryError::new(position_of(n + bad.token_index), bad.reason))?;
+            .map_err(|error| EntryError::new(position_of(n + error.token_index), error.reason))?;
         if kind == RecordType::SOA {
             self.minimum = Soa::parse(&data).map(|soa| soa.minimum);
         }
@@ -205,12 +206,12 @@
         let record = Record { name, kind, ttl, data };
         if self.zone.is_none() {
             if kind != RecordType::SOA {
-                self.early.push((record, file.clone(), position_of(0)));
+                self.before_soa.push((record, file.clone(), position_of(0)));
                 return Ok(());
             }
             self.zone = Some(Zone::new(record.name.clone()));
             let added = self.add(file, position_of(0), &record);
-            for (record, file, position) in std::mem::take(&mut self.early) {
+            for (record, file, position) in std::mem::take(&mut self.before_soa) {
                 if let Err(fault) = self.add(&file, position, &record) {
                     self.refuse(&file, fault.position, fault.reason);
                 }
