--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -52,11 +52,13 @@
     limits: LeaseLimits,
     by_record: BTreeMap<LeasedRecord, Lease>,
     by_time: BTreeSet<(Instant, LeasedRecord)>,
-    /// Numbers of renewed and of expired leases; both decay exponentially over `usual`, the typical lease
+    /// Numbers of renewed and of expired leases; both decay exponentially over the typical lease
     /// duration.
     renewed: f64,
     expired: f64,
+    /// When `renewed` and `expired` were last decayed.
     decayed_at: Instant,
+    /// The longest lease duration since the table was last empty; counts decay over this time.
     typical_duration: Span,
     /// When addresses of a name were removed, for one lease duration back.
     recent_removals: BTreeMap<Name, Vec<Instant>>,
--- a/crates/core/zones/src/lib.rs
+++ b/crates/core/zones/src/lib.rs
@@ -2,8 +2,8 @@
 //! records (RFC 9664), zone transfers (RFC 5936, RFC 1995) and the decisions about them. The wire format and sockets
 //! belong to the DNS frontend.
 //!
-//! [`zone_store::ZoneStore`] holds one zone; [`lookup::lookup`] answers a question from one version of it;
-//! [`secondary`] keeps a zone in step with its primaries; [`rate_limit`] finds the clients that ask too much.
+//! [`zone_store::ZoneStore`] holds one zone; [`lookup::lookup`] answers a query from one version of it;
+//! [`secondary`] keeps a zone in step with its primaries; [`rate_limit`] finds the clients that exceed their share of requests.
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/zones/src/rate_limit.rs
+++ b/crates/core/zones/src/rate_limit.rs
@@ -24,7 +24,7 @@
 }
 
 /// Part of a count that remains after each period; a count thus covers about two periods.
-const DECAY_PER_PERIOD: f32 = 0.5;
+const REMAINDER_PER_PERIOD: f32 = 0.5;
 
 /// The prefix by which clients are counted: 24 bits of an IPv4 address, 56 bits of an IPv6 address.
 pub fn prefix(address: IpAddr) -> u64 {
@@ -76,7 +76,7 @@
     fn decayed_count((count, period): (f32, u32), now: u32) -> f32 {
         match now.saturating_sub(period) {
             0 => count,
-            past => count * DECAY_PER_PERIOD.powi(past.min(64) as i32),
+            past => count * REMAINDER_PER_PERIOD.powi(past.min(64) as i32),
         }
     }
 
@@ -105,7 +105,8 @@
     }
 
     fn total_at(&self, period: u32) -> f64 {
-        self.total * f64::from(DECAY_PER_PERIOD.powi(period.saturating_sub(self.total_period).min(64) as i32))
+        self.total
+            * f64::from(REMAINDER_PER_PERIOD.powi(period.saturating_sub(self.total_period).min(64) as i32))
     }
 
     /// The decayed count of all requests.
--- a/crates/core/zones/src/secondary/notify.rs
+++ b/crates/core/zones/src/secondary/notify.rs
@@ -63,7 +63,7 @@
         all
     }
 
-    /// Records an acknowledgement from a secondary. One for another serial is ignored.
+    /// Called when a secondary acknowledged the NOTIFY. An acknowledgement for another serial is ignored.
     pub fn acknowledged(&mut self, target: usize, serial: Option<Serial>) {
         if let Some(target) =
             self.targets.get_mut(target).filter(|_| serial.is_none() || serial == self.serial)
--- a/crates/core/zones/src/secondary/refresh.rs
+++ b/crates/core/zones/src/secondary/refresh.rs
@@ -22,14 +22,18 @@
 #[derive(Clone, Debug)]
 pub struct SecondaryZone {
     times: RetryTimes,
+    /// Number of primaries.
     primaries: usize,
+    /// The index of the primary that is queried next.
     primary: usize,
     rng: Pcg,
     /// The SOA of the version that the secondary has; none before the first transfer.
     soa: Option<Soa>,
     /// When a primary last confirmed that the version is up to date.
     confirmed_at: Instant,
+    /// When the next query or transfer is due.
     due: Instant,
+    /// Number of consecutive failures.
     failures: u32,
     /// The timeout of the query or transfer in progress.
     timeout_at: Option<Instant>,
@@ -125,14 +129,14 @@
         None
     }
 
-    /// Records that the version with this SOA is served now.
+    /// Called after a transfer, when the version with this SOA is in force.
     pub fn transfer_completed(&mut self, now: Instant, soa: Soa) {
         self.soa = Some(soa);
         self.needs_full_transfer = false;
         self.confirmed(now);
     }
 
-    /// Records that an IXFR could not be applied; an AXFR follows at once.
+    /// Called when an IXFR could not be applied; an AXFR follows at once.
     pub fn incremental_failed(&mut self, now: Instant) {
         self.needs_full_transfer = true;
         self.timeout_at = None;
@@ -151,7 +155,7 @@
         self.due = if std::mem::take(&mut self.notify_pending) { now } else { now + refresh * jitter };
     }
 
-    /// Records that a query or transfer failed; the next primary is queried after an exponential delay.
+    /// Called when a query or transfer failed; the next primary is queried after an exponential delay.
     pub fn step_failed(&mut self, now: Instant) {
         self.timeout_at = None;
         self.notify_pending = false;
--- a/crates/core/zones/src/zone.rs
+++ b/crates/core/zones/src/zone.rs
@@ -58,7 +58,7 @@
         Self { apex, apex_labels, root, records: 0, names: 0 }
     }
 
-    /// Its topmost name.
+    /// The topmost name of the zone.
     pub fn apex(&self) -> &Name {
         &self.apex
     }
--- a/crates/core/zones/src/zone_store/mod.rs
+++ b/crates/core/zones/src/zone_store/mod.rs
@@ -378,7 +378,7 @@
         (entry, expiry)
     }
 
-    /// Records that an entry was appended to the log. Its version comes into force once all entries below `up_to`
+    /// Called after an entry was appended to the log. Its version comes into force once all entries below `up_to`
     /// are durable.
     pub fn entry_appended(&mut self, up_to: u64, entry: &ZoneLogEntry) {
         let change =
@@ -386,7 +386,7 @@
         self.pending.push_back((up_to, Arc::new(self.latest.clone()), change));
     }
 
-    /// Records that all entries below `up_to` are durable; returns whether a newer version came into force.
+    /// Called once all entries below `up_to` are durable; returns whether a newer version came into force.
     pub fn entries_durable(&mut self, up_to: u64) -> bool {
         let mut advanced = false;
         while let Some((_, zone, change)) = self.pending.pop_front_if(|(number, ..)| *number <= up_to) {
