--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,4 +1,4 @@
-//! `lynxtally lab`.
+//! The `lynxtally lab` commands: run, compare and explain experiments.
 
 use crate::{Failed, Format};
 use clap::Subcommand;
@@ -7,70 +7,71 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// What can be done in the lab.
+/// Commands for experiments.
 #[derive(Subcommand)]
 pub enum Verb {
-    /// Do an experiment on the emulated fleet; what was done before is not done again.
+    /// Run an experiment on the emulated fleet; runs whose records exist already are not repeated
     Run {
-        /// What is compared, as a template.
+        /// The experiment's specification, a template
         file: PathBuf,
-        /// Where records, tables and charts go.
+        /// Directory for records, tables and charts
         #[arg(long, default_value = "docs/results")]
         out: PathBuf,
-        /// Threads.
+        /// Number of threads
         #[arg(long, default_value_t = std::thread::available_parallelism().map_or(4, usize::from))]
         threads: usize,
     },
-    /// Compare the records of two builds, pair by pair of the same runs.
+    /// Compare the records of two builds, over the runs that both have
     Compare {
-        /// The records of the one.
+        /// Records of the first build
         one: PathBuf,
-        /// The records of the other.
+        /// Records of the second build
         other: PathBuf,
     },
-    /// Tell what happened to one task of a run.
+    /// Print what happened to one task of a run
     Explain {
-        /// The experiment.
+        /// The experiment's specification
         file: PathBuf,
-        /// The task, by its number.
+        /// The task's number
         task: u32,
-        /// What decides.
+        /// The scheduling policy
         #[arg(long, default_value = "module")]
         policy: String,
-        /// The script.
+        /// The fault script
         #[arg(long, default_value = "calm")]
         script: String,
-        /// Nodes; else the first level.
+        /// Number of nodes; by default the first one of the specification
         #[arg(long)]
         nodes: Option<usize>,
-        /// Load; else the first level.
+        /// Load; by default the first one of the specification
         #[arg(long)]
         load: Option<f64>,
-        /// Seed; else the first.
+        /// Seed; by default the first one of the specification
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Search for the scenario on which the first policy loses most against the best of the others.
+    /// Search for the scenario in which the first policy loses most against the best of the others
     Search {
-        /// The experiment: its fleet, stages, policies and seeds; loads between its least and its most.
+        /// The specification: its fleet, stages, policies and seeds apply; loads between its lowest and its
+        /// highest are tried
         file: PathBuf,
-        /// So many starts.
+        /// Number of starting points
         #[arg(long, default_value_t = 16)]
         starts: usize,
-        /// Steps from each.
+        /// Number of search steps from each starting point
         #[arg(long, default_value_t = 20)]
         steps: usize,
-        /// The search's own seed.
+        /// Seed of the search itself
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// Threads.
+        /// Number of threads
         #[arg(long, default_value_t = std::thread::available_parallelism().map_or(4, usize::from))]
         threads: usize,
-        /// Where the table goes, beside standard output.
+        /// File for the result table, which is also printed
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Compare the emulator's models with results that are known.
+    /// Check the emulator's models against known results
     Check,
 }
 
@@ -85,21 +86,21 @@
     serde_json::from_str(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-/// Does it.
+/// Runs a `lynxtally lab` command.
 pub fn run(verb: Verb, format: Format) -> Result<(), Failed> {
     match verb {
-        Verb::Run { file, out, threads } => experiment(&file, &out, threads),
+        Verb::Run { file, out, threads } => run_experiment(&file, &out, threads),
         Verb::Compare { one, other } => {
             let (one, other) = (records(&one)?, records(&other)?);
             let pairs: Vec<(f64, f64)> = one
                 .iter()
                 .filter_map(|record| {
-                    let twin = other.iter().find(|twin| twin.cell == record.cell)?;
-                    Some((record.service, twin.service))
+                    let counterpart = other.iter().find(|counterpart| counterpart.cell == record.cell)?;
+                    Some((record.service, counterpart.service))
                 })
                 .collect();
             if pairs.is_empty() {
-                return Err(Failed::Usage("the two have no run in common".to_owned()));
+                return Err(Failed::Error("the two record files have no run in common".to_owned()));
             }
             let (a, b): (Vec<f64>, Vec<f64>) = pairs.into_iter().unzip();
             let (by, verdict) = stats::compare(&a, &b);
@@ -116,11 +117,11 @@
             let spec = spec(&file)?;
             let (nodes, load) = (nodes.unwrap_or(spec.nodes[0]), load.unwrap_or(spec.loads[0]));
             let cell = Cell { policy, nodes, load, script, seed: seed.unwrap_or(spec.seeds[0]) };
-            let told = explain(&spec, &cell, task);
-            if told.is_empty() {
-                return Err(Failed::Usage(format!("the run has no task {task}")));
+            let lines = explain(&spec, &cell, task);
+            if lines.is_empty() {
+                return Err(Failed::Error(format!("the run has no task {task}")));
             }
-            told.iter().for_each(|line| println!("{line}"));
+            lines.iter().for_each(|line| println!("{line}"));
             Ok(())
         }
         Verb::Search { file, starts, steps, seed, threads, out } => {
@@ -128,7 +129,7 @@
             let found = search::search(&spec, starts, steps, seed, threads, |found| {
                 eprintln!("{:+.3} against {}", -found.loss(), found.best.0);
             });
-            let table = searched(&file, &spec, &found);
+            let table = search_table(&file, &spec, &found);
             print!("{table}");
             if let Some(out) = out {
                 std::fs::write(&out, &table).map_err(|fault| format!("{}: {fault}", out.display()))?;
@@ -153,13 +154,13 @@
             }
             match checks.iter().all(check::Check::holds) {
                 true => Ok(()),
-                false => Err(Failed::Wrong),
+                false => Err(Failed::CheckFailed),
             }
         }
     }
 }
 
-fn searched(file: &Path, spec: &Spec, found: &[search::Found]) -> String {
+fn search_table(file: &Path, spec: &Spec, found: &[search::Found]) -> String {
     let first = &spec.policies[0];
     let mut out = format!(
         "# Where {first} loses most\n\nMade by `lynxtally lab search {}`: simulated time, {} nodes, seeds {:?}; each row is the \
@@ -199,12 +200,12 @@
     out
 }
 
-fn experiment(file: &Path, out: &Path, threads: usize) -> Result<(), Failed> {
+fn run_experiment(file: &Path, out: &Path, threads: usize) -> Result<(), Failed> {
     let spec = spec(file)?;
     let io = |fault: std::io::Error| format!("{}: {fault}", out.display());
     std::fs::create_dir_all(out).map_err(io)?;
     let kept = out.join(format!("{}.json", spec.name));
-    // Records that can't be read are not thrown away unseen.
+    // An unreadable record file is an error, so that its records are not overwritten.
     let done = if kept.exists() { records(&kept)? } else { Vec::new() };
     let (all, count) = (spec.cells().len(), AtomicUsize::new(0));
     let all_records = run_all(&spec, &done, threads, |record| {
@@ -241,9 +242,9 @@
     for record in broken.iter().take(5) {
         println!("{:?}: {}", record.cell, record.violations.join("; "));
     }
-    // A baseline may break what it never promised; the module may not.
+    // Only violations by the module count as failures: the baselines give no guarantees.
     match broken.iter().any(|record| record.cell.policy == "module") {
-        true => Err(Failed::Wrong),
+        true => Err(Failed::CheckFailed),
         false => Ok(()),
     }
 }
--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -1,4 +1,4 @@
-//! `lynxtally names`.
+//! The `lynxtally names` commands: check, serve, query and change DNS zones.
 
 use crate::output::{print_answer, print_change};
 use crate::{updates, Failed, Format};
@@ -9,7 +9,7 @@
 use lynxtally_dns::settings::{self, CheckedSettings};
 use lynxtally_dns::tsig::Key;
 use lynxtally_wal::WriteAheadLog;
-use lynxtally_zones::change::between;
+use lynxtally_zones::change::diff;
 use lynxtally_zones::secondary::TransferResult;
 use lynxtally_zones::zone_file;
 use lynxtally_zones::zone_store::{decode, Snapshot, ZoneLogEntry};
@@ -23,135 +23,135 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What can be done about names.
+/// Commands for DNS zones.
 #[derive(Subcommand)]
 pub enum Verb {
-    /// Check zone files: a line for each record that is refused, then how many were kept.
+    /// Check zone files: print each refused record, then the numbers of accepted and refused ones
     Check {
-        /// The files.
+        /// The zone files
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// The zone's topmost name; else the SOA's owner is it.
+        /// Apex of the zone; by default the owner of the SOA
         #[arg(long)]
         apex: Option<Name>,
-        /// With more refused records than this a file is of no use.
+        /// Maximum number of refused records in a usable file
         #[arg(long, default_value_t = usize::MAX)]
         refused_most: usize,
     },
-    /// Serve names until told to leave (SIGTERM); SIGHUP has all files read again.
+    /// Run a DNS server until SIGTERM or SIGINT; SIGHUP reloads all zone files
     Serve {
-        /// The settings.
+        /// The server's settings
         #[arg(long)]
         settings: PathBuf,
     },
-    /// Ask a server.
+    /// Send a query to a server
     Query {
         #[command(flatten)]
         server: Server,
-        /// The name.
+        /// The name to query
         name: Name,
-        /// The kind of record.
+        /// The record type
         #[arg(default_value = "A", value_parser = kind)]
         kind: RecordType,
-        /// Over a connection from the start.
+        /// Use TCP instead of UDP
         #[arg(long)]
         tcp: bool,
     },
-    /// Change records: steps from the line or from a file, all of them or none.
+    /// Send an update; all its steps are applied, or none
     Update {
         #[command(flatten)]
         server: Server,
-        /// The zone.
+        /// The zone to update
         #[arg(long)]
         zone: Name,
-        /// For how many seconds what is added is held unless it is renewed.
+        /// Lease of the added records in seconds; they are removed unless the lease is renewed
         #[arg(long)]
         lease: Option<u32>,
-        /// A file with steps, one a line.
+        /// A file with one step per line
         #[arg(long)]
         file: Option<PathBuf>,
-        /// A step, such as `add www 300 A 192.0.2.1`, `del www A`, `need www A`, `need-not www`; the owners are
-        /// relative to the zone. Several are separated by `;`.
+        /// A step, such as `add www 300 A 192.0.2.1`, `del www A`, `need www A` or `need-not www`. Names are
+        /// relative to the zone. Several steps are separated by `;`
         steps: Vec<String>,
     },
-    /// Have a zone transferred, as a zone file or as what changed.
+    /// Transfer a zone and print it as a zone file, or print its changes
     Transfer {
         #[command(flatten)]
         server: Server,
-        /// The zone.
+        /// The zone to transfer
         zone: Name,
-        /// Only what changed since this version.
+        /// Print only the changes since this serial
         #[arg(long)]
         since: Option<u32>,
     },
-    /// Tell in which records two zone files differ.
+    /// Print the records in which two zone files differ
     Diff {
-        /// The older one.
+        /// The older file
         old: PathBuf,
-        /// The newer one.
+        /// The newer file
         new: PathBuf,
-        /// The zone's topmost name; else the SOA's owner is it.
+        /// Apex of the zone; by default the owner of the SOA
         #[arg(long)]
         apex: Option<Name>,
     },
-    /// Have a running server take no updates for a zone.
+    /// Make a running server refuse updates to a zone
     Freeze(Running),
-    /// Have it take them again.
+    /// Make a running server accept updates to a zone again
     Thaw(Running),
-    /// Have it read the zone's file again.
+    /// Make a running server reload a zone file
     Reread(Running),
-    /// Ask how a running server stands.
+    /// Print the state of a running server
     Status {
-        /// The settings it was started with.
+        /// The settings that the server was started with
         #[arg(long)]
         settings: PathBuf,
     },
-    /// The logs of zones.
+    /// Logs of zones
     #[command(subcommand)]
     Journal(JournalVerb),
 }
 
-/// What can be done about logs.
+/// Commands for the logs of zones.
 #[derive(Subcommand)]
 pub enum JournalVerb {
-    /// Write each step that is on a zone's log.
+    /// Print each entry of a zone's log
     Show(Running),
-    /// Read a zone's log through and say what is wrong with it; nothing is changed.
+    /// Check a zone's log for damage without changing it
     Verify(Running),
-    /// Have a running server shorten a zone's log by a snapshot.
+    /// Make a running server replace a zone's log by a snapshot
     Compact(Running),
 }
 
-/// A zone of a server.
+/// A zone of a configured server.
 #[derive(Args)]
 pub struct Running {
-    /// The settings of the server.
+    /// The server's settings
     #[arg(long)]
     settings: PathBuf,
-    /// The zone.
+    /// The zone
     zone: Name,
 }
 
-/// A server to ask.
+/// The server to contact.
 #[derive(Args)]
 pub struct Server {
-    /// Its address and port.
+    /// Address and port of the server
     #[arg(long, default_value = "127.0.0.1:53")]
     server: SocketAddr,
-    /// A file with the key that signs; of several the first.
+    /// File with the TSIG key; if it has several, the first one is used
     #[arg(long)]
     key: Option<PathBuf>,
-    /// How long an answer is waited for, in milliseconds.
+    /// Time to wait for a response, in milliseconds
     #[arg(long, default_value_t = 5000)]
     patience_ms: u64,
 }
 
 fn kind(text: &str) -> Result<RecordType, String> {
-    RecordType::parse(text).ok_or_else(|| format!("{text:?} is no kind of record"))
+    RecordType::parse(text).ok_or_else(|| format!("{text:?} is not a record type"))
 }
 
 impl Server {
-    /// One that asks it.
+    /// Creates a client for the server.
     pub fn client(&self) -> Result<Client, Failed> {
         let key = match &self.key {
             None => None,
@@ -165,17 +165,17 @@
     }
 }
 
-/// Reads and checks the settings of a names server.
+/// Reads and checks the settings of a DNS server.
 pub fn settings(path: &Path) -> Result<CheckedSettings, String> {
     let file: settings::RawSettings = lynxtally_template::read(path).map_err(|error| error.to_string())?;
     file.check().map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-fn wrong(what: impl std::fmt::Display) -> Failed {
-    Failed::Usage(what.to_string())
+fn failure(what: impl std::fmt::Display) -> Failed {
+    Failed::Error(what.to_string())
 }
 
-/// Does it.
+/// Runs a `lynxtally names` command.
 pub fn run(verb: Verb, format: Format) -> Result<(), Failed> {
     match verb {
         Verb::Check { files, apex, refused_most } => check(&files, apex.as_ref(), refused_most, format),
@@ -184,12 +184,12 @@
             let client = server.client()?;
             let question = query(rand::rng().random(), &name, kind);
             let answered = if tcp { client.exchange_tcp(&question) } else { client.exchange_udp(&question) };
-            let answered = answered.map_err(|fault| wrong(format!("{}: {fault}", server.server)))?;
+            let answered = answered.map_err(|fault| failure(format!("{}: {fault}", server.server)))?;
             print_answer(&answered, format);
             if answered.code == 0 {
                 Ok(())
             } else {
-                Err(Failed::Wrong)
+                Err(Failed::CheckFailed)
             }
         }
         Verb::Update { server, zone, lease, file, steps } => {
@@ -197,35 +197,36 @@
         }
         Verb::Transfer { server, zone, since } => transfer(&server.client()?, &zone, since),
         Verb::Diff { old, new, apex } => {
-            let read = |path: &Path| zone_of(path, apex.as_ref());
-            let change = between(&read(&old)?, &read(&new)?);
+            let read = |path: &Path| read_zone(path, apex.as_ref());
+            let change = diff(&read(&old)?, &read(&new)?);
             print_change(&change);
             if change.is_empty() {
                 Ok(())
             } else {
-                Err(Failed::Wrong)
+                Err(Failed::CheckFailed)
             }
         }
-        Verb::Freeze(running) => tell(&running, Control::Freeze),
-        Verb::Thaw(running) => tell(&running, Control::Thaw),
-        Verb::Reread(running) => tell(&running, Control::Reread),
-        Verb::Status { settings: path } => say(&settings(&path)?.state, &Control::Status),
-        Verb::Journal(JournalVerb::Compact(running)) => tell(&running, Control::Compact),
-        Verb::Journal(JournalVerb::Show(running)) => journal(&running, true, format),
-        Verb::Journal(JournalVerb::Verify(running)) => journal(&running, false, format),
+        Verb::Freeze(running) => send_zone_command(&running, Control::Freeze),
+        Verb::Thaw(running) => send_zone_command(&running, Control::Thaw),
+        Verb::Reread(running) => send_zone_command(&running, Control::Reread),
+        Verb::Status { settings: path } => send_command(&settings(&path)?.state, &Control::Status),
+        Verb::Journal(JournalVerb::Compact(running)) => send_zone_command(&running, Control::Compact),
+        Verb::Journal(JournalVerb::Show(running)) => inspect_log(&running, true, format),
+        Verb::Journal(JournalVerb::Verify(running)) => inspect_log(&running, false, format),
     }
 }
 
-fn tell(running: &Running, verb: impl FnOnce(String) -> Control) -> Result<(), Failed> {
-    say(&settings(&running.settings)?.state, &verb(running.zone.to_string()))
+fn send_zone_command(running: &Running, verb: impl FnOnce(String) -> Control) -> Result<(), Failed> {
+    send_command(&settings(&running.settings)?.state, &verb(running.zone.to_string()))
 }
 
-fn say(state: &Path, verb: &Control) -> Result<(), Failed> {
-    let said = control::send(state, verb)
-        .map_err(|fault| wrong(format!("no server runs on {}: {fault}", state.display())))?;
-    println!("{said}");
-    if said.starts_with("{\"error\"") {
-        Err(Failed::Wrong)
+fn send_command(state: &Path, verb: &Control) -> Result<(), Failed> {
+    let response = control::send(state, verb).map_err(|fault| {
+        failure(format!("can't reach the server with the state directory {}: {fault}", state.display()))
+    })?;
+    println!("{response}");
+    if response.starts_with("{\"error\"") {
+        Err(Failed::CheckFailed)
     } else {
         Ok(())
     }
@@ -233,48 +234,43 @@
 
 fn read_file(path: &Path, apex: Option<&Name>, refused: usize) -> Result<zone_file::ParsedZoneFile, Failed> {
     let shown = path.display().to_string();
-    let text = std::fs::read(path).map_err(|fault| wrong(format!("{shown}: {fault}")))?;
+    let text = std::fs::read(path).map_err(|fault| failure(format!("{shown}: {fault}")))?;
     let folder = path.parent().map(Path::to_owned).unwrap_or_default();
-    let limits = zone_file::ZoneFileLimits { refused, ..zone_file::ZoneFileLimits::default() };
+    let limits = zone_file::ZoneFileLimits { max_refused: refused, ..zone_file::ZoneFileLimits::default() };
     Ok(zone_file::read(&shown, &text, apex, limits, &mut |name| server::read_include(&folder, name)))
 }
 
-fn zone_of(path: &Path, apex: Option<&Name>) -> Result<Zone, Failed> {
+fn read_zone(path: &Path, apex: Option<&Name>) -> Result<Zone, Failed> {
     let read = read_file(path, apex, usize::MAX)?;
     read.faults.iter().for_each(|fault| eprintln!("{fault}"));
     match read.unusable {
-        Some(fault) => Err(wrong(fault)),
+        Some(fault) => Err(failure(fault)),
         None => Ok(read.zone),
     }
 }
 
 fn check(files: &[PathBuf], apex: Option<&Name>, refused: usize, format: Format) -> Result<(), Failed> {
-    let (mut kept, mut all_refused, mut usable, mut told) = (0, 0, true, Vec::new());
+    let (mut kept, mut all_refused, mut usable, mut errors) = (0, 0, true, Vec::new());
     for path in files {
         let read = read_file(path, apex, refused)?;
-        kept += read.zone.records();
+        kept += read.zone.record_count();
         all_refused += read.refused;
         usable &= read.unusable.is_none();
         let unusable = read.unusable.iter().filter(|fault| !read.faults.contains(fault));
         for fault in read.faults.iter().chain(unusable) {
-            match format {
-                Format::Text => println!("{fault}"),
-                Format::Json => told.push(json!({
-                    "file": &*fault.file, "line": fault.line, "column": fault.column, "reason": fault.reason,
-                })),
-            }
+            match format { Format::Text => println!("{fault}"), Format::Json => errors.push(json!({ "file": &*fault.file, "line": fault.line, "column": fault.column, "reason": fault.reason, })), }
         }
     }
     match format {
         Format::Text => println!("{kept} records kept, {all_refused} refused"),
         Format::Json => {
-            println!("{}", json!({"kept": kept, "refused": all_refused, "usable": usable, "faults": told}))
+            println!("{}", json!({"kept": kept, "refused": all_refused, "usable": usable, "faults": errors}))
         }
     }
     if usable && all_refused == 0 {
         Ok(())
     } else {
-        Err(Failed::Wrong)
+        Err(Failed::CheckFailed)
     }
 }
 
@@ -307,7 +303,7 @@
     if ended.counts_consistent {
         Ok(())
     } else {
-        Err(wrong("a task that was read got no answer, or more than one"))
+        Err(failure("the counters are inconsistent: a request got no response, or more than one"))
     }
 }
 
@@ -320,35 +316,36 @@
     });
     let brought = client
         .transfer(zone, soa.as_ref(), usize::MAX / 2, rand::rng().random())
-        .map_err(|fault| wrong(format!("{}: {fault}", client.server)))?;
+        .map_err(|fault| failure(format!("{}: {fault}", client.server)))?;
     match brought {
-        TransferResult::UpToDate(serial) => println!("; nothing is newer than {serial}"),
+        TransferResult::UpToDate(serial) => println!("; up to date: the server has serial {serial}"),
         TransferResult::Incremental(changes) => changes.iter().for_each(print_change),
         TransferResult::Full(records) => {
-            let version = lynxtally_zones::secondary::version(zone, None, &records).map_err(wrong)?;
+            let version =
+                lynxtally_zones::secondary::zone_from_records(zone, None, &records).map_err(failure)?;
             print!("{}", zone_file::write(&version));
         }
     }
     Ok(())
 }
 
-fn journal(running: &Running, show: bool, format: Format) -> Result<(), Failed> {
+fn inspect_log(running: &Running, show: bool, format: Format) -> Result<(), Failed> {
     let checked = settings(&running.settings)?;
     let zone = checked.zones.iter().find(|zone| zone.apex == running.zone);
-    let zone = zone.ok_or_else(|| wrong(format!("{} is no zone of the settings", running.zone)))?;
+    let zone = zone.ok_or_else(|| failure(format!("the settings have no zone {}", running.zone)))?;
     let name = server::journal_name(zone);
     let mut folder = server::open_state_folder(&checked.state)?;
-    let (_, found) = WriteAheadLog::inspect(&mut folder, &name).map_err(wrong)?;
+    let (_, found) = WriteAheadLog::inspect(&mut folder, &name).map_err(failure)?;
     let mut faults: Vec<String> = found.damage.iter().map(ToString::to_string).collect();
     let snapshot = found.snapshot.as_deref().map(decode::<Snapshot>).transpose();
     if let Ok(Some(snapshot)) = &snapshot {
         if server::read_base(&mut folder, &snapshot.base).is_none() {
-            faults.push(format!("{}: the base is missing or damaged", snapshot.base));
+            faults.push(format!("{}: the base file is missing or damaged", snapshot.base));
         }
         if show {
             println!("; snapshot: base {}, {} records changed since", snapshot.base, snapshot.overlay.len());
             println!(
-                "; {} changes kept, {} leases, {} repeats known",
+                "; {} changes kept, {} leases, {} known updates",
                 snapshot.history.len(),
                 snapshot.leases.len(),
                 snapshot.known_updates.len()
@@ -366,8 +363,11 @@
         count += 1;
     }
     if let Some(cut) = &found.torn_tail {
-        // It was never acknowledged: no fault, but worth a line.
-        println!("; {}: {} octets at {} broke off and will be cut off", cut.file, cut.length, cut.offset);
+        // An incomplete last entry was never acknowledged, so it is reported but is no fault.
+        println!(
+            "; {}: {} octets at offset {} are an incomplete entry and will be cut off",
+            cut.file, cut.length, cut.offset
+        );
     }
     match format {
         Format::Text => {
@@ -381,25 +381,25 @@
     if faults.is_empty() {
         Ok(())
     } else {
-        Err(Failed::Wrong)
+        Err(Failed::CheckFailed)
     }
 }
 
 fn show_entry(entry: &ZoneLogEntry) {
     match entry {
         ZoneLogEntry::Changed { change, lease, .. } => {
-            let held = if *lease > 0 { format!(", held for {lease} s") } else { String::new() };
+            let held = if *lease > 0 { format!(", lease {lease} s") } else { String::new() };
             println!("; {} to {}{held}", change.from, change.to);
             print_change(change);
         }
         ZoneLogEntry::Kept(records) => {
             for (name, kind, data) in records {
-                println!("; no longer held: {name} {kind} {}", kind.write(data));
+                println!("; lease released: {name} {kind} {}", kind.format_data(data));
             }
         }
         ZoneLogEntry::Based { base, serial, .. } => {
-            println!("; {serial}: the file was read again, base {base}")
+            println!("; {serial}: the zone file was reloaded, base {base}")
         }
-        ZoneLogEntry::Followed { base } => println!("; a version from a primary, base {base}"),
+        ZoneLogEntry::Followed { base } => println!("; full transfer from a primary, base {base}"),
     }
 }
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! How the program prints what a DNS server answered.
+//! Prints responses of DNS servers and changes of zones.
 
 use crate::Format;
 use lynxtally_dns::codec::{Response, ResponseCode};
@@ -8,10 +8,7 @@
 use std::collections::BTreeMap;
 
 fn record_json(record: &Record) -> serde_json::Value {
-    json!({
-        "name": record.name.to_string(), "ttl": record.ttl, "kind": record.kind.to_string(),
-        "data": record.kind.write(&record.data),
-    })
+    json!({ "name": record.name.to_string(), "ttl": record.ttl, "kind": record.kind.to_string(), "data": record.kind.format_data(&record.data), })
 }
 
 /// Prints a DNS response: its header, then its records by section.
@@ -24,11 +21,8 @@
             .map(|(n, all)| (n, all.iter().map(record_json).collect()))
             .collect();
         let reason = answered.reason.as_ref().map(|(code, text)| json!({"code": code, "text": text}));
-        let said = json!({
-            "code": ResponseCode(answered.code).to_string(), "authoritative": answered.authoritative, "reason": reason,
-            "lease": answered.lease, "sections": sections,
-        });
-        return println!("{said}");
+        let response = json!({ "code": ResponseCode(answered.code).to_string(), "authoritative": answered.authoritative, "reason": reason, "lease": answered.lease, "sections": sections, });
+        return println!("{response}");
     }
     let kind = if answered.authoritative { "authoritative" } else { "not authoritative" };
     println!("; {}, {kind}", ResponseCode(answered.code));
@@ -36,7 +30,7 @@
         println!("; reason {code}: {text}");
     }
     if let Some(lease) = answered.lease {
-        println!("; held for {lease} s");
+        println!("; lease {lease} s");
     }
     for (name, records) in names.into_iter().zip(&answered.sections) {
         if !records.is_empty() {
@@ -46,7 +40,7 @@
     }
 }
 
-/// Prints the records that a change removes, then those that it adds, as a diff.
+/// Prints a change as a diff: first the removed records, then the added ones.
 pub fn print_change(change: &Change) {
     change.removed.iter().for_each(|record| println!("- {record}"));
     change.added.iter().for_each(|record| println!("+ {record}"));
--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -1,4 +1,4 @@
-//! `lynxtally stream`.
+//! The `lynxtally stream` commands: run a stream server and check its settings.
 
 use crate::Failed;
 use clap::Subcommand;
@@ -8,24 +8,24 @@
 use std::path::{Path, PathBuf};
 use tracing::info;
 
-/// What can be done about streams.
+/// Commands for the stream server.
 #[derive(Subcommand)]
 pub enum Verb {
-    /// Pass streams on until told to leave (SIGTERM); SIGUSR1 has the counters logged.
+    /// Run a stream server until SIGTERM or SIGINT; SIGUSR1 logs the counters
     Serve {
-        /// The settings.
+        /// The server's settings
         #[arg(long)]
         settings: PathBuf,
     },
-    /// Check settings, and tell which stage would take a stream.
+    /// Check settings; with a path, also print the stage of a request
     Check {
-        /// The settings.
+        /// The server's settings
         #[arg(long)]
         settings: PathBuf,
-        /// The method of a stream.
+        /// The request's method
         #[arg(default_value = "GET")]
         method: String,
-        /// Its path.
+        /// The request's path
         path: Option<String>,
     },
 }
@@ -36,14 +36,14 @@
     file.check().map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
-/// Does it.
+/// Runs a `lynxtally stream` command.
 pub fn run(verb: Verb) -> Result<(), Failed> {
     match verb {
         Verb::Serve { settings: path } => serve(&path),
         Verb::Check { settings: path, method, path: target } => {
             let checked = settings(&path)?;
             let Some(target) = target else {
-                println!("{}: well", path.display());
+                println!("{}: valid", path.display());
                 return Ok(());
             };
             match checked.class_for(&method, &target) {
@@ -51,9 +51,9 @@
                     println!("{method} {target}: {}", checked.classes[stage].name);
                     Ok(())
                 }
-                Err(bad) => {
-                    println!("{method} {target}: {bad}");
-                    Err(Failed::Wrong)
+                Err(error) => {
+                    println!("{method} {target}: {error}");
+                    Err(Failed::CheckFailed)
                 }
             }
         }
@@ -66,19 +66,22 @@
     for at in &running.listen_addresses {
         println!("listening on {at}");
     }
-    let ear = running.commands.clone();
+    let commands = running.commands.clone();
     let mut signals =
         signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGUSR1]).map_err(|fault| fault.to_string())?;
     std::thread::spawn(move || {
         for signal in signals.forever() {
-            let (to, told) = std::sync::mpsc::channel();
-            let heard =
-                if signal == SIGUSR1 { ServerCommand::ReportCounters(to) } else { ServerCommand::Shutdown };
-            if ear.send(heard).is_err() {
+            let (response_sender, response) = std::sync::mpsc::channel();
+            let command = if signal == SIGUSR1 {
+                ServerCommand::ReportCounters(response_sender)
+            } else {
+                ServerCommand::Shutdown
+            };
+            if commands.send(command).is_err() {
                 return;
             }
-            if let Ok(counters) = told.recv() {
-                info!("{counters}");
+            if let Ok(counters) = response.recv() {
+                info!("stream server counters: {counters}");
             }
         }
     });
@@ -87,6 +90,8 @@
     if ended.is_consistent {
         Ok(())
     } else {
-        Err(Failed::Usage("a stream that was read got no answer, or more than one".to_owned()))
+        Err(Failed::Error(
+            "the counters are inconsistent: a request got no response, or more than one".to_owned(),
+        ))
     }
 }
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -1,4 +1,4 @@
-//! Steps of an update as an operator writes them.
+//! Parses the steps of an update as an operator writes them, and sends the update.
 
 use crate::output::print_answer;
 use crate::{Failed, Format};
@@ -13,13 +13,13 @@
 /// The steps of one update.
 #[derive(Debug, Default, PartialEq)]
 pub struct Steps {
-    /// What must hold.
-    pub needs: Vec<UpdateRecord>,
-    /// What is done.
-    pub edits: Vec<UpdateRecord>,
+    /// The prerequisites.
+    pub prerequisites: Vec<UpdateRecord>,
+    /// The operations.
+    pub operations: Vec<UpdateRecord>,
 }
 
-/// Splits a step into words; quotes keep spaces.
+/// Splits a step into tokens; blanks within quotes do not separate tokens.
 fn words(text: &str) -> Result<Vec<Token<'_>>, String> {
     let (mut all, mut rest) = (Vec::new(), text.trim_start());
     while !rest.is_empty() {
@@ -43,50 +43,56 @@
 }
 
 impl Steps {
-    /// Adds a step: `add NAME TTL KIND DATA`, `del NAME [KIND [DATA]]`, `need NAME [KIND [DATA]]` or `need-not NAME
-    /// [KIND]`.
+    /// Parses and adds a step: `add NAME TTL KIND DATA`, `del NAME [KIND [DATA]]`, `need NAME [KIND [DATA]]` or
+    /// `need-not NAME [KIND]`.
     pub fn add(&mut self, text: &str, zone: &Name) -> Result<(), String> {
         let words = words(text)?;
         let word = |n: usize| words.get(n).map(|word| String::from_utf8_lossy(word.text).into_owned());
         let verb = word(0).ok_or("an empty step")?;
         let name = words.get(1).ok_or("a name is missing")?;
-        let name = Name::parse(name.text, Some(zone)).map_err(|bad| bad.to_string())?;
+        let name = Name::parse(name.text, Some(zone)).map_err(|error| error.to_string())?;
         let kind = |n: usize| {
             word(n)
-                .map(|text| RecordType::parse(&text).ok_or_else(|| format!("{text:?} is no kind of record")))
+                .map(|text| RecordType::parse(&text).ok_or_else(|| format!("{text:?} is not a record type")))
                 .transpose()
         };
-        let data =
-            |kind: RecordType, from: usize| kind.read(&words[from..], Some(zone)).map_err(|bad| bad.what);
+        let data = |kind: RecordType, from: usize| {
+            kind.parse_data(&words[from..], Some(zone)).map_err(|error| error.reason)
+        };
         let raw =
-            |kind: RecordType, sense, ttl, data| UpdateRecord { name: name.clone(), kind, sense, ttl, data };
+            |kind: RecordType, class, ttl, data| UpdateRecord { name: name.clone(), kind, class, ttl, data };
         match verb.as_str() {
             "add" => {
-                let ttl =
-                    words.get(2).and_then(|word| read_time(word.text)).ok_or("a time to live is missing")?;
-                let kind = kind(3)?.ok_or("a kind of record is missing")?;
-                self.edits.push(raw(kind, UpdateClass::Zone, ttl, data(kind, 4)?));
+                let ttl = words
+                    .get(2)
+                    .and_then(|word| read_time(word.text))
+                    .ok_or("the TTL is missing or invalid")?;
+                let kind = kind(3)?.ok_or("the record type is missing")?;
+                self.operations.push(raw(kind, UpdateClass::Zone, ttl, data(kind, 4)?));
             }
-            "del" => self.edits.push(match kind(2)? {
+            "del" => self.operations.push(match kind(2)? {
                 None => raw(RecordType::ANY, UpdateClass::Any, 0, Vec::new()),
                 Some(kind) if words.len() == 3 => raw(kind, UpdateClass::Any, 0, Vec::new()),
                 Some(kind) => raw(kind, UpdateClass::None, 0, data(kind, 3)?),
             }),
-            "need" => self.needs.push(match kind(2)? {
+            "need" => self.prerequisites.push(match kind(2)? {
                 None => raw(RecordType::ANY, UpdateClass::Any, 0, Vec::new()),
                 Some(kind) if words.len() == 3 => raw(kind, UpdateClass::Any, 0, Vec::new()),
                 Some(kind) => raw(kind, UpdateClass::Zone, 0, data(kind, 3)?),
             }),
-            "need-not" => {
-                self.needs.push(raw(kind(2)?.unwrap_or(RecordType::ANY), UpdateClass::None, 0, Vec::new()))
-            }
-            other => return Err(format!("{other:?} is no step; add, del, need and need-not are")),
+            "need-not" => self.prerequisites.push(raw(
+                kind(2)?.unwrap_or(RecordType::ANY),
+                UpdateClass::None,
+                0,
+                Vec::new(),
+            )),
+            other => return Err(format!("unknown step {other:?}; expected add, del, need or need-not")),
         }
         Ok(())
     }
 }
 
-/// Sends an update and says what became of it.
+/// Sends an update and prints the response.
 pub fn send(
     client: &Client,
     zone: &Name,
@@ -108,12 +114,12 @@
         all.add(step, zone).map_err(|what| format!("step {:?}: {what}", step.trim()))?;
     }
     if all == Steps::default() {
-        return Err(Failed::Usage("no steps; give some, or --file".to_owned()));
+        return Err(Failed::Error("no steps given; pass steps or --file".to_owned()));
     }
     let question = OutgoingRequest {
         opcode: 5,
-        prerequisites: &all.needs,
-        updates: &all.edits,
+        prerequisites: &all.prerequisites,
+        updates: &all.operations,
         lease,
         ..lynxtally_dns::client::query(rand::rng().random(), zone, RecordType::SOA)
     };
@@ -122,6 +128,6 @@
     if answered.code == 0 {
         Ok(())
     } else {
-        Err(Failed::Wrong)
+        Err(Failed::CheckFailed)
     }
 }
--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -1,6 +1,6 @@
-//! Names held for a time (RFC 9664). Who registered a record renews it, else it goes, but never more than a
-//! share of a name's addresses at once and never the last one. When many stop renewing together, it is the path
-//! to them that is suspect and not they: nothing goes until renewals come again.
+//! Leases of records (RFC 9664). A record whose lease is not renewed is removed, but never more than a fraction of
+//! a name's addresses within one lease duration, and never the last address. If many leases expire together, the
+//! path to the clients is suspected instead of the clients, and no record is removed until renewals arrive again.
 
 use crate::name::Name;
 use crate::record::Record;
@@ -9,35 +9,35 @@
 use lynxtally::{Instant, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How leases are kept.
+/// Limits for granting and expiring leases.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseLimits {
-    /// The shortest and the longest that is granted.
-    pub least: Span,
-    /// See there.
-    pub most: Span,
-    /// Of a name's addresses, no more than this share goes within one lease's length.
-    pub share: f64,
-    /// Where more than this share of the leases that should have been renewed lately was not, the path is
-    /// suspect.
-    pub suspect: f64,
-    /// So many at least must be missing before it is.
-    pub suspect_least: usize,
+    /// The shortest lease that is granted.
+    pub min_duration: Span,
+    /// The longest lease that is granted.
+    pub max_duration: Span,
+    /// Maximum fraction of a name's addresses that is removed within one lease duration.
+    pub max_removed_fraction: f64,
+    /// The path to the clients is suspected if a larger fraction than this of the recently due renewals is
+    /// missing.
+    pub suspect_fraction: f64,
+    /// Minimum number of expired leases before the path is suspected.
+    pub suspect_min_expired: usize,
 }
 
 impl Default for LeaseLimits {
     fn default() -> Self {
         Self {
-            least: Span::from_millis(30_000),
-            most: Span::from_millis(86_400_000),
-            share: 1.0 / 3.0,
-            suspect: 0.5,
-            suspect_least: 3,
+            min_duration: Span::from_millis(30_000),
+            max_duration: Span::from_millis(86_400_000),
+            max_removed_fraction: 1.0 / 3.0,
+            suspect_fraction: 0.5,
+            suspect_min_expired: 3,
         }
     }
 }
 
-/// What a lease is about.
+/// The record that a lease is for: owner, type and data.
 type LeasedRecord = (Name, RecordType, Vec<u8>);
 
 #[derive(Clone, Debug)]
@@ -46,209 +46,217 @@
     until: Instant,
 }
 
-/// All leases of a zone.
+/// All leases of one zone.
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
     limits: LeaseLimits,
     by_record: BTreeMap<LeasedRecord, Lease>,
     by_time: BTreeSet<(Instant, LeasedRecord)>,
-    /// Leases renewed in time, and leases that ran out, faded over the usual length of a lease.
+    /// Numbers of renewed and of expired leases; both decay exponentially over the typical lease
+    /// duration.
     renewed: f64,
-    lapsed: f64,
-    faded: Instant,
-    usual: Span,
-    /// When addresses of a name went, for as long as that counts.
-    gone: BTreeMap<Name, Vec<Instant>>,
-    /// Since when the path has been suspect.
-    suspect: Option<Instant>,
+    expired: f64,
+    /// When `renewed` and `expired` were last decayed.
+    decayed_at: Instant,
+    /// The longest lease duration since the table was last empty; counts decay over this time.
+    typical_duration: Span,
+    /// When addresses of a name were removed, for one lease duration back.
+    recent_removals: BTreeMap<Name, Vec<Instant>>,
+    /// When the path to the clients became suspect; none if it is not.
+    suspect_since: Option<Instant>,
 }
 
-/// What is to be done about leases that ran out.
+/// The consequences of expired leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseExpiry {
-    /// These records go.
-    pub gone: Vec<(Name, RecordType, Vec<u8>)>,
-    /// So many ran out and stay all the same.
-    pub kept: usize,
-    /// Whether the path became suspect just now, or well again.
-    pub turned: Option<bool>,
+    /// Records to remove.
+    pub removed: Vec<(Name, RecordType, Vec<u8>)>,
+    /// Number of expired leases whose records are retained.
+    pub retained: usize,
+    /// Set if the path to the clients became suspect (`true`) or trusted again (`false`).
+    pub suspect_changed: Option<bool>,
 }
 
-/// Leases that ran out and stay are looked at again after this part of their length.
-const AGAIN: f64 = 0.1;
+/// A retained record's lease is checked again after this fraction of its duration.
+const RECHECK_FRACTION: f64 = 0.1;
 
 impl LeaseTable {
-    /// No leases yet.
+    /// Creates an empty table.
     pub fn new(limits: LeaseLimits) -> Self {
         Self {
             limits,
             by_record: BTreeMap::new(),
             by_time: BTreeSet::new(),
             renewed: 0.0,
-            lapsed: 0.0,
-            faded: Instant::default(),
-            usual: limits.least,
-            gone: BTreeMap::new(),
-            suspect: None,
+            expired: 0.0,
+            decayed_at: Instant::default(),
+            typical_duration: limits.min_duration,
+            recent_removals: BTreeMap::new(),
+            suspect_since: None,
         }
     }
 
-    /// How many there are.
+    /// The number of leases.
     pub fn len(&self) -> usize {
         self.by_record.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no leases.
     pub fn is_empty(&self) -> bool {
         self.by_record.is_empty()
     }
 
-    /// Since when the path has been suspect, if it is.
-    pub fn suspect(&self) -> Option<Instant> {
-        self.suspect
+    /// Since when the path to the clients is suspect; none if it is not.
+    pub fn suspect_since(&self) -> Option<Instant> {
+        self.suspect_since
     }
 
-    /// How long a lease is granted for.
-    pub fn granted(&self, asked: Span) -> Span {
-        asked.clamp(self.limits.least, self.limits.most)
+    /// The lease duration that is granted for a requested one.
+    pub fn granted_duration(&self, asked: Span) -> Span {
+        asked.clamp(self.limits.min_duration, self.limits.max_duration)
     }
 
-    /// When the next one runs out.
-    pub fn next(&self) -> Option<Instant> {
+    /// The time of the next expiry.
+    pub fn next_expiry(&self) -> Option<Instant> {
         self.by_time.first().map(|(at, _)| *at)
     }
 
-    /// All of them with their lengths, for the log.
+    /// All leases with their durations, for the snapshot.
     pub fn all(&self) -> impl Iterator<Item = (&LeasedRecord, Span)> {
-        self.by_record.iter().map(|(held, lease)| (held, lease.span))
+        self.by_record.iter().map(|(record, lease)| (record, lease.span))
     }
 
-    fn fade(&mut self, now: Instant) {
-        let past = (now - self.faded) / self.usual;
-        let keep = (-past).exp();
+    fn decay(&mut self, now: Instant) {
+        let elapsed_durations = (now - self.decayed_at) / self.typical_duration;
+        let keep = (-elapsed_durations).exp();
         self.renewed *= keep;
-        self.lapsed *= keep;
-        self.faded = self.faded.max(now);
+        self.expired *= keep;
+        self.decayed_at = self.decayed_at.max(now);
     }
 
-    /// A record is held from now on for so long, again or for the first time.
-    pub fn hold(&mut self, now: Instant, name: &Name, kind: RecordType, data: &[u8], span: Span) {
-        self.fade(now);
-        let held = (name.clone(), kind, data.to_vec());
+    /// Grants or renews the lease of a record for the duration `span`.
+    pub fn grant(&mut self, now: Instant, name: &Name, kind: RecordType, data: &[u8], span: Span) {
+        self.decay(now);
+        let record = (name.clone(), kind, data.to_vec());
         let lease = Lease { span, until: now + span };
-        self.by_time.insert((lease.until, held.clone()));
-        if let Some(before) = self.by_record.insert(held.clone(), lease) {
+        self.by_time.insert((lease.until, record.clone()));
+        if let Some(before) = self.by_record.insert(record.clone(), lease) {
             if before.until != now + span {
-                self.by_time.remove(&(before.until, held));
+                self.by_time.remove(&(before.until, record));
             }
             self.renewed += 1.0;
-            self.usual = self.usual.max(span);
+            self.typical_duration = self.typical_duration.max(span);
         } else {
-            self.usual = if self.by_record.len() == 1 { span } else { self.usual.max(span) };
+            self.typical_duration =
+                if self.by_record.len() == 1 { span } else { self.typical_duration.max(span) };
         }
     }
 
-    /// A record is held no more: it was taken out, or is there for good.
+    /// Ends the lease of a record that was removed or became permanent.
     pub fn release(&mut self, name: &Name, kind: RecordType, data: &[u8]) {
-        let held = (name.clone(), kind, data.to_vec());
-        if let Some(lease) = self.by_record.remove(&held) {
-            self.by_time.remove(&(lease.until, held));
+        let record = (name.clone(), kind, data.to_vec());
+        if let Some(lease) = self.by_record.remove(&record) {
+            self.by_time.remove(&(lease.until, record));
         }
     }
 
-    /// Whether the path is suspect: many leases ran out where, by the leases' length, they should have been
-    /// renewed. Catches a broken path, a stopped clock of ours and a restart at a bad time; harms where most of
-    /// a fleet does leave at once without saying so, for as long as nobody renews.
-    fn judge(&mut self, now: Instant) -> Option<bool> {
-        let missing = self.lapsed >= self.limits.suspect_least as f64;
-        let share = self.lapsed / (self.lapsed + self.renewed).max(1e-9);
-        let suspect = missing && share > self.limits.suspect;
-        if suspect == self.suspect.is_some() {
+    /// Decides whether the path to the clients is suspect: many leases expired that were due for renewal. This
+    /// detects a broken network path, a stopped local clock and a restart during renewals. The downside: if most
+    /// clients leave together without deregistering, their records are retained until others renew.
+    fn update_suspicion(&mut self, now: Instant) -> Option<bool> {
+        let missing = self.expired >= self.limits.suspect_min_expired as f64;
+        let share = self.expired / (self.expired + self.renewed).max(1e-9);
+        let suspect = missing && share > self.limits.suspect_fraction;
+        if suspect == self.suspect_since.is_some() {
             return None;
         }
-        self.suspect = suspect.then_some(now);
+        self.suspect_since = suspect.then_some(now);
         Some(suspect)
     }
 
-    /// Takes the leases that ran out by now and says which records go.
-    pub fn lapse(&mut self, now: Instant, zone: &Zone) -> LeaseExpiry {
-        self.fade(now);
-        let mut over = Vec::new();
-        while let Some((at, held)) = self.by_time.first().filter(|(at, _)| *at <= now).cloned() {
-            self.by_time.remove(&(at, held.clone()));
-            over.push(held);
+    /// Expires the leases that are due and returns the records to remove.
+    pub fn expire(&mut self, now: Instant, zone: &Zone) -> LeaseExpiry {
+        self.decay(now);
+        let mut due_records = Vec::new();
+        while let Some((at, record)) = self.by_time.first().filter(|(at, _)| *at <= now).cloned() {
+            self.by_time.remove(&(at, record.clone()));
+            due_records.push(record);
         }
-        if over.is_empty() {
-            return LeaseExpiry { turned: self.judge(now), ..LeaseExpiry::default() };
+        if due_records.is_empty() {
+            return LeaseExpiry { suspect_changed: self.update_suspicion(now), ..LeaseExpiry::default() };
         }
-        self.lapsed += over.len() as f64;
-        let mut lapse = LeaseExpiry { turned: self.judge(now), ..LeaseExpiry::default() };
-        // Of one name's records taken out in this turn.
-        let mut taken: BTreeMap<Name, usize> = BTreeMap::new();
-        for held in over {
-            let span = self.by_record.get(&held).map_or(self.usual, |lease| lease.span);
-            let (name, kind, data) = &held;
+        self.expired += due_records.len() as f64;
+        let mut expiry =
+            LeaseExpiry { suspect_changed: self.update_suspicion(now), ..LeaseExpiry::default() };
+        // Number of records removed in this pass, by name.
+        let mut removed_now: BTreeMap<Name, usize> = BTreeMap::new();
+        for record in due_records {
+            let span = self.by_record.get(&record).map_or(self.typical_duration, |lease| lease.span);
+            let (name, kind, data) = &record;
             let there = zone.set(name, *kind).is_some_and(|set| set.has(data));
             if !there {
-                self.by_record.remove(&held);
-            } else if self.suspect.is_none() && self.may_go(now, zone, name, *kind, span, &taken) {
-                *taken.entry(name.clone()).or_default() += 1;
-                self.gone.entry(name.clone()).or_default().push(now);
-                self.by_record.remove(&held);
-                lapse.gone.push(held);
+                self.by_record.remove(&record);
+            } else if self.suspect_since.is_none()
+                && self.may_remove(now, zone, name, *kind, span, &removed_now)
+            {
+                *removed_now.entry(name.clone()).or_default() += 1;
+                self.recent_removals.entry(name.clone()).or_default().push(now);
+                self.by_record.remove(&record);
+                expiry.removed.push(record);
             } else {
-                lapse.kept += 1;
-                let until = now + span * AGAIN;
-                if let Some(lease) = self.by_record.get_mut(&held) {
+                expiry.retained += 1;
+                let until = now + span * RECHECK_FRACTION;
+                if let Some(lease) = self.by_record.get_mut(&record) {
                     lease.until = until;
                 }
-                self.by_time.insert((until, held));
+                self.by_time.insert((until, record));
             }
         }
-        lapse
+        expiry
     }
 
-    /// Whether one more of a name's records may go now.
-    fn may_go(
+    /// Whether one more record of a name may be removed now.
+    fn may_remove(
         &mut self,
         now: Instant,
         zone: &Zone,
         name: &Name,
         kind: RecordType,
         span: Span,
-        taken: &BTreeMap<Name, usize>,
+        removed_now: &BTreeMap<Name, usize>,
     ) -> bool {
         if !matches!(kind, RecordType::A | RecordType::AAAA) {
             return true;
         }
-        let lately = self.gone.entry(name.clone()).or_default();
-        lately.retain(|at| now - *at < span);
-        let now_gone = taken.get(name).copied().unwrap_or(0);
+        let recent = self.recent_removals.entry(name.clone()).or_default();
+        recent.retain(|at| now - *at < span);
+        let removed_count = removed_now.get(name).copied().unwrap_or(0);
         let of = |kind| zone.set(name, kind).map_or(0, |set| set.count());
         let there = of(RecordType::A) + of(RecordType::AAAA);
-        let left = there - now_gone;
-        // Those that went lately are still counted as the name's, so that it shrinks by a share and not by a
-        // share of what is left, again and again.
-        let whole = there + lately.len() - now_gone;
-        let may = (whole as f64 * self.limits.share).floor().max(1.0) as usize;
-        left > 1 && lately.len() < may
+        let left = there - removed_count;
+        // Recently removed addresses still count for the total. Otherwise the fraction would apply again to each
+        // remainder, and the name would shrink to one address within one lease duration.
+        let whole = there + recent.len() - removed_count;
+        let max_removed = (whole as f64 * self.limits.max_removed_fraction).floor().max(1.0) as usize;
+        left > 1 && recent.len() < max_removed
     }
 
-    /// After a restart nobody could renew for a while: each lease begins anew.
+    /// Starts every lease anew after a restart, because clients could not renew while the server was down.
     pub fn restart(&mut self, now: Instant) {
-        let all: Vec<(LeasedRecord, Span)> = self.all().map(|(held, span)| (held.clone(), span)).collect();
+        let all: Vec<(LeasedRecord, Span)> =
+            self.all().map(|(record, span)| (record.clone(), span)).collect();
         self.by_time.clear();
         self.by_record.clear();
         for ((name, kind, data), span) in all {
-            self.hold(now, &name, kind, &data, span);
+            self.grant(now, &name, kind, &data, span);
         }
         self.renewed = 0.0;
-        self.lapsed = 0.0;
-        self.faded = now;
+        self.expired = 0.0;
+        self.decayed_at = now;
     }
 
-    /// The records among these that a lease holds, as they would be renewed.
-    pub fn holds(&self, record: &Record) -> bool {
+    /// Whether a record has a lease.
+    pub fn contains(&self, record: &Record) -> bool {
         self.by_record.contains_key(&(record.name.clone(), record.kind, record.data.clone()))
     }
 }
--- a/crates/core/zones/src/record_data.rs
+++ b/crates/core/zones/src/record_data.rs
@@ -1,30 +1,30 @@
-//! The data of resource records: read from text, checked in wire form and written as text (RFC 1035 section 5.1). Data
-//! of a type that is not in the table of [`RecordType`] is opaque and written as RFC 3597 says.
+//! The data of resource records: parsing from text, validation in wire form and formatting as text (RFC 1035
+//! section 5.1). The data of types without a field list in [`RecordType`] is opaque and written as in RFC 3597.
 
 use crate::name::{escape, write_text, Name, NameError};
 use crate::record_type::{Field, RecordType};
 use std::fmt::{self, Write};
 use std::net::{Ipv4Addr, Ipv6Addr};
 
-/// A word of a text: as it stands, with escapes, and whether it stood in quotes.
+/// A token of a zone file, with its escapes unresolved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Token<'a> {
-    /// The text between the quotes or spaces.
+    /// The text between quotes or blanks.
     pub text: &'a [u8],
-    /// Whether it stood in quotes.
+    /// Whether the token was quoted.
     pub quoted: bool,
 }
 
-/// What is wrong with data as text: which word, and what.
+/// Why a text is not valid record data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidRecordData {
-    /// The word's number; past the last one where something is missing.
-    pub word: usize,
-    /// What is wrong.
-    pub what: String,
+    /// The index of the faulty token; past the last one if something is missing.
+    pub token_index: usize,
+    /// A description of the error.
+    pub reason: String,
 }
 
-/// A time in seconds, with units as in `1h30m` or without; up to 2^31 - 1 (RFC 2181 section 8).
+/// Parses a time in seconds, with or without units as in `1h30m`; at most 2^31 - 1 (RFC 2181 section 8).
 pub fn read_time(text: &[u8]) -> Option<u32> {
     let (mut total, mut number, mut digits) = (0_u64, 0_u64, false);
     for octet in text {
@@ -52,7 +52,7 @@
     (!text.is_empty() && total < 1 << 31).then_some(total as u32)
 }
 
-/// The octets that a string stands for.
+/// Resolves the escapes in a token.
 fn octets(text: &[u8]) -> Option<Vec<u8>> {
     let (mut out, mut at) = (Vec::with_capacity(text.len()), 0);
     while at < text.len() {
@@ -69,16 +69,16 @@
     text.parse::<u64>().ok().and_then(|value| T::try_from(value).ok())
 }
 
-/// Why a word is not what its field takes.
+/// Why a token is not valid for its field.
 enum FieldError {
-    /// A backslash that begins no escape.
+    /// A backslash that starts no valid escape.
     Escape,
-    /// A string that does not fit its length octet.
+    /// A string that is too long for its length octet.
     LongString,
-    /// No name: why, and the word.
+    /// An invalid name: the error and the token.
     Name(NameError, String),
-    /// Not what the field takes: the word, and what that is.
-    Not(String, &'static str),
+    /// Another invalid value: the token and what the field expects.
+    InvalidValue(String, &'static str),
 }
 
 impl fmt::Display for FieldError {
@@ -87,7 +87,7 @@
             Self::Escape => f.write_str("a backslash that begins no escape"),
             Self::LongString => f.write_str("a string of over 255 octets"),
             Self::Name(fault, word) => write!(f, "{fault}: {word:?}"),
-            Self::Not(word, what) => write!(f, "{word:?} is no {what}"),
+            Self::InvalidValue(word, what) => write!(f, "{word:?} is not a valid {what}"),
         }
     }
 }
@@ -100,58 +100,59 @@
     Ok(())
 }
 
-fn parsed<T: std::str::FromStr>(text: &[u8]) -> Option<T> {
+fn parse_as<T: std::str::FromStr>(text: &[u8]) -> Option<T> {
     std::str::from_utf8(text).ok()?.parse().ok()
 }
 
 impl Field {
-    /// Reads one word into octets.
+    /// Parses one token and appends its wire form to `out`.
     fn read(self, word: Token, origin: Option<&Name>, out: &mut Vec<u8>) -> Result<(), FieldError> {
         let text = word.text;
-        let shown = || String::from_utf8_lossy(text).into_owned();
-        let none = |what: &'static str| FieldError::Not(shown(), what);
+        let token_text = || String::from_utf8_lossy(text).into_owned();
+        let invalid = |what: &'static str| FieldError::InvalidValue(token_text(), what);
         match self {
             Self::Name => {
-                let name = Name::parse(text, origin).map_err(|fault| FieldError::Name(fault, shown()))?;
+                let name =
+                    Name::parse(text, origin).map_err(|fault| FieldError::Name(fault, token_text()))?;
                 out.extend_from_slice(name.wire());
             }
-            Self::U8 => out.push(number(text).ok_or_else(|| none("number from 0 to 255"))?),
+            Self::U8 => out.push(number(text).ok_or_else(|| invalid("number from 0 to 255"))?),
             Self::U16 => {
-                let value: u16 = number(text).ok_or_else(|| none("number from 0 to 65535"))?;
+                let value: u16 = number(text).ok_or_else(|| invalid("number from 0 to 65535"))?;
                 out.extend(value.to_be_bytes());
             }
             Self::U32 => {
-                let value: u32 = number(text).ok_or_else(|| none("number of 32 bits"))?;
+                let value: u32 = number(text).ok_or_else(|| invalid("number from 0 to 4294967295"))?;
                 out.extend(value.to_be_bytes());
             }
             Self::Time => {
-                let value = read_time(text).ok_or_else(|| none("time in seconds"))?;
+                let value = read_time(text).ok_or_else(|| invalid("time in seconds"))?;
                 out.extend(value.to_be_bytes());
             }
             Self::V4 => {
-                let address: Ipv4Addr = parsed(text).ok_or_else(|| none("IPv4 address"))?;
+                let address: Ipv4Addr = parse_as(text).ok_or_else(|| invalid("IPv4 address"))?;
                 out.extend(address.octets());
             }
             Self::V6 => {
-                let address: Ipv6Addr = parsed(text).ok_or_else(|| none("IPv6 address"))?;
+                let address: Ipv6Addr = parse_as(text).ok_or_else(|| invalid("IPv6 address"))?;
                 out.extend(address.octets());
             }
             Self::Text | Self::Texts => string(out, text)?,
             Self::Tag => {
                 if text.is_empty() || !text.iter().all(u8::is_ascii_alphanumeric) {
-                    return Err(none("word of letters and digits"));
+                    return Err(invalid("word of letters and digits"));
                 }
                 string(out, text)?;
             }
-            Self::Bare => {
+            Self::UnprefixedText => {
                 out.extend(octets(text).ok_or(FieldError::Escape)?);
             }
-            Self::Base64 | Self::Hex => unreachable!("read with all words that are left"),
+            Self::Base64 | Self::Hex => unreachable!("base64 and hex fields are decoded by parse_data"),
         }
         Ok(())
     }
 
-    /// How many octets of some data it takes, if it is well made.
+    /// The length of the field at the start of `data`; none if it is malformed.
     fn length(self, data: &[u8]) -> Option<usize> {
         let fixed = |n: usize| (data.len() >= n).then_some(n);
         match self {
@@ -161,7 +162,8 @@
             Self::U32 | Self::Time | Self::V4 => fixed(4),
             Self::V6 => fixed(16),
             Self::Text => fixed(1 + usize::from(*data.first()?)),
-            // What could be had over the wire and not be written in a zone file would cost the whole file.
+            // A tag that can't be written in a zone file must be refused here too: stored from an update, it would
+            // make the whole zone file unusable.
             Self::Tag => fixed(1 + usize::from(*data.first()?))
                 .filter(|length| *length > 1 && data[1..*length].iter().all(u8::is_ascii_alphanumeric)),
             Self::Texts => {
@@ -171,7 +173,7 @@
                 }
                 (at == data.len() && at > 0).then_some(at)
             }
-            Self::Bare | Self::Base64 | Self::Hex => Some(data.len()),
+            Self::UnprefixedText | Self::Base64 | Self::Hex => Some(data.len()),
         }
     }
 
@@ -191,7 +193,7 @@
             }
             Self::Text => quoted(&data[1..], f),
             Self::Tag => f.write_str(&String::from_utf8_lossy(&data[1..])),
-            Self::Bare => quoted(data, f),
+            Self::UnprefixedText => quoted(data, f),
             Self::Texts => {
                 let mut at = 0;
                 while at < data.len() {
@@ -220,24 +222,24 @@
     f.write_char('"')
 }
 
-/// The most octets that a record's data can have.
+/// The maximum length of record data in octets.
 pub const MAX_DATA_LENGTH: usize = 65_535;
 
 impl RecordType {
-    /// Reads data as text. Names in it are relative to the origin.
-    pub fn read(self, words: &[Token], origin: Option<&Name>) -> Result<Vec<u8>, InvalidRecordData> {
-        let bad = |word: usize, what: String| InvalidRecordData { word, what };
+    /// Parses record data from text. Relative names in it are completed with the origin.
+    pub fn parse_data(self, words: &[Token], origin: Option<&Name>) -> Result<Vec<u8>, InvalidRecordData> {
+        let bad = |word: usize, what: String| InvalidRecordData { token_index: word, reason: what };
         if words.first().is_some_and(|word| word.text == b"\\#" && !word.quoted) {
             return self.read_opaque(words);
         }
         let Some(fields) = self.fields() else {
-            let what = format!("data of the kind {self} is written as \\# LENGTH HEX (RFC 3597)");
+            let what = format!("data of type {self} is written as \\# LENGTH HEX (RFC 3597)");
             return Err(bad(0, what));
         };
         let mut out = Vec::new();
         let mut at = 0;
         for field in fields {
-            let missing = || bad(at, format!("{self} data ends early"));
+            let missing = || bad(at, format!("{self} data is incomplete"));
             match field {
                 Field::Base64 | Field::Hex => {
                     let text: Vec<u8> = words[at..].iter().flat_map(|word| word.text).copied().collect();
@@ -248,7 +250,7 @@
                     if text.is_empty() {
                         return Err(missing());
                     }
-                    out.extend(coding.decode(&text).map_err(|_| bad(at, format!("no {name}")))?);
+                    out.extend(coding.decode(&text).map_err(|_| bad(at, format!("not valid {name}")))?);
                     at = words.len();
                 }
                 Field::Texts => {
@@ -270,7 +272,7 @@
             }
         }
         if at < words.len() {
-            return Err(bad(at, format!("more than {self} data needs")));
+            return Err(bad(at, format!("too many fields in {self} data")));
         }
         if out.len() > MAX_DATA_LENGTH {
             return Err(bad(0, "data of over 65535 octets".to_owned()));
@@ -279,22 +281,22 @@
     }
 
     fn read_opaque(self, words: &[Token]) -> Result<Vec<u8>, InvalidRecordData> {
-        let bad = |word: usize, what: &str| InvalidRecordData { word, what: what.to_owned() };
+        let bad = |word: usize, what: &str| InvalidRecordData { token_index: word, reason: what.to_owned() };
         let length: u16 = words
             .get(1)
             .and_then(|word| number(word.text))
             .ok_or_else(|| bad(1, "\\# is not followed by a length"))?;
         let text: Vec<u8> = words[2..].iter().flat_map(|word| word.text.to_ascii_uppercase()).collect();
-        let data = data_encoding::HEXUPPER.decode(&text).map_err(|_| bad(2, "no hex"))?;
+        let data = data_encoding::HEXUPPER.decode(&text).map_err(|_| bad(2, "not valid hex"))?;
         if data.len() != usize::from(length) {
             return Err(bad(1, &format!("the length says {length}, the data has {} octets", data.len())));
         }
-        self.canonical(&data).ok_or_else(|| bad(2, &format!("octets that are no {self} data")))
+        self.canonical_data(&data).ok_or_else(|| bad(2, &format!("the octets are not valid {self} data")))
     }
 
-    /// Takes data in wire form without pointers, checked and with names in lower case; none where it is not
-    /// well made.
-    pub fn canonical(self, data: &[u8]) -> Option<Vec<u8>> {
+    /// Validates data in wire form without compression pointers and converts its names to lower case; none if it
+    /// is malformed.
+    pub fn canonical_data(self, data: &[u8]) -> Option<Vec<u8>> {
         if data.len() > MAX_DATA_LENGTH {
             return None;
         }
@@ -310,10 +312,10 @@
         (at == data.len() || self.fields().is_none()).then_some(out)
     }
 
-    /// Writes data as text.
-    pub fn write(self, data: &[u8]) -> String {
+    /// Formats record data as text.
+    pub fn format_data(self, data: &[u8]) -> String {
         let mut text = String::new();
-        // A string takes whatever is written to it.
+        // Writing to a `String` can't fail.
         let Some(fields) = self.fields() else {
             let _ = write!(text, "\\# {} {}", data.len(), data_encoding::HEXUPPER.encode(data));
             return text;
@@ -330,8 +332,8 @@
         text
     }
 
-    /// The name in its data whose addresses go along with an answer (RFC 1035 section 3.3, RFC 2782).
-    pub fn target(self, data: &[u8]) -> Option<&[u8]> {
+    /// The name in the data whose addresses belong into the additional section (RFC 1035 section 3.3, RFC 2782).
+    pub fn additional_name(self, data: &[u8]) -> Option<&[u8]> {
         let at = match self {
             Self::NS | Self::CNAME | Self::DNAME | Self::PTR => 0,
             Self::MX | Self::AFSDB | Self::KX => 2,
--- a/crates/core/zones/src/secondary/transfer.rs
+++ b/crates/core/zones/src/secondary/transfer.rs
@@ -1,4 +1,4 @@
-//! Reading of zone transfers: AXFR (RFC 5936) and IXFR (RFC 1995).
+//! Parsing of zone transfers: AXFR (RFC 5936) and IXFR (RFC 1995).
 
 use crate::change::Change;
 use crate::name::Name;
@@ -9,48 +9,54 @@
 use crate::zone::Zone;
 use std::fmt;
 
-/// What a completed transfer brought.
+/// The content of a completed transfer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TransferResult {
-    /// The primary has nothing newer than the serial that was asked from; this is its serial.
+    /// The primary has nothing newer than the requested serial; this is the primary's serial.
     UpToDate(Serial),
-    /// All records of the zone (AXFR, or an IXFR answered in full).
+    /// All records of the zone (AXFR, or an IXFR that the primary answered with the full zone).
     Full(Vec<Record>),
-    /// The changes, in order, from the serial asked from on (IXFR).
+    /// The changes from the requested serial on, in order (IXFR).
     Incremental(Vec<Change>),
 }
 
-/// Why a transfer is discarded.
+/// Why a transfer is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TransferError {
-    /// It does not begin with the zone's SOA.
-    Start,
-    /// A change does not follow on the one before.
-    Order,
-    /// More came behind its end.
-    Behind,
-    /// The version is not newer than what is there.
-    Back {
-        /// What came.
-        came: Serial,
-        /// What is there.
-        have: Serial,
+    /// The first record is not the zone's SOA.
+    NoLeadingSoa,
+    /// A change does not start from the serial at which the one before ends.
+    OutOfOrder,
+    /// Records follow the end of the transfer.
+    TrailingRecords,
+    /// The transferred version is not newer than the current one.
+    NotNewer {
+        /// The serial of the transferred version.
+        received: Serial,
+        /// The serial of the current version.
+        current: Serial,
     },
-    /// A record is out of the zone, or can't stand in it.
+    /// A record is outside the zone or violates a rule of the zone.
     Rejected(String),
-    /// More records than a zone may have.
-    Large,
+    /// The transfer has too many records.
+    TooManyRecords,
 }
 
 impl fmt::Display for TransferError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Start => f.write_str("it does not begin with the zone's SOA"),
-            Self::Order => f.write_str("its changes do not follow on one another"),
-            Self::Behind => f.write_str("more came behind its end"),
-            Self::Back { came, have } => write!(f, "it brings {came}, which is not newer than {have}"),
-            Self::Rejected(what) => write!(f, "a record can't stand in the zone: {what}"),
-            Self::Large => f.write_str("more records than a zone may have"),
+            Self::NoLeadingSoa => f.write_str("the transfer does not begin with the zone's SOA"),
+            Self::OutOfOrder => {
+                f.write_str("a change in the transfer does not start from the serial of the change before it")
+            }
+            Self::TrailingRecords => f.write_str("records follow the end of the transfer"),
+            Self::NotNewer { received, current } => {
+                write!(f, "the transferred serial {received} is not newer than the current serial {current}")
+            }
+            Self::Rejected(what) => {
+                write!(f, "the transfer has a record that is not valid in the zone: {what}")
+            }
+            Self::TooManyRecords => f.write_str("the transfer has more records than a zone may have"),
         }
     }
 }
@@ -60,94 +66,95 @@
     Start,
     /// After the first SOA.
     First,
-    /// All records of the zone, until the SOA comes again (RFC 5936 section 2.2).
+    /// In the records of the full zone, until the SOA is repeated (RFC 5936 section 2.2).
     FullZone,
-    /// Records that are gone (RFC 1995 section 4).
+    /// In the removed records of a change (RFC 1995 section 4).
     Removed,
-    /// Records that are new.
+    /// In the added records of a change.
     Added,
     End,
 }
 
-/// Reads the records of an AXFR or IXFR response in the order in which they arrive.
+/// Parses the records of an AXFR or IXFR response in the order in which they arrive.
 #[derive(Clone, Debug)]
 pub struct TransferReader {
     apex: Name,
     asked_from: Option<Serial>,
-    most: usize,
-    stage: TransferState,
+    max_records: usize,
+    state: TransferState,
     newest: Option<Record>,
-    whole: Vec<Record>,
+    full_zone: Vec<Record>,
     changes: Vec<Change>,
     count: usize,
 }
 
 impl TransferReader {
-    /// A transfer of a zone, from a version on or of all of it.
-    pub fn new(apex: Name, asked_from: Option<Serial>, most: usize) -> Self {
+    /// Starts the parsing of a transfer: an IXFR from the serial `asked_from`, or an AXFR if there is none. `max_records`
+    /// is the maximum number of records in the zone; a transfer may have twice as many.
+    pub fn new(apex: Name, asked_from: Option<Serial>, max_records: usize) -> Self {
         Self {
             apex,
             asked_from,
-            most,
-            stage: TransferState::Start,
+            max_records,
+            state: TransferState::Start,
             newest: None,
-            whole: Vec::new(),
+            full_zone: Vec::new(),
             changes: Vec::new(),
             count: 0,
         }
     }
 
-    /// Whether it is whole.
+    /// Whether the last record of the transfer arrived.
     pub fn is_complete(&self) -> bool {
-        matches!(self.stage, TransferState::End)
+        matches!(self.state, TransferState::End)
     }
 
     fn serial(record: &Record) -> Serial {
-        Soa::of(&record.data).map_or(Serial(0), |soa| soa.serial)
+        Soa::parse(&record.data).map_or(Serial(0), |soa| soa.serial)
     }
 
-    /// Takes the next record.
-    pub fn take(&mut self, record: Record) -> Result<(), TransferError> {
+    /// Parses the next record.
+    pub fn push(&mut self, record: Record) -> Result<(), TransferError> {
         self.count += 1;
-        if self.count > self.most.saturating_mul(2) {
-            return Err(TransferError::Large);
+        if self.count > self.max_records.saturating_mul(2) {
+            return Err(TransferError::TooManyRecords);
         }
         if !record.name.is_within(&self.apex) {
             return Err(TransferError::Rejected(record.to_string()));
         }
         let soa = record.kind == RecordType::SOA;
         let newest = self.newest.as_ref().map(Self::serial);
-        match self.stage {
+        match self.state {
             TransferState::Start => {
                 if !soa || record.name != self.apex {
-                    return Err(TransferError::Start);
+                    return Err(TransferError::NoLeadingSoa);
                 }
                 self.newest = Some(record);
-                self.stage = TransferState::First;
+                self.state = TransferState::First;
             }
             TransferState::First if soa && self.asked_from == Some(Self::serial(&record)) => {
-                // The SOA of the version asked from: changes follow.
+                // The SOA of the requested serial comes second, so the response is incremental.
                 self.begin_change(record);
             }
             TransferState::First if soa && newest == Some(Self::serial(&record)) => {
-                // The whole of a zone with nothing but its SOA.
-                self.whole.extend(self.newest.clone());
-                self.stage = TransferState::End;
+                // A full zone that contains nothing but its SOA.
+                self.full_zone.extend(self.newest.clone());
+                self.state = TransferState::End;
             }
-            TransferState::First if soa => return Err(TransferError::Order),
+            TransferState::First if soa => return Err(TransferError::OutOfOrder),
             TransferState::First => {
-                self.whole.extend(self.newest.clone());
-                self.whole.push(record);
-                self.stage = TransferState::FullZone;
+                self.full_zone.extend(self.newest.clone());
+                self.full_zone.push(record);
+                self.state = TransferState::FullZone;
             }
-            TransferState::FullZone if soa => self.stage = TransferState::End,
-            TransferState::FullZone => self.whole.push(record),
+            TransferState::FullZone if soa => self.state = TransferState::End,
+            TransferState::FullZone => self.full_zone.push(record),
             TransferState::Removed if soa => {
                 if let Some(change) = self.changes.last_mut() {
                     change.to = Self::serial(&record);
                     change.added.push(record);
                 }
-                self.stage = TransferState::Added;
+                self.state = TransferState::Added;
             }
             TransferState::Removed => {
                 if let Some(change) = self.changes.last_mut() {
@@ -157,11 +164,11 @@
             TransferState::Added if soa => {
                 let last = self.changes.last().map(|change| change.to);
                 if last == newest && newest == Some(Self::serial(&record)) {
-                    self.stage = TransferState::End;
+                    self.state = TransferState::End;
                 } else if last == Some(Self::serial(&record)) {
                     self.begin_change(record);
                 } else {
-                    return Err(TransferError::Order);
+                    return Err(TransferError::OutOfOrder);
                 }
             }
             TransferState::Added => {
@@ -169,7 +176,7 @@
                     change.added.push(record);
                 }
             }
-            TransferState::End => return Err(TransferError::Behind),
+            TransferState::End => return Err(TransferError::TrailingRecords),
         }
         Ok(())
     }
@@ -177,41 +184,45 @@
     fn begin_change(&mut self, record: Record) {
         let from = Self::serial(&record);
         self.changes.push(Change { from, removed: vec![record], ..Change::default() });
-        self.stage = TransferState::Removed;
+        self.state = TransferState::Removed;
     }
 
-    /// One message ended. The first alone, with one SOA, says that nothing is newer, or that the whole zone has
-    /// to be asked for (RFC 1995 section 2).
+    /// Handles the end of a message. If the first message of an IXFR holds a single SOA, the requested version is
+    /// up to date or the full zone must be requested (RFC 1995 section 2).
     pub fn message_ended(&mut self) -> Option<TransferResult> {
-        if matches!(self.stage, TransferState::First) && self.asked_from.is_some() {
+        if matches!(self.state, TransferState::First) && self.asked_from.is_some() {
             let serial = self.newest.as_ref().map(Self::serial)?;
             return Some(TransferResult::UpToDate(serial));
         }
         None
     }
 
-    /// What it brought, once it is whole.
+    /// The content of the transfer; none if it is not complete.
     pub fn finish(self) -> Option<TransferResult> {
         if !self.is_complete() {
             return None;
         }
         Some(if self.changes.is_empty() {
-            TransferResult::Full(self.whole)
+            TransferResult::Full(self.full_zone)
         } else {
             TransferResult::Incremental(self.changes)
         })
     }
 }
 
-/// Makes a version of a whole transfer; never an older one than is there.
-pub fn version(apex: &Name, have: Option<Serial>, records: &[Record]) -> Result<Zone, TransferError> {
+/// Builds a version from the records of a full transfer. It must be newer than `current`.
+pub fn zone_from_records(
+    apex: &Name,
+    current: Option<Serial>,
+    records: &[Record],
+) -> Result<Zone, TransferError> {
     let mut zone = Zone::new(apex.clone());
     for record in records {
-        zone.add(record).map_err(|unfit| TransferError::Rejected(format!("{record}: {unfit}")))?;
+        zone.add(record).map_err(|error| TransferError::Rejected(format!("{record}: {error}")))?;
     }
-    let came = zone.soa().ok_or(TransferError::Start)?.serial;
-    match have {
-        Some(have) if !came.newer_than(have) => Err(TransferError::Back { came, have }),
+    let received = zone.soa().ok_or(TransferError::NoLeadingSoa)?.serial;
+    match current {
+        Some(current) if !received.newer_than(current) => Err(TransferError::NotNewer { received, current }),
         _ => Ok(zone),
     }
 }
--- a/crates/core/zones/src/zone.rs
+++ b/crates/core/zones/src/zone.rs
@@ -1,4 +1,5 @@
-//! A zone is an immutable version. A change makes the next one, which shares with it all that did not change.
+//! One immutable version of a zone. Changing a copy yields the next version, which shares all unchanged nodes with
+//! it.
 
 use crate::name::{within, LabelOffsets, Name};
 use crate::name_tree::{each, edit, Cursor, Node};
@@ -10,27 +11,27 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Why a record can't stand in a zone.
+/// Why a record can't be added to a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordError {
-    /// Its owner is not in the zone.
+    /// The record's owner is outside the zone.
     OutOfZone,
-    /// The type is for messages only.
+    /// The type is only valid in queries and messages.
     Meta(RecordType),
-    /// An alias beside other data, or other data beside an alias (RFC 1034 section 3.6.2).
+    /// A CNAME next to other records of the same name, or the reverse (RFC 1034 section 3.6.2).
     Alias(RecordType),
-    /// A second SOA, or one elsewhere than at the apex.
+    /// A second SOA, or a SOA below the apex.
     Soa,
-    /// A second alias at one name.
+    /// A second CNAME or DNAME at one name.
     TwoAliases(RecordType),
 }
 
 impl fmt::Display for RecordError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::OutOfZone => f.write_str("the owner is out of the zone"),
-            Self::Meta(kind) => write!(f, "{kind} can't stand in a zone"),
-            Self::Alias(kind) => write!(f, "{kind} beside other records of the name"),
+            Self::OutOfZone => f.write_str("the owner is outside the zone"),
+            Self::Meta(kind) => write!(f, "{kind} is not allowed in a zone"),
+            Self::Alias(kind) => write!(f, "{kind} can't coexist with other records of the name"),
             Self::Soa => f.write_str("a second SOA, or one that is not at the apex"),
             Self::TwoAliases(kind) => write!(f, "a second {kind} at one name"),
         }
@@ -50,14 +51,14 @@
 type Path<'a> = SmallVec<[&'a [u8]; 8]>;
 
 impl Zone {
-    /// A zone without a record.
+    /// Creates a zone without records.
     pub fn new(apex: Name) -> Self {
         let apex_labels = apex.labels().count();
         let root = Arc::new(Node::new(apex.labels().next().unwrap_or(&[])));
         Self { apex, apex_labels, root, records: 0, names: 0 }
     }
 
-    /// Its topmost name.
+    /// The topmost name of the zone.
     pub fn apex(&self) -> &Name {
         &self.apex
     }
@@ -67,32 +68,32 @@
         &self.root
     }
 
-    /// How many records there are.
-    pub fn records(&self) -> usize {
+    /// The number of records.
+    pub fn record_count(&self) -> usize {
         self.records
     }
 
-    /// How many names have records.
-    pub fn names(&self) -> usize {
+    /// The number of names that have records.
+    pub fn name_count(&self) -> usize {
         self.names
     }
 
-    /// Whether two are the very same version, part by part shared.
-    pub fn is_same(&self, other: &Zone) -> bool {
+    /// Whether both are the same version. Compares the shared root node, so it costs the same for any size.
+    pub fn is_same_version(&self, other: &Zone) -> bool {
         Arc::ptr_eq(&self.root, &other.root)
     }
 
-    /// The set with its SOA, once it has one.
+    /// The record set of the SOA; none if the zone has no SOA yet.
     pub fn soa_set(&self) -> Option<&RecordSet> {
         self.root.set(RecordType::SOA)
     }
 
-    /// What it says of itself.
+    /// The fields of the SOA; none if the zone has no SOA yet.
     pub fn soa(&self) -> Option<Soa> {
-        Soa::of(self.soa_set()?.records().next()?)
+        Soa::parse(self.soa_set()?.records().next()?)
     }
 
-    /// Its number; 0 before it has a SOA.
+    /// The serial; 0 if the zone has no SOA yet.
     pub fn serial(&self) -> Serial {
         self.soa().map_or(Serial(0), |soa| soa.serial)
     }
@@ -104,7 +105,7 @@
         Some(Record { name: self.apex.clone(), kind: RecordType::SOA, ttl: set.ttl, data })
     }
 
-    /// The labels from below the apex down; none where the name is not in the zone.
+    /// The labels below the apex, outermost first; none if the name is outside the zone.
     fn path<'a>(&self, name: &'a [u8]) -> Option<Path<'a>> {
         if !within(name, self.apex.wire()) {
             return None;
@@ -114,28 +115,28 @@
         Some((0..starts.count() - self.apex_labels).rev().map(label).collect())
     }
 
-    /// The node of a name in wire form and lower case, also where it only has others below it.
+    /// The node of a name in lower-case wire form. A node without records exists if there are names below it.
     pub fn node(&self, name: &[u8]) -> Option<&Node> {
         let mut node = &*self.root;
         for label in self.path(name)? {
-            node = node.below().get(label)?;
+            node = node.children().get(label)?;
         }
         Some(node)
     }
 
-    /// One set.
+    /// The record set of a name and type.
     pub fn set(&self, name: &Name, kind: RecordType) -> Option<&RecordSet> {
         self.node(name.wire())?.set(kind)
     }
 
-    /// Changes the sets of a name; `make` makes the name where it is not there.
+    /// Changes the record sets of a name and updates the counts. With `create_missing`, a missing node is created.
     fn edit<R>(
         &mut self,
         name: &Name,
-        make: bool,
+        create_missing: bool,
         change: impl FnOnce(&mut SmallVec<[RecordSet; 1]>) -> R,
     ) -> Option<R> {
-        if !make {
+        if !create_missing {
             self.node(name.wire())?;
         }
         let path = self.path(name.wire())?;
@@ -158,8 +159,8 @@
         Some(changed)
     }
 
-    /// Whether a record may be added, by the rules of one zone.
-    fn fits(&self, record: &Record) -> Result<(), RecordError> {
+    /// Checks whether a record may be added.
+    fn check_record(&self, record: &Record) -> Result<(), RecordError> {
         let kind = record.kind;
         if !record.name.is_within(&self.apex) {
             return Err(RecordError::OutOfZone);
@@ -187,10 +188,10 @@
         Ok(())
     }
 
-    /// Adds a record. One that is there already is no second one; the set takes over its time to live. Tells
-    /// whether anything changed.
+    /// Adds a record and returns whether anything changed. The set takes over the record's TTL, even if the record
+    /// exists already.
     pub fn add(&mut self, record: &Record) -> Result<bool, RecordError> {
-        self.fits(record)?;
+        self.check_record(record)?;
         let Record { name, kind, ttl, data } = record;
         if self.set(name, *kind).is_some_and(|set| set.ttl == *ttl && set.has(data)) {
             return Ok(false);
@@ -208,7 +209,7 @@
         Ok(true)
     }
 
-    /// Takes a record out; tells whether it was there.
+    /// Removes a record; returns whether it existed.
     pub fn remove(&mut self, name: &Name, kind: RecordType, data: &[u8]) -> bool {
         if !self.set(name, kind).is_some_and(|set| set.has(data)) {
             return false;
@@ -222,7 +223,7 @@
         true
     }
 
-    /// Takes all of a type out; tells whether there was any.
+    /// Removes a record set; returns whether it existed.
     pub fn remove_set(&mut self, name: &Name, kind: RecordType) -> bool {
         self.set(name, kind).is_some() && {
             self.edit(name, false, |sets| sets.retain(|set| set.kind != kind));
@@ -230,8 +231,8 @@
         }
     }
 
-    /// The same version under another number.
-    pub fn renumber(&mut self, serial: Serial) {
+    /// Sets the serial in the SOA.
+    pub fn set_serial(&mut self, serial: Serial) {
         self.edit(&self.apex.clone(), false, |sets| {
             if let Some(set) = sets.iter_mut().find(|set| set.kind == RecordType::SOA) {
                 set.replace_each(|data| with_serial(data, serial));
@@ -239,23 +240,24 @@
         });
     }
 
-    /// Visits each name with its sets; the apex first, then in an order that the names alone decide.
-    pub fn each<'a>(&'a self, mut visit: impl FnMut(&Name, &'a [RecordSet])) {
+    /// Calls `visit` for each name with records: first the apex, then an order that depends on the names alone.
+    pub fn for_each_name<'a>(&'a self, mut visit: impl FnMut(&Name, &'a [RecordSet])) {
         each(&self.root, &self.apex, &mut visit);
     }
 
-    /// The same one at a time, for long ways; the version stays as it is for as long as the walk goes on.
+    /// Iterates over all nodes one at a time, for long walks that are interrupted. The iterator keeps this version
+    /// alive.
     pub fn walk(&self) -> Walk {
         Walk {
             first: Some(self.root.clone()),
-            above: vec![(self.apex.clone(), Cursor::of(self.root.below()))],
+            above: vec![(self.apex.clone(), Cursor::new(self.root.children()))],
         }
     }
 
     /// All records: the SOA first, then the others (RFC 5936 section 2.2).
-    pub fn all(&self) -> Vec<Record> {
+    pub fn all_records(&self) -> Vec<Record> {
         let mut all: Vec<Record> = self.soa_record().into_iter().collect();
-        self.each(|name, sets| {
+        self.for_each_name(|name, sets| {
             for set in sets.iter().filter(|set| set.kind != RecordType::SOA) {
                 all.extend(set.records().map(|data| Record {
                     name: name.clone(),
@@ -269,7 +271,7 @@
     }
 }
 
-/// Visits all names of a version, the apex first.
+/// An iterator over all nodes of a version, the apex first.
 #[derive(Clone, Debug)]
 pub struct Walk {
     first: Option<Arc<Node>>,
@@ -289,10 +291,10 @@
                 self.above.pop();
                 continue;
             };
-            // A node's label and all above it made a name once.
+            // Names were checked when they were added, so their length is valid.
             let Ok(below) = name.child(node.label()) else { continue };
-            if !node.below().is_empty() {
-                self.above.push((below.clone(), Cursor::of(node.below())));
+            if !node.children().is_empty() {
+                self.above.push((below.clone(), Cursor::new(node.children())));
             }
             return Some((below, node));
         }
--- a/crates/core/zones/src/zone_file/reader.rs
+++ b/crates/core/zones/src/zone_file/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of the entries of a zone file: directives and records.
+//! Parses the entries of a zone file: directives and records.
 
 use super::scanner::{EntryError, LineStart, Position, Scanner};
 use super::{ZoneFileError, ZoneFileLimits};
@@ -10,20 +10,20 @@
 use crate::zone::{RecordError, Zone};
 use std::sync::Arc;
 
-/// The owner that a line without one takes over.
+/// The owner of records that have no owner field.
 #[derive(Clone)]
 pub(super) enum LastOwner {
     None,
     Known(Name),
-    /// Its record was refused for its owner: what follows without one is refused too.
+    /// The last owner was refused, so records without an owner field are refused too.
     Refused,
 }
 
 /// The state of reading one zone file and the files that it includes.
 pub(super) struct Reader<'a> {
     pub(super) zone: Option<Zone>,
-    /// Records that came before the SOA told the apex.
-    pub(super) early: Vec<(Record, Arc<str>, Position)>,
+    /// Records before the SOA, while the apex is not known.
+    pub(super) before_soa: Vec<(Record, Arc<str>, Position)>,
     pub(super) origin: Option<Name>,
     pub(super) owner: LastOwner,
     pub(super) ttl_default: Option<u32>,
@@ -39,7 +39,7 @@
 impl Reader<'_> {
     pub(super) fn refuse(&mut self, file: &Arc<str>, position: Position, reason: String) {
         self.refused += 1;
-        if self.faults.len() < self.limits.told {
+        if self.faults.len() < self.limits.max_reported {
             self.faults.push(fault(file, position, reason));
         }
     }
@@ -49,14 +49,14 @@
         let mut scanner = Scanner::new(text);
         let (mut words, mut positions) = (Vec::new(), Vec::new());
         while let Some(entry) = scanner.entry(&mut words, &mut positions) {
-            let taken = match entry {
+            let result = match entry {
                 Ok(LineStart::Owner) if words[0].text.first() == Some(&b'$') && !words[0].quoted => {
                     self.directive(&words, &positions, depth)
                 }
                 Ok(line_start) => self.record(file, line_start, &words, &positions),
                 Err(fault) => Err(fault),
             };
-            if let Err(fault) = taken {
+            if let Err(fault) = result {
                 self.refuse(file, fault.position, fault.reason);
             }
         }
@@ -71,21 +71,23 @@
                 .ok_or_else(|| EntryError::new(position_of(n), format!("{what} is missing")))
         };
         let too_many = |most: usize| match words.len() > most {
-            true => Err(EntryError::new(position_of(most), "more than the directive takes".to_owned())),
+            true => {
+                Err(EntryError::new(position_of(most), "too many arguments for the directive".to_owned()))
+            }
             false => Ok(()),
         };
         match words[0].text.to_ascii_uppercase().as_slice() {
             b"$ORIGIN" => {
                 too_many(2)?;
                 let name = Name::parse(word(1, "the origin")?, self.origin.as_ref());
-                self.origin = Some(name.map_err(|bad| EntryError::new(position_of(1), bad.to_string()))?);
+                self.origin = Some(name.map_err(|error| EntryError::new(position_of(1), error.to_string()))?);
             }
             b"$TTL" => {
                 too_many(2)?;
                 let ttl = read_time(word(1, "the time")?);
-                self.ttl_default = Some(
-                    ttl.ok_or_else(|| EntryError::new(position_of(1), "no time in seconds".to_owned()))?,
-                );
+                self.ttl_default = Some(ttl.ok_or_else(|| {
+                    EntryError::new(position_of(1), "not a valid time in seconds".to_owned())
+                })?);
             }
             b"$INCLUDE" => {
                 too_many(3)?;
@@ -97,17 +99,18 @@
                         format!("{path:?} is not within the zone's folder"),
                     ));
                 }
-                if depth >= self.limits.depth {
+                if depth >= self.limits.max_include_depth {
                     return Err(EntryError::new(
                         position_of(0),
-                        format!("files include one another over {depth} deep"),
+                        format!("$INCLUDE directives are nested more than {depth} deep"),
                     ));
                 }
                 let origin_before = self.origin.clone();
                 let owner_before = self.owner.clone();
                 if let Some(origin) = words.get(2) {
                     let name = Name::parse(origin.text, self.origin.as_ref());
-                    self.origin = Some(name.map_err(|bad| EntryError::new(position_of(2), bad.to_string()))?);
+                    self.origin =
+                        Some(name.map_err(|error| EntryError::new(position_of(2), error.to_string()))?);
                 }
                 let text = (self.include)(&path)
                     .map_err(|why| EntryError::new(position_of(1), format!("{path:?}: {why}")));
@@ -121,7 +124,7 @@
             other => {
                 return Err(EntryError::new(
                     position_of(0),
-                    format!("{} is no directive", String::from_utf8_lossy(other)),
+                    format!("{} is not a known directive", String::from_utf8_lossy(other)),
                 ));
             }
         }
@@ -143,29 +146,32 @@
                 LastOwner::None => {
                     return Err(EntryError::new(
                         position_of(0),
-                        "no owner, and none stands before it".to_owned(),
+                        "the owner is missing and no record precedes it".to_owned(),
                     ))
                 }
                 LastOwner::Refused => {
-                    return Err(EntryError::new(position_of(0), "its owner was refused above".to_owned()))
+                    return Err(EntryError::new(
+                        position_of(0),
+                        "the owner is missing and the owner before it was refused".to_owned(),
+                    ))
                 }
             }
         } else {
             n = 1;
             let name = Name::parse(words[0].text, self.origin.as_ref());
             self.owner = name.as_ref().map_or(LastOwner::Refused, |name| LastOwner::Known(name.clone()));
-            name.map_err(|bad| EntryError::new(position_of(0), bad.to_string()))?
+            name.map_err(|error| EntryError::new(position_of(0), error.to_string()))?
         };
         let (mut ttl, mut class) = (None, false);
         let kind = loop {
             let Some(word) = words.get(n) else {
-                return Err(EntryError::new(position_of(n), "no kind of record".to_owned()));
+                return Err(EntryError::new(position_of(n), "the record type is missing".to_owned()));
             };
             if ttl.is_none() && word.text.first().is_some_and(u8::is_ascii_digit) {
                 let time = read_time(word.text);
-                ttl = Some(
-                    time.ok_or_else(|| EntryError::new(position_of(n), "no time in seconds".to_owned()))?,
-                );
+                ttl = Some(time.ok_or_else(|| {
+                    EntryError::new(position_of(n), "not a valid time in seconds".to_owned())
+                })?);
             } else if !class && is_class(word.text) {
                 if !word.text.eq_ignore_ascii_case(b"IN") {
                     return Err(EntryError::new(position_of(n), "the class is not IN".to_owned()));
@@ -174,7 +180,7 @@
             } else {
                 let text = String::from_utf8_lossy(word.text);
                 break RecordType::parse(&text).ok_or_else(|| {
-                    EntryError::new(position_of(n), format!("{text:?} is no kind of record"))
+                    EntryError::new(position_of(n), format!("{text:?} is not a record type"))
                 })?;
             }
             n += 1;
@@ -184,25 +190,28 @@
             return Err(EntryError::new(position_of(n - 1), RecordError::Meta(kind).to_string()));
         }
         let data = kind
-            .read(&words[n..], self.origin.as_ref())
-            .map_err(|bad| EntryError::new(position_of(n + bad.word), bad.what))?;
+            .parse_data(&words[n..], self.origin.as_ref())
+            .map_err(|error| EntryError::new(position_of(n + error.token_index), error.reason))?;
         if kind == RecordType::SOA {
-            self.minimum = Soa::of(&data).map(|soa| soa.minimum);
+            self.minimum = Soa::parse(&data).map(|soa| soa.minimum);
         }
         self.ttl_last = ttl.or(self.ttl_last);
         let ttl = ttl.or(self.ttl_default).or(self.ttl_last).or(self.minimum);
         let ttl = ttl.ok_or_else(|| {
-            EntryError::new(position_of(n - 1), "no time to live, and no $TTL stands before it".to_owned())
+            EntryError::new(
+                position_of(n - 1),
+                "the TTL is missing and no $TTL precedes the record".to_owned(),
+            )
         })?;
         let record = Record { name, kind, ttl, data };
         if self.zone.is_none() {
             if kind != RecordType::SOA {
-                self.early.push((record, file.clone(), position_of(0)));
+                self.before_soa.push((record, file.clone(), position_of(0)));
                 return Ok(());
             }
             self.zone = Some(Zone::new(record.name.clone()));
             let added = self.add(file, position_of(0), &record);
-            for (record, file, position) in std::mem::take(&mut self.early) {
+            for (record, file, position) in std::mem::take(&mut self.before_soa) {
                 if let Err(fault) = self.add(&file, position, &record) {
                     self.refuse(&file, fault.position, fault.reason);
                 }
@@ -214,7 +223,7 @@
 
     fn add(&mut self, file: &Arc<str>, position: Position, record: &Record) -> Result<(), EntryError> {
         let Some(zone) = &mut self.zone else { return Ok(()) };
-        // Of several times to live in one set the first stands (RFC 2181 section 5.2 wants one).
+        // All records of a set must share one TTL (RFC 2181 section 5.2); the first one applies.
         let ttl = zone.set(&record.name, record.kind).map_or(record.ttl, |set| set.ttl);
         match zone.add(&Record { ttl, ..record.clone() }) {
             Ok(_) => Ok(()),
--- a/crates/core/zones/src/zone_store/mod.rs
+++ b/crates/core/zones/src/zone_store/mod.rs
@@ -1,9 +1,9 @@
-//! The store of one zone: which version is in force, which ones wait to be durable, and what an update, a reloaded
-//! file and expired leases make of them. It does no I/O: what must be durable goes out as an entry of a log and
-//! comes back as a number.
+//! The state of one zone: its versions, its pending log entries, and the effect of updates, reloads and lease
+//! expiry. The store does no I/O: it returns the log entries that must be made durable, and the caller reports
+//! back the log position up to which they are durable.
 //!
-//! A zone has a *base*, the file as last read, and the *version in force*, which is the base with all accepted
-//! changes on it. Reading the file again puts the same changes on the new base.
+//! A zone has a *base*, which is the zone file as last read, and a *version in force*, which is the base with all
+//! durable changes applied. A reload applies the same changes to the new base.
 
 mod known_updates;
 mod log_entry;
@@ -11,11 +11,11 @@
 
 pub use log_entry::{
     decode, decode_base, encode, encode_base, LeasedRecord, Snapshot, UpdateId, ZoneLogEntry, ZoneLogError,
-    FORM,
+    FORMAT_VERSION,
 };
 pub use reload::{PreparedReload, ReloadConflict, ReloadError, ReloadInput};
 
-use crate::change::{between, Change, ChangeError, ChangeHistory};
+use crate::change::{diff, Change, ChangeError, ChangeHistory};
 use crate::lease::{LeaseExpiry, LeaseLimits, LeaseTable};
 use crate::name::Name;
 use crate::record::Record;
@@ -32,38 +32,38 @@
 /// The limits of a zone store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ZoneStoreLimits {
-    /// Records that the log of changes names at most.
-    pub history: usize,
-    /// For how long a repeat is known.
+    /// Maximum number of records in the change history that is kept for IXFR.
+    pub max_history_records: usize,
+    /// How long an update identifier is remembered for detecting duplicates.
     pub deduplication_window: Span,
-    /// How many repeats are known at most.
-    pub known_updates: usize,
-    /// Records in one zone at most.
-    pub records: usize,
-    /// How leases are kept.
+    /// Maximum number of update identifiers that are remembered.
+    pub max_known_updates: usize,
+    /// Maximum number of records in the zone.
+    pub max_records: usize,
+    /// Limits for the leases of records.
     pub leases: LeaseLimits,
 }
 
 impl Default for ZoneStoreLimits {
     fn default() -> Self {
         Self {
-            history: 100_000,
+            max_history_records: 100_000,
             deduplication_window: Span::from_millis(300_000),
-            known_updates: 100_000,
-            records: 10_000_000,
+            max_known_updates: 100_000,
+            max_records: 10_000_000,
             leases: LeaseLimits::default(),
         }
     }
 }
 
-/// Why a zone takes no updates.
+/// Why a zone accepts no updates.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FreezeReason {
-    /// An operator said so.
+    /// An operator froze the zone.
     Operator,
-    /// The log can't be trusted or written; what it said.
+    /// The log is damaged or can't be written; holds the error text.
     LogFailed(String),
-    /// It follows a primary.
+    /// The zone is a secondary: only its primaries change it.
     Secondary,
 }
 
@@ -72,55 +72,55 @@
         match self {
             Self::Operator => f.write_str("frozen by an operator"),
             Self::LogFailed(what) => write!(f, "the log failed: {what}"),
-            Self::Secondary => f.write_str("it follows a primary"),
+            Self::Secondary => f.write_str("the zone is a secondary"),
         }
     }
 }
 
-/// What became of an update.
+/// The result of an update.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpdateOutcome {
-    /// The serial that holds it, or why it is refused. It is answered once all entries below
-    /// [`ZoneStore::answer_after`] are durable.
+    /// The serial of the version that contains the update, or the reason for the refusal. The response must wait
+    /// until all entries below [`ZoneStore::respond_after`] are durable.
     pub result: Result<Serial, UpdateError>,
-    /// What must be durable for it.
+    /// The log entry to make durable; none if the update changed nothing.
     pub entry: Option<ZoneLogEntry>,
-    /// For how long what it added is held.
+    /// The granted lease duration of the added records.
     pub lease: Option<Span>,
-    /// Whether it was known as a repeat.
-    pub repeat: bool,
+    /// Whether the update identifier was known, so that `result` is that of the first attempt.
+    pub duplicate: bool,
 }
 
-/// One zone: its base, its versions, the history for IXFR, the updates known and the leases of records.
+/// One zone: its base, its versions, the change history for IXFR, the known updates and the leases.
 #[derive(Clone, Debug)]
 pub struct ZoneStore {
     limits: ZoneStoreLimits,
     base: Zone,
     base_file: String,
-    /// With all accepted steps, durable or not.
+    /// The newest version, including changes that are not durable yet.
     latest: Zone,
-    /// What answers come from.
+    /// The version in force, from which queries are answered.
     current: Arc<Zone>,
-    /// Steps that wait to be durable: the number that must be, and the version.
-    waiting: VecDeque<(u64, Arc<Zone>, Option<Arc<Change>>)>,
+    /// Versions that are not durable yet: the log position that must be durable first, the version and its change.
+    pending: VecDeque<(u64, Arc<Zone>, Option<Arc<Change>>)>,
     history: ChangeHistory,
     known_updates: KnownUpdates,
     leases: LeaseTable,
     frozen: Option<FreezeReason>,
-    /// What a new base changed, until its entry is on the log.
+    /// The change that a reload or a transfer made, until its log entry is appended.
     reload_change: Option<Arc<Change>>,
 }
 
 impl ZoneStore {
-    /// A zone as its file has it.
+    /// Creates a store whose version in force is the base, without history, known updates or leases.
     pub fn new(base: Zone, base_file: String, limits: ZoneStoreLimits) -> Self {
         Self {
             latest: base.clone(),
             current: Arc::new(base.clone()),
             base,
             base_file,
-            waiting: VecDeque::new(),
-            history: ChangeHistory::new(limits.history),
+            pending: VecDeque::new(),
+            history: ChangeHistory::new(limits.max_history_records),
             known_updates: KnownUpdates::default(),
             leases: LeaseTable::new(limits.leases),
             frozen: None,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// A zone as its log has it, from the newest snapshot on.
+    /// Restores a zone from the newest snapshot of its log; [`Self::replay`] then applies the later entries.
     pub fn restore(
         now: Instant,
         base: Zone,
@@ -146,13 +146,13 @@
             store.known_updates.add(now, update_id, result, &limits);
         }
         for (name, kind, data, secs) in snapshot.leases {
-            store.leases.hold(now, &name, kind, &data, Span::from_secs(f64::from(secs)));
+            store.leases.grant(now, &name, kind, &data, Span::from_secs(f64::from(secs)));
         }
         store.leases.restart(now);
         Ok(store)
     }
 
-    /// Applies an entry that stands on the log. A new base must be at hand.
+    /// Applies a log entry during recovery. `base` reads the base file that the entry names.
     pub fn replay(
         &mut self,
         now: Instant,
@@ -165,7 +165,7 @@
                     self.known_updates.add(now, update_id, Ok(change.to), &self.limits);
                 }
                 let span = (lease > 0).then(|| Span::from_secs(f64::from(lease)));
-                self.renew_leases(now, change.gone(), change.fresh(), span);
+                self.renew_leases(now, change.deleted_records(), change.new_records(), span);
                 kept.iter().for_each(|(name, kind, data)| self.leases.release(name, *kind, data));
                 change
             }
@@ -175,8 +175,8 @@
             }
             ZoneLogEntry::Based { base: file, serial, since } => {
                 let new = base(&file).ok_or_else(|| ZoneLogError::MissingBase(file.clone()))?;
-                let seen = since.reversed().apply(&self.latest)?;
-                let input = ReloadInput { base: self.base.clone(), latest: seen };
+                let prepared_from = since.reversed().apply(&self.latest)?;
+                let input = ReloadInput { base: self.base.clone(), latest: prepared_from };
                 self.install_base(file, input.merge(new), since, serial, &mut Vec::new());
                 self.reload_change.take().into_iter().for_each(|change| self.history.push(change));
                 self.current = Arc::new(self.latest.clone());
@@ -198,13 +198,13 @@
         Ok(())
     }
 
-    /// The state as of the last durable step, for a snapshot. Steps that wait are not in it.
+    /// Returns the state for a snapshot. Changes of records that are not durable yet are not part of it.
     pub fn snapshot(&self) -> Snapshot {
         let secs = |span: Span| span.secs().round() as u32;
         Snapshot {
-            form: FORM,
+            form: FORMAT_VERSION,
             base: self.base_file.clone(),
-            overlay: between(&self.base, &self.current),
+            overlay: diff(&self.base, &self.current),
             history: self.history.all().map(|change| (**change).clone()).collect(),
             known_updates: self.known_updates.all().collect(),
             leases: self
@@ -220,22 +220,22 @@
         &self.current
     }
 
-    /// The newest version, durable or not.
+    /// The newest version, including changes that are not durable yet.
     pub fn latest(&self) -> &Zone {
         &self.latest
     }
 
-    /// The file as last read.
+    /// The zone file as last read, or the last full transfer.
     pub fn base(&self) -> &Zone {
         &self.base
     }
 
-    /// The file that holds the base.
+    /// The name of the file that holds the base.
     pub fn base_file(&self) -> &str {
         &self.base_file
     }
 
-    /// What leads on from a version to the one in force; none where the log does not reach back to it.
+    /// Returns the changes from a version to the one in force; none if the history does not reach back that far.
     pub fn changes_since(&self, serial: Serial) -> Option<Vec<Arc<Change>>> {
         if serial == self.current.serial() {
             return Some(Vec::new());
@@ -243,30 +243,31 @@
         self.history.since(serial)
     }
 
-    /// Whether all accepted steps are durable.
+    /// Whether every accepted change is durable.
     pub fn is_durable(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Below which number all entries must be durable before an update judged now is answered: what it was
-    /// judged by must outlast a restart, also where it changed nothing itself.
-    pub fn answer_after(&self) -> u64 {
-        self.waiting.back().map_or(0, |(number, ..)| *number)
+    /// The log position up to which entries must be durable before an update evaluated now gets its response. This
+    /// also applies to updates that changed nothing: the changes that they were evaluated against must survive a
+    /// restart.
+    pub fn respond_after(&self) -> u64 {
+        self.pending.back().map_or(0, |(number, ..)| *number)
     }
 
-    /// Why it takes no updates, if it doesn't.
+    /// Why the zone accepts no updates; none if it accepts them.
     pub fn frozen(&self) -> Option<&FreezeReason> {
         self.frozen.as_ref()
     }
 
-    /// Takes no updates from now on.
+    /// Stops accepting updates. An operator's freeze does not replace another reason.
     pub fn freeze(&mut self, why: FreezeReason) {
         if self.frozen.is_none() || !matches!(why, FreezeReason::Operator) {
             self.frozen = Some(why);
         }
     }
 
-    /// Takes updates again, unless it is not an operator's word that stopped it.
+    /// Ends an operator's freeze and returns whether the zone accepts updates. Other reasons stay in force.
     pub fn thaw(&mut self) -> bool {
         if self.frozen == Some(FreezeReason::Operator) {
             self.frozen = None;
@@ -279,7 +280,7 @@
         &self.leases
     }
 
-    /// Judges an update on top of all accepted ones. A repeat gets the answer of its first.
+    /// Evaluates an update against the newest version. A duplicate gets the result of the first attempt.
     pub fn update(
         &mut self,
         now: Instant,
@@ -289,21 +290,21 @@
         update_id: Option<UpdateId>,
         lease: Option<Span>,
     ) -> UpdateOutcome {
-        let lease = lease.map(|asked| self.leases.granted(asked));
+        let lease = lease.map(|requested| self.leases.granted_duration(requested));
         if let Some(result) =
             update_id.and_then(|update_id| self.known_updates.get(now, &update_id, &self.limits))
         {
-            return UpdateOutcome { result, entry: None, lease, repeat: true };
+            return UpdateOutcome { result, entry: None, lease, duplicate: true };
         }
-        let judged = match &self.frozen {
+        let evaluated = match &self.frozen {
             Some(_) => Err(UpdateError::Frozen),
-            None => update.judge(&self.latest, grants, key),
+            None => update.evaluate(&self.latest, grants, key),
         };
-        let judged = judged.and_then(|next| match next {
-            Some((zone, _)) if zone.records() > self.limits.records => Err(UpdateError::NotAllowed),
+        let evaluated = evaluated.and_then(|next| match next {
+            Some((zone, _)) if zone.record_count() > self.limits.max_records => Err(UpdateError::NotAllowed),
             next => Ok(next),
         });
-        let (result, entry) = match judged {
+        let (result, entry) = match evaluated {
             Err(refusal) => (Err(refusal), None),
             Ok(None) => {
                 let kept = self.made_permanent(update, lease);
@@ -322,18 +323,18 @@
                 _ => None,
             });
             let change = entry.as_ref().and_then(ZoneLogEntry::change);
-            self.renew_leases(now, change.into_iter().flat_map(Change::gone), added, lease);
+            self.renew_leases(now, change.into_iter().flat_map(Change::deleted_records), added, lease);
         }
         if let Some(update_id) = update_id.filter(|_| result != Err(UpdateError::Frozen)) {
             self.known_updates.add(now, update_id, result, &self.limits);
         }
-        UpdateOutcome { result, entry, lease, repeat: false }
+        UpdateOutcome { result, entry, lease, duplicate: false }
     }
 
-    /// Records that are held and that an update without a lease adds again: they are there for good from then on.
+    /// The leased records that an update without a lease adds again. They lose their lease and become permanent.
     fn made_permanent(&self, update: &Update, lease: Option<Span>) -> Vec<LeasedRecord> {
         let of = |operation: &UpdateOperation| match operation {
-            UpdateOperation::AddRecord(record) if lease.is_none() && self.leases.holds(record) => {
+            UpdateOperation::AddRecord(record) if lease.is_none() && self.leases.contains(record) => {
                 Some((record.name.clone(), record.kind, record.data.clone()))
             }
             _ => None,
@@ -341,7 +342,7 @@
         update.operations.iter().filter_map(of).collect()
     }
 
-    /// Holds what was added, and lets go of what was removed.
+    /// Grants or renews the leases of added records and releases those of removed records.
     fn renew_leases<'a>(
         &mut self,
         now: Instant,
@@ -352,20 +353,20 @@
         gone.for_each(|record| self.leases.release(&record.name, record.kind, &record.data));
         for record in added.filter(|record| record.kind != RecordType::SOA) {
             match lease {
-                Some(span) => self.leases.hold(now, &record.name, record.kind, &record.data, span),
+                Some(span) => self.leases.grant(now, &record.name, record.kind, &record.data, span),
                 None => self.leases.release(&record.name, record.kind, &record.data),
             }
         }
     }
 
-    /// Takes out what ran out; none where nothing goes.
+    /// Removes records whose lease expired. Returns no entry if nothing was removed.
     pub fn expire_leases(&mut self, now: Instant) -> (Option<ZoneLogEntry>, LeaseExpiry) {
         if self.frozen.is_some() {
             return (None, LeaseExpiry::default());
         }
-        let lapse = self.leases.lapse(now, &self.latest);
-        let operations = lapse
-            .gone
+        let expiry = self.leases.expire(now, &self.latest);
+        let operations = expiry
+            .removed
             .iter()
             .map(|(name, kind, data)| UpdateOperation::DeleteRecord(name.clone(), *kind, data.clone()));
         let update = Update { prerequisites: Vec::new(), operations: operations.collect() };
@@ -374,30 +375,31 @@
             self.latest = next;
             ZoneLogEntry::Changed { change, update_id: None, lease: 0, kept: Vec::new() }
         });
-        (entry, lapse)
+        (entry, expiry)
     }
 
-    /// An entry was added to the log; once all below this number are durable, its version is in force.
+    /// Called after an entry was appended to the log. Its version comes into force once all entries below `up_to`
+    /// are durable.
     pub fn entry_appended(&mut self, up_to: u64, entry: &ZoneLogEntry) {
         let change =
             self.reload_change.take().or_else(|| entry.change().map(|change| Arc::new(change.clone())));
-        self.waiting.push_back((up_to, Arc::new(self.latest.clone()), change));
+        self.pending.push_back((up_to, Arc::new(self.latest.clone()), change));
     }
 
-    /// All entries below this number are durable; tells whether another version is in force now.
-    pub fn durable(&mut self, up_to: u64) -> bool {
-        let mut moved = false;
-        while let Some((_, zone, change)) = self.waiting.pop_front_if(|(number, ..)| *number <= up_to) {
+    /// Called once all entries below `up_to` are durable; returns whether a newer version came into force.
+    pub fn entries_durable(&mut self, up_to: u64) -> bool {
+        let mut advanced = false;
+        while let Some((_, zone, change)) = self.pending.pop_front_if(|(number, ..)| *number <= up_to) {
             self.current = zone;
             change.into_iter().for_each(|change| self.history.push(change));
-            moved = true;
+            advanced = true;
         }
-        moved
+        advanced
     }
 
-    /// The log failed: what waits is not durable and never will be, and nothing more is taken.
+    /// Handles a log failure: discards the changes that are not durable and freezes the zone.
     pub fn log_failed(&mut self, why: String) {
-        self.waiting.clear();
+        self.pending.clear();
         self.latest = (*self.current).clone();
         self.freeze(FreezeReason::LogFailed(why));
     }
--- a/crates/core/zones/src/zone_store/reload.rs
+++ b/crates/core/zones/src/zone_store/reload.rs
@@ -1,76 +1,76 @@
-//! Replacing the base of a zone: by its file, read again, on which the accepted updates are put; or by a version from a
-//! primary.
+//! Replacing the base of a zone, either by the zone file after it was read again, with the accepted updates
+//! applied to it, or by a version from a primary.
 
 use super::{ZoneLogEntry, ZoneStore};
-use crate::change::{between, between_at, Change, ChangeError};
+use crate::change::{diff, diff_at_names, Change, ChangeError};
 use crate::name::Name;
 use crate::record::Record;
 use crate::record_type::RecordType;
 use crate::serial::Serial;
-use crate::update::serial_after;
+use crate::update::reload_serial;
 use crate::zone::Zone;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::sync::Arc;
 
-/// A change of an operator's file that meets an accepted update.
+/// A change in the operator's file that conflicts with an accepted update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReloadConflict {
-    /// The name.
+    /// The owner name of the record set.
     pub name: Name,
-    /// The type.
+    /// The type of the record set.
     pub kind: RecordType,
-    /// What happened.
-    pub what: &'static str,
+    /// How the conflict was resolved.
+    pub description: &'static str,
 }
 
 impl fmt::Display for ReloadConflict {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} {}: {}", self.name, self.kind, self.what)
+        write!(f, "{} {}: {}", self.name, self.kind, self.description)
     }
 }
 
-/// Why a file that was read again is not taken.
+/// Why a zone file that was read again is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReloadError {
-    /// Its serial is lower than that of the file in force.
-    Lower {
-        /// That of the file.
+    /// The file's serial is not newer than that of the file read before.
+    SerialNotNewer {
+        /// The serial of the file.
         file: Serial,
-        /// That of the file before.
+        /// The serial of the file read before.
         before: Serial,
     },
-    /// It is the same as the file in force.
-    Same,
+    /// The file has the same records as the one read before.
+    Unchanged,
 }
 
 impl fmt::Display for ReloadError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Lower { file, before } => {
+            Self::SerialNotNewer { file, before } => {
                 write!(f, "the file's serial {file} is not newer than {before}, which was read before")
             }
-            Self::Same => f.write_str("the file is the same as before"),
+            Self::Unchanged => f.write_str("the file's records did not change"),
         }
     }
 }
 
-/// A new base, made ready aside while the zone goes on: as of this version.
+/// A new base, prepared in the background while the zone keeps serving and accepting updates.
 #[derive(Clone, Debug)]
 pub struct PreparedReload {
     /// The new base.
     pub base: Zone,
-    /// The base with the accepted changes on it.
+    /// The new base with the accepted changes applied.
     pub(super) merged: Zone,
-    /// What leads there from the version that was seen.
+    /// The change from `prepared_from` to `merged`.
     pub(super) change: Change,
-    /// The version in force when it was made.
-    pub(super) seen: Zone,
-    /// What met.
+    /// The newest version when the preparation began.
+    pub(super) prepared_from: Zone,
+    /// Conflicts between the file and accepted updates.
     pub conflicts: Vec<ReloadConflict>,
 }
 
-/// What making a new base ready needs of a zone store; cheap to copy, as versions share their parts.
+/// The part of a zone store that preparing a new base needs. Copying it is cheap: versions share their nodes.
 #[derive(Clone, Debug)]
 pub struct ReloadInput {
     pub(super) base: Zone,
@@ -78,15 +78,15 @@
 }
 
 impl ReloadInput {
-    /// Makes a new base ready; costs as much as the file is long, so it is done aside. Changes accepted since are
-    /// put on in [`super::ZoneStore::reload`].
+    /// Prepares a new base. The cost grows with the size of the file, so callers run it in the background.
+    /// [`super::ZoneStore::reload`] applies the changes that are accepted in the meantime.
     pub fn prepare(&self, base: Zone) -> Result<PreparedReload, ReloadError> {
         let (file, before) = (base.serial(), self.base.serial());
         if file != before && !file.newer_than(before) {
-            return Err(ReloadError::Lower { file, before });
+            return Err(ReloadError::SerialNotNewer { file, before });
         }
-        if between(&self.base, &base).is_empty() {
-            return Err(ReloadError::Same);
+        if diff(&self.base, &base).is_empty() {
+            return Err(ReloadError::Unchanged);
         }
         Ok(self.merge(base))
     }
@@ -94,41 +94,41 @@
     pub(super) fn merge(&self, base: Zone) -> PreparedReload {
         let mut conflicts = Vec::new();
         let mut merged = base.clone();
-        let overlay = between(&self.base, &self.latest);
+        let overlay = diff(&self.base, &self.latest);
         merge_changes(&mut merged, &overlay, Some((&self.base, &base)), &mut conflicts);
-        let change = between(&self.latest, &merged);
-        PreparedReload { base, merged, change, seen: self.latest.clone(), conflicts }
+        let change = diff(&self.latest, &merged);
+        PreparedReload { base, merged, change, prepared_from: self.latest.clone(), conflicts }
     }
 }
 
 impl ZoneStore {
-    /// What making a new base ready needs.
+    /// Returns the input for [`ReloadInput::prepare`].
     pub fn reload_input(&self) -> ReloadInput {
         ReloadInput { base: self.base.clone(), latest: self.latest.clone() }
     }
 
-    /// Takes a new base over: what was accepted since it was made ready is put on too, and all of it is the next
-    /// version. Costs as much as was accepted meanwhile. The versions that are not needed any more come out: to
-    /// let go of them may take long.
+    /// Installs a prepared base as the next version, with the changes accepted since its preparation applied. The
+    /// cost grows with the number of these changes only. Returns the old versions too: dropping them can take
+    /// long, so the caller does it in the background.
     pub fn reload(
         &mut self,
         base_file: String,
         ready: PreparedReload,
     ) -> (ZoneLogEntry, Vec<ReloadConflict>, Vec<Zone>) {
         let mut conflicts = ready.conflicts.clone();
-        let retired = vec![self.base.clone(), self.latest.clone(), ready.seen.clone()];
-        let since = if ready.seen.is_same(&self.latest) {
+        let retired = vec![self.base.clone(), self.latest.clone(), ready.prepared_from.clone()];
+        let since = if ready.prepared_from.is_same_version(&self.latest) {
             Change { from: self.latest.serial(), to: self.latest.serial(), ..Change::default() }
         } else {
-            between(&ready.seen, &self.latest)
+            diff(&ready.prepared_from, &self.latest)
         };
-        // Never back, whatever the file says.
-        let serial = serial_after(self.latest.serial(), ready.base.serial());
+        // The serial never decreases, even if the file has an older one.
+        let serial = reload_serial(self.latest.serial(), ready.base.serial());
         self.install_base(base_file.clone(), ready, since.clone(), serial, &mut conflicts);
         (ZoneLogEntry::Based { base: base_file, serial, since }, conflicts, retired)
     }
 
-    /// Makes a prepared base the base, and the changes accepted meanwhile a part of the latest version.
+    /// Makes a prepared base the base and applies the changes accepted since its preparation to the new version.
     pub(super) fn install_base(
         &mut self,
         file: String,
@@ -139,22 +139,22 @@
     ) {
         let PreparedReload { base, mut merged, change, .. } = ready;
         merge_changes(&mut merged, &since, None, conflicts);
-        merged.renumber(serial);
-        // Where nothing was accepted meanwhile the change stands as it is; else it is looked at anew, at the
-        // names that are touched, of which the apex with its serial always is one.
+        merged.set_serial(serial);
+        // The prepared change stays valid except at names that were changed since, which are compared again. The
+        // apex always belongs to them, because its SOA holds the serial.
         let mut touched: BTreeSet<&Name> = since.names().collect();
         touched.insert(merged.apex());
         let same = |record: &Record| !touched.contains(&record.name);
-        let mut whole = between_at(&self.latest, &merged, touched.iter().copied());
-        whole.removed.extend(change.removed.into_iter().filter(same));
-        whole.added.extend(change.added.into_iter().filter(same));
+        let mut full_change = diff_at_names(&self.latest, &merged, touched.iter().copied());
+        full_change.removed.extend(change.removed.into_iter().filter(same));
+        full_change.added.extend(change.added.into_iter().filter(same));
         self.base = base;
         self.base_file = file;
         self.latest = merged;
-        self.reload_change = Some(Arc::new(whole));
+        self.reload_change = Some(Arc::new(full_change));
     }
 
-    /// A whole version from the primary is the next one, and the base too.
+    /// Installs a full version from a primary as both the base and the next version.
     pub fn replace_from_primary(
         &mut self,
         base_file: String,
@@ -169,55 +169,59 @@
         (ZoneLogEntry::Followed { base: base_file }, retired)
     }
 
-    /// Changes from the primary lead to the next version; the base stays.
+    /// Applies incremental changes from a primary. The base stays as it is.
     pub fn apply_from_primary(&mut self, changes: &[Change]) -> Result<ZoneLogEntry, ChangeError> {
         let mut next = self.latest.clone();
         for change in changes {
             next = change.apply(&next)?;
         }
-        let change = between(&self.latest, &next);
+        let change = diff(&self.latest, &next);
         self.latest = next;
         Ok(ZoneLogEntry::Changed { change, update_id: None, lease: 0, kept: Vec::new() })
     }
 }
 
-/// Puts accepted changes on another version. Where the file changed the same set, the accepted change stands,
-/// and the meeting is told.
+/// Applies accepted changes to another version. Where the file changed the same record set, the accepted change
+/// takes precedence and the conflict is reported.
 pub(super) fn merge_changes(
     zone: &mut Zone,
     change: &Change,
     bases: Option<(&Zone, &Zone)>,
     conflicts: &mut Vec<ReloadConflict>,
 ) {
-    let mut told: Vec<(Name, RecordType)> = Vec::new();
-    let mut meets = |record: &Record, conflicts: &mut Vec<ReloadConflict>| {
+    let mut reported: Vec<(Name, RecordType)> = Vec::new();
+    let mut report_conflict = |record: &Record, conflicts: &mut Vec<ReloadConflict>| {
         let Some((old, new)) = bases else { return };
         let at = (record.name.clone(), record.kind);
-        if old.set(&at.0, at.1) != new.set(&at.0, at.1) && !told.contains(&at) {
-            let what = "changed in the file and by updates; the updates stand on the file's records";
-            conflicts.push(ReloadConflict { name: at.0.clone(), kind: at.1, what });
-            told.push(at);
+        if old.set(&at.0, at.1) != new.set(&at.0, at.1) && !reported.contains(&at) {
+            let what = "changed both in the file and by updates; the updates take precedence";
+            conflicts.push(ReloadConflict { name: at.0.clone(), kind: at.1, description: what });
+            reported.push(at);
         }
     };
-    for record in change.gone().filter(|record| record.kind != RecordType::SOA) {
-        meets(record, conflicts);
+    for record in change.deleted_records().filter(|record| record.kind != RecordType::SOA) {
+        report_conflict(record, conflicts);
         zone.remove(&record.name, record.kind, &record.data);
     }
     let before: BTreeSet<_> = change.removed.iter().map(Record::key).collect();
     for record in change.added.iter().filter(|record| record.kind != RecordType::SOA) {
-        // Of a record that only got another time to live nobody said that it should be there.
-        let there =
+        // An update that only changed a record's TTL must not bring the record back if the file dropped it.
+        let exists =
             |zone: &Zone| zone.set(&record.name, record.kind).is_some_and(|set| set.has(&record.data));
-        let fresh = !before.contains(&record.key());
-        if !fresh && !there(zone) {
+        let is_new = !before.contains(&record.key());
+        if !is_new && !exists(zone) {
             continue;
         }
-        if fresh {
-            meets(record, conflicts);
+        if is_new {
+            report_conflict(record, conflicts);
         }
         if zone.add(record).is_err() {
-            let what = "an updated record can't stand beside the file's; it is left out";
-            conflicts.push(ReloadConflict { name: record.name.clone(), kind: record.kind, what });
+            let what = "a record added by an update conflicts with the file's records; it is dropped";
+            conflicts.push(ReloadConflict {
+                name: record.name.clone(),
+                kind: record.kind,
+                description: what,
+            });
         }
     }
 }
--- a/crates/frontends/dns/src/client.rs
+++ b/crates/frontends/dns/src/client.rs
@@ -170,7 +170,7 @@
         check_response_code(&response)?;
         let soa =
             response.sections[0].iter().find(|record| record.kind == RecordType::SOA && record.name == *zone);
-        let soa = soa.and_then(|record| lynxtally_zones::Soa::of(&record.data));
+        let soa = soa.and_then(|record| lynxtally_zones::Soa::parse(&record.data));
         soa.filter(|_| response.authoritative)
             .map(|soa| soa.serial)
             .ok_or(ClientError::InvalidResponse("the response has no authoritative SOA record of the zone"))
@@ -184,7 +184,7 @@
         max_records: usize,
         id: u16,
     ) -> Result<TransferResult, ClientError> {
-        let from = current_soa.and_then(|soa| lynxtally_zones::Soa::of(&soa.data)).map(|soa| soa.serial);
+        let from = current_soa.and_then(|soa| lynxtally_zones::Soa::parse(&soa.data)).map(|soa| soa.serial);
         let kind = if current_soa.is_some() { RecordType::IXFR } else { RecordType::AXFR };
         let request = OutgoingRequest { soa: current_soa, ..query(id, zone, kind) };
         let mut signer = self.signer();
@@ -197,7 +197,7 @@
             check_response_code(&response)?;
             let [records, ..] = response.sections;
             for record in records {
-                reader.take(record).map_err(|fault| ClientError::InvalidTransfer(fault.to_string()))?;
+                reader.push(record).map_err(|fault| ClientError::InvalidTransfer(fault.to_string()))?;
             }
             if let Some(up_to_date) = reader.message_ended() {
                 return Ok(up_to_date);
--- a/crates/frontends/dns/src/codec.rs
+++ b/crates/frontends/dns/src/codec.rs
@@ -323,7 +323,7 @@
     Some(UpdateRecord {
         name: name_of(&record.owner())?,
         kind: RecordType(record.rtype().to_int()),
-        sense,
+        class: sense,
         ttl: record.ttl().as_secs(),
         data: data_of(record)?,
     })
@@ -333,7 +333,7 @@
     if record.rtype() != Rtype::SOA {
         return None;
     }
-    lynxtally_zones::Soa::of(&data_of(record)?).map(|soa| soa.serial)
+    lynxtally_zones::Soa::parse(&data_of(record)?).map(|soa| soa.serial)
 }
 
 /// Identifies a repeated update: a hash of the key's name and of the message without its signature.
@@ -551,7 +551,7 @@
     ) -> Self {
         let soa = version.soa_record();
         let shorter = |changes: &Vec<Arc<Change>>| {
-            changes.iter().map(|change| change.len()).sum::<usize>() <= version.records()
+            changes.iter().map(|change| change.len()).sum::<usize>() <= version.record_count()
         };
         let newer = from.is_none_or(|from| version.serial().newer_than(from));
         let records: Box<dyn Iterator<Item = Record> + Send> = match changes.filter(shorter) {
@@ -684,7 +684,7 @@
         let to_update_record = |soa: &&Record| UpdateRecord {
             name: soa.name.clone(),
             kind: soa.kind,
-            sense: UpdateClass::Zone,
+            class: UpdateClass::Zone,
             ttl: soa.ttl,
             data: soa.data.clone(),
         };
@@ -702,7 +702,7 @@
                         &update_record.data[..],
                     )
                     .ok()?;
-                    push((&owner, class(update_record.sense), Ttl::from_secs(update_record.ttl), data))
+                    push((&owner, class(update_record.class), Ttl::from_secs(update_record.ttl), data))
                         .ok()?;
                 }
                 Some(())
@@ -822,6 +822,6 @@
         name: name_of(&record.owner())?,
         kind,
         ttl: record.ttl().as_secs(),
-        data: kind.canonical(&data_of(record)?)?,
+        data: kind.canonical_data(&data_of(record)?)?,
     })
 }
--- a/crates/frontends/dns/src/executor.rs
+++ b/crates/frontends/dns/src/executor.rs
@@ -138,7 +138,7 @@
 
     /// The version that queries are answered from; `None` if there is none or it has expired.
     pub fn served(&self) -> Option<&Arc<Zone>> {
-        let fit = self.secondary.as_ref().is_none_or(SecondaryZone::serves);
+        let fit = self.secondary.as_ref().is_none_or(SecondaryZone::is_serving);
         self.store.as_ref().filter(|_| fit).map(ZoneStore::current)
     }
 
@@ -249,7 +249,7 @@
         let found = lookup(version, request.name.wire(), request.kind);
         let code = match found.outcome {
             Outcome::Found | Outcome::NoData | Outcome::Referral => ResponseCode::NOERROR,
-            Outcome::NoName => ResponseCode::NXDOMAIN,
+            Outcome::NxDomain => ResponseCode::NXDOMAIN,
             Outcome::TooLong => ResponseCode::YXDOMAIN,
         };
         context.write(&ResponseContent {
@@ -364,7 +364,7 @@
         if let Some(entry) = &outcome.entry {
             zone.append_entry(entry);
         }
-        let durable_below = zone.store.as_ref().map_or(0, ZoneStore::answer_after);
+        let durable_below = zone.store.as_ref().map_or(0, ZoneStore::respond_after);
         let lease = outcome.lease.filter(|_| outcome.result.is_ok());
         zone.pending_updates.push_back(PendingUpdate {
             request_id,
@@ -373,7 +373,7 @@
             result: outcome.result,
             lease,
         });
-        self.counts.repeats += u64::from(outcome.repeat);
+        self.counts.repeats += u64::from(outcome.duplicate);
     }
 
     fn answer_update(
@@ -429,11 +429,11 @@
     pub fn entries_durable(&mut self, zone_index: usize, durable_below: u64) -> bool {
         let (now, zone) = (self.now, &mut self.zones[zone_index]);
         zone.durable_below = zone.durable_below.max(durable_below);
-        let new_version = zone.store.as_mut().is_some_and(|store| store.durable(durable_below));
+        let new_version = zone.store.as_mut().is_some_and(|store| store.entries_durable(durable_below));
         if new_version {
             self.counts.versions += 1;
             if let Some(serial) = zone.store.as_ref().map(|store| store.current().serial()) {
-                zone.notify_sender.wanted(now, serial);
+                zone.notify_sender.serial_changed(now, serial);
             }
         }
         new_version
@@ -445,10 +445,7 @@
         if matches!(zone.store.as_ref().and_then(ZoneStore::frozen), Some(FreezeReason::LogFailed(_))) {
             return;
         }
-        error!(
-            zone = %zone.settings.apex, why,
-            "zone log failed: refusing updates and serving the last durable version"
-        );
+        error!( zone = %zone.settings.apex, why, "zone log failed: refusing updates and serving the last durable version" );
         if let Some(store) = &mut zone.store {
             store.log_failed(why.to_owned());
         }
@@ -495,19 +492,16 @@
         let Some(store) = &mut zone.store else { return };
         let (entry, expiry) = store.expire_leases(now);
         let apex = &zone.settings.apex;
-        match expiry.turned {
+        match expiry.suspect_changed {
             Some(true) => {
-                warn!(
-                    %apex,
-                    "many leases expired at once, the path to their holders may be down: keeping the records"
-                )
+                warn!( %apex, "many leases expired at once, the path to their holders may be down: keeping the records" )
             }
             Some(false) => info!(%apex, "leases are renewed again: expired records are removed again"),
             None => {}
         }
-        self.counts.lapsed += expiry.gone.len() as u64;
-        for (name, kind, data) in &expiry.gone {
-            info!(%apex, "lease expired, record removed: {name} {kind} {}", kind.write(data));
+        self.counts.lapsed += expiry.removed.len() as u64;
+        for (name, kind, data) in &expiry.removed {
+            info!(%apex, "lease expired, record removed: {name} {kind} {}", kind.format_data(data));
         }
         if let Some(entry) = entry {
             zone.append_entry(&entry);
@@ -562,10 +556,7 @@
                 true
             }
             Err(mismatch) => {
-                warn!(
-                    zone = %zone.settings.apex,
-                    "incremental transfer can't be applied: {mismatch}; requesting a full transfer"
-                );
+                warn!( zone = %zone.settings.apex, "incremental transfer can't be applied: {mismatch}; requesting a full transfer" );
                 false
             }
         }
@@ -576,10 +567,7 @@
         let (now, zone) = (self.now, &mut self.zones[zone_index]);
         let action = zone.secondary.as_mut()?.due(now);
         if action == Some(SecondaryAction::Expire) {
-            warn!(
-                zone = %zone.settings.apex,
-                "secondary zone expired: no primary answered within the SOA expire time; queries get SERVFAIL"
-            );
+            warn!( zone = %zone.settings.apex, "secondary zone expired: no primary answered within the SOA expire time; queries get SERVFAIL" );
         }
         action
     }
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -21,9 +21,11 @@
 use lynxtally_net::sync::lock;
 use lynxtally_net::timer::Timer;
 use lynxtally_wal::{Rotation, Storage, WriteAheadLog};
-use lynxtally_zones::change::{between, Change};
+use lynxtally_zones::change::{diff, Change};
 use lynxtally_zones::rate_limit::{prefix, RequestRateLimit};
-use lynxtally_zones::secondary::{version, NotifySender, SecondaryAction, SecondaryZone, TransferResult};
+use lynxtally_zones::secondary::{
+    zone_from_records, NotifySender, SecondaryAction, SecondaryZone, TransferResult,
+};
 use lynxtally_zones::zone_file;
 use lynxtally_zones::zone_store::{
     decode, decode_base, encode, encode_base, FreezeReason, PreparedReload, ReloadInput, Snapshot, ZoneStore,
@@ -287,17 +289,7 @@
         Arc::new(Connections::new(settings.limits.connections, timer, fair_yield, on_connection_event));
     for listener in listeners {
         let acceptor = connections.clone();
-        spawn(
-            STACK_WORDS,
-            move || acceptor.accept(listener),
-            |panic| {
-                error!(
-                    %panic,
-                    "accept coroutine panicked: this listener accepts no more TCP connections"
-                )
-            },
-        )
-        .map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
+        spawn( STACK_WORDS, move || acceptor.accept(listener), |panic| { error!( %panic, "accept coroutine panicked: this listener accepts no more TCP connections" ) }, ) .map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
     }
     let (log_jobs, jobs) = mpsc::channel();
     let (queue, storage) = (events.clone(), open_state_folder(&state)?);
@@ -460,10 +452,7 @@
     let (mut journal, found) = WriteAheadLog::open(folder, &name).map_err(|fault| fault.to_string())?;
     let limits = settings.limits.zone_store_limits();
     if let Some(cut) = &found.torn_tail {
-        warn!(
-            zone = %zone.apex, file = cut.file, at = cut.offset, octets = cut.length,
-            "zone log ended in an incomplete entry, which was truncated"
-        );
+        warn!( zone = %zone.apex, file = cut.file, at = cut.offset, octets = cut.length, "zone log ended in an incomplete entry, which was truncated" );
     }
     let mut damage: Vec<String> = found.damage.iter().map(ToString::to_string).collect();
     let mut store = match found.snapshot {
@@ -488,10 +477,7 @@
                 break;
             }
         }
-        info!(
-            zone = %zone.apex, serial = %store.current().serial(), entries = found.entries.len(),
-            "zone loaded from its log"
-        );
+        info!( zone = %zone.apex, serial = %store.current().serial(), entries = found.entries.len(), "zone loaded from its log" );
     } else if let Some(path) = &zone.file {
         let base = read_zone_file(path, zone)?;
         let file = write_base(folder, &name, &base)?;
@@ -499,19 +485,11 @@
         let rotation = journal.rotate();
         WriteAheadLog::write_snapshot(folder, &name, rotation, &encode(&new_store.snapshot()))
             .map_err(|fault| fault.to_string())?;
-        info!(
-            zone = %zone.apex,
-            serial = %new_store.current().serial(),
-            records = new_store.current().records(),
-            "zone loaded from its zone file"
-        );
+        info!( zone = %zone.apex, serial = %new_store.current().serial(), records = new_store.current().record_count(), "zone loaded from its zone file" );
         store = Some(new_store);
     }
     if let Some(what) = damage.first() {
-        error!(
-            zone = %zone.apex, what,
-            "zone log is damaged: serving the zone as of the last readable entry and refusing updates"
-        );
+        error!( zone = %zone.apex, what, "zone log is damaged: serving the zone as of the last readable entry and refusing updates" );
         if let Some(store) = &mut store {
             store.freeze(FreezeReason::LogFailed(what.clone()));
         }
@@ -772,12 +750,7 @@
                 self.handle_message(Some(&octets), from, ResponsePath::Tcp(connection), None)
             }
             ServerEvent::Connection(ConnectionEvent::Closed(connection, _)) => {
-                let same_connection = |context: &Arc<RequestContext<ResponsePath>>| {
-                    matches!(
-                        &context.peer,
-                        ResponsePath::Tcp(other) if Arc::ptr_eq(&other.0, &connection.0)
-                    )
-                };
+                let same_connection = |context: &Arc<RequestContext<ResponsePath>>| matches!( &context.peer, ResponsePath::Tcp(other) if Arc::ptr_eq(&other.0, &connection.0) );
                 for request_id in self.engine.awaiting_reply(same_connection) {
                     self.engine.caller_gone(now, request_id, |_| true);
                 }
@@ -806,10 +779,7 @@
                         "{\"reread\":true}".to_owned()
                     }
                     Err(why) => {
-                        warn!(
-                            zone = %apex, why,
-                            "zone file not reloaded; the current version of the zone stays in force"
-                        );
+                        warn!( zone = %apex, why, "zone file not reloaded; the current version of the zone stays in force" );
                         control::error(&why)
                     }
                 };
@@ -819,34 +789,28 @@
             ServerEvent::SnapshotWritten(zone, result) => {
                 self.executor.zones[zone].snapshot_running = false;
                 if let Err(why) = result {
-                    warn!(
-                        zone = %self.executor.zones[zone].settings.apex, why,
-                        "writing the zone's snapshot failed; its log keeps growing"
-                    );
+                    warn!( zone = %self.executor.zones[zone].settings.apex, why, "writing the zone's snapshot failed; its log keeps growing" );
                 }
             }
             ServerEvent::PrimarySerial(zone, Ok(serial)) => {
                 let action = self.executor.zones[zone]
                     .secondary
                     .as_mut()
-                    .and_then(|secondary| secondary.serial(now, serial));
+                    .and_then(|secondary| secondary.serial_received(now, serial));
                 self.start_secondary_action(zone, action);
                 self.engine.set_timer(now, TimerKey::Zone(zone));
             }
             ServerEvent::PrimarySerial(zone, Err(why)) | ServerEvent::TransferReceived(zone, Err(why)) => {
                 let zone_state = &mut self.executor.zones[zone];
-                info!(
-                    zone = %zone_state.settings.apex, why,
-                    "refreshing the zone from a primary failed; it will be retried"
-                );
+                info!( zone = %zone_state.settings.apex, why, "refreshing the zone from a primary failed; it will be retried" );
                 if let Some(secondary) = &mut zone_state.secondary {
-                    secondary.failed(now);
+                    secondary.step_failed(now);
                 }
                 self.engine.set_timer(now, TimerKey::Zone(zone));
             }
             ServerEvent::TransferReceived(zone, Ok(outcome)) => self.handle_transfer(zone, outcome),
             ServerEvent::NotifyAcknowledged(zone, target, serial) => {
-                self.executor.zones[zone].notify_sender.heard(target, Some(serial));
+                self.executor.zones[zone].notify_sender.acknowledged(target, Some(serial));
             }
             ServerEvent::Command(command, reply_sender) => self.handle_command(command, reply_sender),
             ServerEvent::Shutdown => {
@@ -960,7 +924,10 @@
                 self.send_notifies(zone_index);
                 let zone = &self.executor.zones[zone_index];
                 let next = [
-                    zone.store.as_ref().filter(|k| k.frozen().is_none()).and_then(|k| k.leases().next()),
+                    zone.store
+                        .as_ref()
+                        .filter(|k| k.frozen().is_none())
+                        .and_then(|k| k.leases().next_expiry()),
                     zone.secondary.as_ref().map(SecondaryZone::next_due),
                     zone.notify_sender.next_due(),
                 ];
@@ -1010,10 +977,10 @@
                         TransferResult::Incremental(changes) => TransferOutcome::Incremental(changes),
                         TransferResult::Full(records) => {
                             let serial = have.as_ref().map(|zone| zone.serial());
-                            let new = version(&apex, serial, &records)
+                            let new = zone_from_records(&apex, serial, &records)
                                 .map_err(|fault| format!("{}: {fault}", client.server))?;
                             let file = write_base(&mut open_state_folder(&state)?, &name, &new)?;
-                            let change = have.map_or_else(Change::default, |old| between(&old, &new));
+                            let change = have.map_or_else(Change::default, |old| diff(&old, &new));
                             TransferOutcome::Full(file, Box::new(new), Box::new(change))
                         }
                     })
@@ -1029,13 +996,13 @@
                 let action = self.executor.zones[zone_index]
                     .secondary
                     .as_mut()
-                    .and_then(|secondary| secondary.serial(now, serial));
+                    .and_then(|secondary| secondary.serial_received(now, serial));
                 // The primary has a newer serial but sent no changes: a full transfer is requested next.
                 if action.is_some() {
                     self.executor.zones[zone_index]
                         .secondary
                         .iter_mut()
-                        .for_each(|secondary| secondary.misfit(now));
+                        .for_each(|secondary| secondary.incremental_failed(now));
                 }
                 false
             }
@@ -1045,7 +1012,7 @@
                     self.executor.zones[zone_index]
                         .secondary
                         .iter_mut()
-                        .for_each(|secondary| secondary.misfit(now));
+                        .for_each(|secondary| secondary.incremental_failed(now));
                 }
                 fits
             }
@@ -1065,7 +1032,7 @@
         if let (true, Some(secondary), Some(store)) = (transferred, &mut zone.secondary, &zone.store) {
             if let Some(soa) = store.latest().soa() {
                 info!(zone = %zone.settings.apex, serial = %soa.serial, "zone updated from its primary");
-                secondary.took(now, soa);
+                secondary.transfer_completed(now, soa);
             }
         }
         self.engine.set_timer(now, TimerKey::Zone(zone_index));
@@ -1128,25 +1095,10 @@
             .map(|(name, count)| format!("\"{name}\":{count}"))
             .collect();
         let zones: Vec<String> = self.executor.zones.iter().map(zone_status).collect();
-        format!(
-            "{{\"tasks\":{{{}}},\"read\":{},\"finished\":{},\"rejected\":{},\"abandoned\":{},\"caller_gone\":{},\
+        format!( "{{\"tasks\":{{{}}},\"read\":{},\"finished\":{},\"rejected\":{},\"abandoned\":{},\"caller_gone\":{},\
              \"open\":{},\"answers_lost\":{},\"unreadable\":{},\"beyond_share\":{},\"codes\":{{{}}},\
              \"repeats\":{repeats},\"versions\":{versions},\"lapsed\":{lapsed},\"transfers\":{transfers},\
-             \"connections\":{},\"zones\":[{}]}}",
-            requests_by_class.join(","),
-            counts.received,
-            counts.completed,
-            counts.rejected,
-            counts.failed,
-            counts.caller_gone,
-            counts.in_flight,
-            counts.undelivered + self.responses.dropped,
-            self.unreadable,
-            self.over_share,
-            codes.join(","),
-            self.connections.len(),
-            zones.join(","),
-        )
+             \"connections\":{},\"zones\":[{}]}}", requests_by_class.join(","), counts.received, counts.completed, counts.rejected, counts.failed, counts.caller_gone, counts.in_flight, counts.undelivered + self.responses.dropped, self.unreadable, self.over_share, codes.join(","), self.connections.len(), zones.join(","), )
     }
 }
 
@@ -1159,10 +1111,10 @@
         "{{\"apex\":\"{apex}\",\"serial\":{},\"records\":{},\"names\":{},\"leases\":{},\"suspect\":{},\
          \"log_octets\":{},\"frozen\":\"{frozen}\",\"served\":{}}}",
         current.serial(),
-        current.records(),
-        current.names(),
+        current.record_count(),
+        current.name_count(),
         store.leases().len(),
-        store.leases().suspect().is_some(),
+        store.leases().suspect_since().is_some(),
         zone.journal.bytes_since_snapshot(),
         zone.served().is_some(),
     )
