--- a/crates/core/zones/src/zone_store/reload.rs
+++ b/crates/core/zones/src/zone_store/reload.rs
@@ -181,8 +181,8 @@
     }
 }
 
-/// Applies accepted changes to another version. Where the file changed the same record set, the accepted change
-/// takes precedence and the conflict is reported.
+/// Applies accepted changes to another version. Where the file changed the same record set, the accepted change is
+/// applied to the file's records and the conflict is reported.
 pub(super) fn merge_changes(
     zone: &mut Zone,
     change: &Change,
@@ -194,7 +194,8 @@
         let Some((old, new)) = bases else { return };
         let at = (record.name.clone(), record.kind);
         if old.set(&at.0, at.1) != new.set(&at.0, at.1) && !reported.contains(&at) {
-            let what = "changed both in the file and by updates; the updates take precedence";
+            let what =
+                "changed both in the file and by updates; the updates are applied to the file's records";
             conflicts.push(ReloadConflict { name: at.0.clone(), kind: at.1, description: what });
             reported.push(at);
         }
