--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -258,7 +258,12 @@
         usable &= read.unusable.is_none();
         let unusable = read.unusable.iter().filter(|fault| !read.faults.contains(fault));
         for fault in read.faults.iter().chain(unusable) {
-            match format { Format::Text => println!("{fault}"), Format::Json => errors.push(json!({ "file": &*fault.file, "line": fault.line, "column": fault.column, "reason": fault.reason, })), }
+            match format {
+                Format::Text => println!("{fault}"),
+                Format::Json => errors.push(json!({
+                    "file": &*fault.file, "line": fault.line, "column": fault.column, "reason": fault.reason,
+                })),
+            }
         }
     }
     match format {
--- a/crates/cli/src/output.rs
+++ b/crates/cli/src/output.rs
@@ -8,7 +8,10 @@
 use std::collections::BTreeMap;
 
 fn record_json(record: &Record) -> serde_json::Value {
-    json!({ "name": record.name.to_string(), "ttl": record.ttl, "kind": record.kind.to_string(), "data": record.kind.format_data(&record.data), })
+    json!({
+        "name": record.name.to_string(), "ttl": record.ttl, "kind": record.kind.to_string(),
+        "data": record.kind.format_data(&record.data),
+    })
 }
 
 /// Prints a DNS response: its header, then its records by section.
@@ -21,7 +24,10 @@
             .map(|(n, all)| (n, all.iter().map(record_json).collect()))
             .collect();
         let reason = answered.reason.as_ref().map(|(code, text)| json!({"code": code, "text": text}));
-        let response = json!({ "code": ResponseCode(answered.code).to_string(), "authoritative": answered.authoritative, "reason": reason, "lease": answered.lease, "sections": sections, });
+        let response = json!({
+            "code": ResponseCode(answered.code).to_string(), "authoritative": answered.authoritative, "reason": reason,
+            "lease": answered.lease, "sections": sections,
+        });
         return println!("{response}");
     }
     let kind = if answered.authoritative { "authoritative" } else { "not authoritative" };
--- a/crates/frontends/dns/src/executor.rs
+++ b/crates/frontends/dns/src/executor.rs
@@ -445,7 +445,10 @@
         if matches!(zone.store.as_ref().and_then(ZoneStore::frozen), Some(FreezeReason::LogFailed(_))) {
             return;
         }
-        error!( zone = %zone.settings.apex, why, "zone log failed: refusing updates and serving the last durable version" );
+        error!(
+            zone = %zone.settings.apex, why,
+            "zone log failed: refusing updates and serving the last durable version"
+        );
         if let Some(store) = &mut zone.store {
             store.log_failed(why.to_owned());
         }
@@ -494,7 +497,10 @@
         let apex = &zone.settings.apex;
         match expiry.suspect_changed {
             Some(true) => {
-                warn!( %apex, "many leases expired at once, the path to their holders may be down: keeping the records" )
+                warn!(
+                    %apex,
+                    "many leases expired at once, the path to their holders may be down: keeping the records"
+                )
             }
             Some(false) => info!(%apex, "leases are renewed again: expired records are removed again"),
             None => {}
@@ -556,7 +562,10 @@
                 true
             }
             Err(mismatch) => {
-                warn!( zone = %zone.settings.apex, "incremental transfer can't be applied: {mismatch}; requesting a full transfer" );
+                warn!(
+                    zone = %zone.settings.apex,
+                    "incremental transfer can't be applied: {mismatch}; requesting a full transfer"
+                );
                 false
             }
         }
@@ -567,7 +576,10 @@
         let (now, zone) = (self.now, &mut self.zones[zone_index]);
         let action = zone.secondary.as_mut()?.due(now);
         if action == Some(SecondaryAction::Expire) {
-            warn!( zone = %zone.settings.apex, "secondary zone expired: no primary answered within the SOA expire time; queries get SERVFAIL" );
+            warn!(
+                zone = %zone.settings.apex,
+                "secondary zone expired: no primary answered within the SOA expire time; queries get SERVFAIL"
+            );
         }
         action
     }
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -289,7 +289,17 @@
         Arc::new(Connections::new(settings.limits.connections, timer, fair_yield, on_connection_event));
     for listener in listeners {
         let acceptor = connections.clone();
-        spawn( STACK_WORDS, move || acceptor.accept(listener), |panic| { error!( %panic, "accept coroutine panicked: this listener accepts no more TCP connections" ) }, ) .map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
+        spawn(
+            STACK_WORDS,
+            move || acceptor.accept(listener),
+            |panic| {
+                error!(
+                    %panic,
+                    "accept coroutine panicked: this listener accepts no more TCP connections"
+                )
+            },
+        )
+        .map_err(|fault| format!("a coroutine can't be started: {fault}"))?;
     }
     let (log_jobs, jobs) = mpsc::channel();
     let (queue, storage) = (events.clone(), open_state_folder(&state)?);
@@ -452,7 +462,10 @@
     let (mut journal, found) = WriteAheadLog::open(folder, &name).map_err(|fault| fault.to_string())?;
     let limits = settings.limits.zone_store_limits();
     if let Some(cut) = &found.torn_tail {
-        warn!( zone = %zone.apex, file = cut.file, at = cut.offset, octets = cut.length, "zone log ended in an incomplete entry, which was truncated" );
+        warn!(
+            zone = %zone.apex, file = cut.file, at = cut.offset, octets = cut.length,
+            "zone log ended in an incomplete entry, which was truncated"
+        );
     }
     let mut damage: Vec<String> = found.damage.iter().map(ToString::to_string).collect();
     let mut store = match found.snapshot {
@@ -477,7 +490,10 @@
                 break;
             }
         }
-        info!( zone = %zone.apex, serial = %store.current().serial(), entries = found.entries.len(), "zone loaded from its log" );
+        info!(
+            zone = %zone.apex, serial = %store.current().serial(), entries = found.entries.len(),
+            "zone loaded from its log"
+        );
     } else if let Some(path) = &zone.file {
         let base = read_zone_file(path, zone)?;
         let file = write_base(folder, &name, &base)?;
@@ -485,11 +501,19 @@
         let rotation = journal.rotate();
         WriteAheadLog::write_snapshot(folder, &name, rotation, &encode(&new_store.snapshot()))
             .map_err(|fault| fault.to_string())?;
-        info!( zone = %zone.apex, serial = %new_store.current().serial(), records = new_store.current().record_count(), "zone loaded from its zone file" );
+        info!(
+            zone = %zone.apex,
+            serial = %new_store.current().serial(),
+            records = new_store.current().record_count(),
+            "zone loaded from its zone file"
+        );
         store = Some(new_store);
     }
     if let Some(what) = damage.first() {
-        error!( zone = %zone.apex, what, "zone log is damaged: serving the zone as of the last readable entry and refusing updates" );
+        error!(
+            zone = %zone.apex, what,
+            "zone log is damaged: serving the zone as of the last readable entry and refusing updates"
+        );
         if let Some(store) = &mut store {
             store.freeze(FreezeReason::LogFailed(what.clone()));
         }
@@ -750,7 +774,12 @@
                 self.handle_message(Some(&octets), from, ResponsePath::Tcp(connection), None)
             }
             ServerEvent::Connection(ConnectionEvent::Closed(connection, _)) => {
-                let same_connection = |context: &Arc<RequestContext<ResponsePath>>| matches!( &context.peer, ResponsePath::Tcp(other) if Arc::ptr_eq(&other.0, &connection.0) );
+                let same_connection = |context: &Arc<RequestContext<ResponsePath>>| {
+                    matches!(
+                        &context.peer,
+                        ResponsePath::Tcp(other) if Arc::ptr_eq(&other.0, &connection.0)
+                    )
+                };
                 for request_id in self.engine.awaiting_reply(same_connection) {
                     self.engine.caller_gone(now, request_id, |_| true);
                 }
@@ -779,7 +808,10 @@
                         "{\"reread\":true}".to_owned()
                     }
                     Err(why) => {
-                        warn!( zone = %apex, why, "zone file not reloaded; the current version of the zone stays in force" );
+                        warn!(
+                            zone = %apex, why,
+                            "zone file not reloaded; the current version of the zone stays in force"
+                        );
                         control::error(&why)
                     }
                 };
@@ -789,7 +821,10 @@
             ServerEvent::SnapshotWritten(zone, result) => {
                 self.executor.zones[zone].snapshot_running = false;
                 if let Err(why) = result {
-                    warn!( zone = %self.executor.zones[zone].settings.apex, why, "writing the zone's snapshot failed; its log keeps growing" );
+                    warn!(
+                        zone = %self.executor.zones[zone].settings.apex, why,
+                        "writing the zone's snapshot failed; its log keeps growing"
+                    );
                 }
             }
             ServerEvent::PrimarySerial(zone, Ok(serial)) => {
@@ -802,7 +837,10 @@
             }
             ServerEvent::PrimarySerial(zone, Err(why)) | ServerEvent::TransferReceived(zone, Err(why)) => {
                 let zone_state = &mut self.executor.zones[zone];
-                info!( zone = %zone_state.settings.apex, why, "refreshing the zone from a primary failed; it will be retried" );
+                info!(
+                    zone = %zone_state.settings.apex, why,
+                    "refreshing the zone from a primary failed; it will be retried"
+                );
                 if let Some(secondary) = &mut zone_state.secondary {
                     secondary.step_failed(now);
                 }
@@ -1095,10 +1133,25 @@
             .map(|(name, count)| format!("\"{name}\":{count}"))
             .collect();
         let zones: Vec<String> = self.executor.zones.iter().map(zone_status).collect();
-        format!( "{{\"tasks\":{{{}}},\"read\":{},\"finished\":{},\"rejected\":{},\"abandoned\":{},\"caller_gone\":{},\
+        format!(
+            "{{\"tasks\":{{{}}},\"read\":{},\"finished\":{},\"rejected\":{},\"abandoned\":{},\"caller_gone\":{},\
              \"open\":{},\"answers_lost\":{},\"unreadable\":{},\"beyond_share\":{},\"codes\":{{{}}},\
              \"repeats\":{repeats},\"versions\":{versions},\"lapsed\":{lapsed},\"transfers\":{transfers},\
-             \"connections\":{},\"zones\":[{}]}}", requests_by_class.join(","), counts.received, counts.completed, counts.rejected, counts.failed, counts.caller_gone, counts.in_flight, counts.undelivered + self.responses.dropped, self.unreadable, self.over_share, codes.join(","), self.connections.len(), zones.join(","), )
+             \"connections\":{},\"zones\":[{}]}}",
+            requests_by_class.join(","),
+            counts.received,
+            counts.completed,
+            counts.rejected,
+            counts.failed,
+            counts.caller_gone,
+            counts.in_flight,
+            counts.undelivered + self.responses.dropped,
+            self.unreadable,
+            self.over_share,
+            codes.join(","),
+            self.connections.len(),
+            zones.join(","),
+        )
     }
 }
 
