--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -102,7 +102,7 @@
                 return Err(Failed::Usage("the two have no run in common".to_owned()));
             }
             let (a, b): (Vec<f64>, Vec<f64>) = pairs.into_iter().unzip();
-            let (by, verdict) = stats::compare(&a, &b);
+            let (by, verdict) = stats::compare_paired(&a, &b);
             println!(
                 "{} pairs: the first is {verdict}, by {:+.4} ({:+.4} to {:+.4})",
                 a.len(),
@@ -126,7 +126,7 @@
         Verb::Search { file, starts, steps, seed, threads, out } => {
             let spec = spec(&file)?;
             let found = search::search(&spec, starts, steps, seed, threads, |found| {
-                eprintln!("{:+.3} against {}", -found.loss(), found.best.0);
+                eprintln!("{:+.3} against {}", -found.loss(), found.best_other.0);
             });
             let table = searched(&file, &spec, &found);
             print!("{table}");
@@ -136,22 +136,22 @@
             Ok(())
         }
         Verb::Check => {
-            let checks = check::all();
+            let checks = check::run_all();
             for own in &checks {
-                let (known, found, error) = (own.known, own.found, own.error());
+                let (known, found, error) = (own.expected, own.simulated, own.error());
                 match format {
                     Format::Text => println!(
                         "{}: known {known:.6}, found {found:.6}, error {:.1} %",
-                        own.what,
+                        own.name,
                         error * 100.0
                     ),
                     Format::Json => println!(
                         "{}",
-                        serde_json::json!({"what": own.what, "known": known, "found": found, "error": error})
+                        serde_json::json!({"what": own.name, "known": known, "found": found, "error": error})
                     ),
                 }
             }
-            match checks.iter().all(check::Check::holds) {
+            match checks.iter().all(check::Check::passes) {
                 true => Ok(()),
                 false => Err(Failed::Wrong),
             }
@@ -159,7 +159,7 @@
     }
 }
 
-fn searched(file: &Path, spec: &Spec, found: &[search::Found]) -> String {
+fn searched(file: &Path, spec: &Spec, found: &[search::FoundScenario]) -> String {
     let first = &spec.policies[0];
     let mut out = format!(
         "# Where {first} loses most\n\nMade by `lynxtally lab search {}`: simulated time, {} nodes, seeds {:?}; each row is the \
@@ -171,7 +171,7 @@
     );
     for one in found {
         let steps: Vec<String> = one
-            .steps
+            .fault_steps
             .iter()
             .map(|step| {
                 let value = if step.value > 0.0 { format!(" {:.2}", step.value) } else { String::new() };
@@ -179,7 +179,7 @@
                 format!("{:.1} s: {}{value}, {part:.0} % from {from:.0} %", step.at_s, step.fault)
             })
             .collect();
-        let after = match one.after {
+        let after = match one.recovery_ratio {
             Some(after) if one.metastable() => format!("stays down: {after:.2} of before"),
             Some(after) => format!("{after:.2} of before"),
             None => String::new(),
@@ -187,12 +187,12 @@
         out.push_str(&format!(
             "| {:.3} | {} {:.3} | {:+.3} | {:.0} % | {}, {} | {} | {after} |\n",
             one.service,
-            one.best.0,
-            one.best.1,
+            one.best_other.0,
+            one.best_other.1,
             one.loss(),
             one.load * 100.0,
-            one.habit,
-            one.price,
+            one.balancing,
+            one.successes_per_retry,
             if steps.is_empty() { "none".to_owned() } else { steps.join("; ") },
         ));
     }
@@ -228,12 +228,12 @@
         spec.warm_up_s,
         report::summary(&spec, &all_records)
     );
-    page.push_str(&report::table(&spec, &all_records));
+    page.push_str(&report::markdown_table(&spec, &all_records));
     for file in &files {
         page.push_str(&format!("![]({file})\n\n"));
     }
-    let html = report::page(&title, &page, out, &files).map_err(io)?;
-    for (ending, text) in [("md", &page), ("csv", &report::values(&all_records)), ("html", &html)] {
+    let html = report::html_page(&title, &page, out, &files).map_err(io)?;
+    for (ending, text) in [("md", &page), ("csv", &report::csv(&all_records)), ("html", &html)] {
         std::fs::write(out.join(format!("{}.{ending}", spec.name)), text).map_err(io)?;
     }
     print!("{}", report::summary(&spec, &all_records));
--- a/crates/testing/baselines/src/baseline.rs
+++ b/crates/testing/baselines/src/baseline.rs
@@ -8,30 +8,30 @@
 
 /// How a baseline works.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
+pub enum BaselineKind {
     /// A pool of workers with a bounded queue, first come, first served.
-    Pool,
+    WorkerPool,
     /// The same, and what would have to wait at all is rejected.
-    Cap,
+    FixedLimit,
     /// The limit grows by one for each that ends in time and is cut when one is late.
     Aimd,
     /// The limit follows the ratio of the shortest latency seen to the present one.
     Gradient,
     /// What waited too long for a whole interval is dropped at the head, ever faster. Source: K. Nichols, V. Jacobson,
     /// "Controlling Queue Delay" (2012).
-    Age,
+    ControlledDelay,
     /// This fraction of the slots for the class of the highest utility, the rest for all.
-    Split(f64),
+    StaticPartition(f64),
     /// The longer the queue, the likelier a request is rejected at its arrival. Source: S. Floyd, V. Jacobson, "Random
     /// Early Detection Gateways for Congestion Avoidance" (1993).
-    Early,
+    RandomEarlyDetection,
 }
 
 /// What a baseline is told.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BaselineConfig {
     /// How it works.
-    pub kind: Kind,
+    pub kind: BaselineKind,
     /// How many run at once, at first.
     pub slots: usize,
     /// How many wait at most.
@@ -102,14 +102,16 @@
 
     fn rejects_arrival(&mut self) -> bool {
         match self.config.kind {
-            Kind::Cap | Kind::Aimd | Kind::Gradient => {
+            BaselineKind::FixedLimit | BaselineKind::Aimd | BaselineKind::Gradient => {
                 self.running.len() + self.queue.len() >= self.limit as usize
             }
-            Kind::Early => {
+            BaselineKind::RandomEarlyDetection => {
                 let filled = self.queue.len() as f64 / self.config.max_queue_length as f64;
                 self.random.unit() < filled.powi(2)
             }
-            Kind::Pool | Kind::Age | Kind::Split(_) => false,
+            BaselineKind::WorkerPool | BaselineKind::ControlledDelay | BaselineKind::StaticPartition(_) => {
+                false
+            }
         }
     }
 
@@ -120,11 +122,11 @@
         self.mean_latency += (latency - self.mean_latency) * GAIN;
         self.min_latency = self.min_latency.min(latency);
         match self.config.kind {
-            Kind::Aimd if latency > self.config.latency_objective.secs() => {
+            BaselineKind::Aimd if latency > self.config.latency_objective.secs() => {
                 self.limit = (self.limit * DECREASE).max(1.0);
             }
-            Kind::Aimd => self.limit += 1.0 / self.limit,
-            Kind::Gradient => {
+            BaselineKind::Aimd => self.limit += 1.0 / self.limit,
+            BaselineKind::Gradient => {
                 let ratio = self.min_latency * TOLERATED_LATENCY / self.mean_latency.max(1e-9);
                 let target = self.limit * ratio.clamp(0.5, 1.0) + self.limit.sqrt();
                 self.limit = (self.limit + (target - self.limit) * GAIN).max(1.0);
@@ -157,7 +159,7 @@
             return None;
         }
         match self.config.kind {
-            Kind::Split(fraction) => self.next_of_split(fraction),
+            BaselineKind::StaticPartition(fraction) => self.next_of_split(fraction),
             _ => (!self.queue.is_empty()).then_some(0),
         }
     }
@@ -192,7 +194,7 @@
         if !std::mem::replace(&mut self.started, true) {
             self.actions.push(Action::SetHealth(true));
         }
-        if self.config.kind == Kind::Age {
+        if self.config.kind == BaselineKind::ControlledDelay {
             self.drop_late(now);
         }
         while let Some(next) = self.next_position().and_then(|position| self.queue.remove(position)) {
--- a/crates/testing/baselines/src/lib.rs
+++ b/crates/testing/baselines/src/lib.rs
@@ -7,7 +7,7 @@
 mod controlled_delay;
 mod plain_queue;
 
-pub use baseline::{Baseline, BaselineConfig, Kind};
+pub use baseline::{Baseline, BaselineConfig, BaselineKind};
 pub use plain_queue::PlainQueue;
 
 use lynxtally::{Action, RequestId, Span};
--- a/crates/testing/benchmarks/src/streams.rs
+++ b/crates/testing/benchmarks/src/streams.rs
@@ -3,7 +3,7 @@
 
 use lynxtally::Pcg;
 use lynxtally_baselines::PlainQueue;
-use lynxtally_experiment::chart::{chart, Series};
+use lynxtally_experiment::chart::{draw_chart, Series};
 use lynxtally_stream::server::{self, ServerCommand};
 use lynxtally_stream::settings::SettingsFile;
 use lynxtally_test_doubles::stream::{Client, Upstream};
@@ -305,7 +305,7 @@
         }
         series.push(Series { name: format!("{streams} at once"), points });
     }
-    chart(&charts.join("streams-memory.svg"), "Memory a stream, KB", "body, octets", true, &series)?;
+    draw_chart(&charts.join("streams-memory.svg"), "Memory a stream, KB", "body, octets", true, &series)?;
     out.push_str("\n![memory a stream against body size](streams-memory.svg)\n\n");
     Ok(())
 }
@@ -463,7 +463,13 @@
     }
     let series: Vec<Series> =
         series.into_iter().map(|(name, points)| Series { name: name.to_owned(), points }).collect();
-    chart(&charts.join("streams-overload.svg"), "Share of utility answered in time", "load", false, &series)?;
+    draw_chart(
+        &charts.join("streams-overload.svg"),
+        "Share of utility answered in time",
+        "load",
+        false,
+        &series,
+    )?;
     out.push_str("\n![service against load](streams-overload.svg)\n\n");
     Ok(())
 }
--- a/crates/testing/experiment/src/chart.rs
+++ b/crates/testing/experiment/src/chart.rs
@@ -13,7 +13,7 @@
 }
 
 /// Draws lines over a common axis, by powers of ten where `powers`.
-pub fn chart(path: &Path, title: &str, axis: &str, powers: bool, all: &[Series]) -> io::Result<()> {
+pub fn draw_chart(path: &Path, title: &str, axis: &str, powers: bool, all: &[Series]) -> io::Result<()> {
     let points = || all.iter().flat_map(|series| series.points.iter().copied());
     let top = points().map(|(_, y)| y).fold(0.0, f64::max) * 1.1;
     let (left, right) = points().fold((f64::MAX, f64::MIN), |(l, r), (x, _)| (l.min(x), r.max(x)));
--- a/crates/testing/experiment/src/report.rs
+++ b/crates/testing/experiment/src/report.rs
@@ -1,8 +1,8 @@
 //! Records as tables, charts and a page.
 
-use crate::chart::{chart, Series};
+use crate::chart::{draw_chart, Series};
 use crate::spec::Spec;
-use crate::stats::{compare, interval, Verdict};
+use crate::stats::{bootstrap_interval, compare_paired, Verdict};
 use crate::Record;
 use std::fmt::Write;
 use std::io;
@@ -21,7 +21,7 @@
 }
 
 /// All as Markdown: service by policy, and the first policy against the best of the others, pair by pair.
-pub fn table(spec: &Spec, records: &[Record]) -> String {
+pub fn markdown_table(spec: &Spec, records: &[Record]) -> String {
     let mut out = String::new();
     let first = &spec.policies[0];
     for script in scripts(spec) {
@@ -32,14 +32,19 @@
         for &nodes in &spec.nodes {
             for &load in &spec.loads {
                 let of = |policy: &str| services(records, policy, &script, nodes, load);
-                let means: Vec<String> =
-                    spec.policies.iter().map(|policy| format!("{:.3}", interval(&of(policy)).mean)).collect();
+                let means: Vec<String> = spec
+                    .policies
+                    .iter()
+                    .map(|policy| format!("{:.3}", bootstrap_interval(&of(policy)).mean))
+                    .collect();
                 let others = spec.policies[1..].iter();
-                let best = others.max_by(|a, b| interval(&of(a)).mean.total_cmp(&interval(&of(b)).mean));
+                let best = others.max_by(|a, b| {
+                    bootstrap_interval(&of(a)).mean.total_cmp(&bootstrap_interval(&of(b)).mean)
+                });
                 let told = best.map_or_else(
                     || "| |".to_owned(),
                     |best| {
-                        let (by, verdict) = compare(&of(first), &of(best));
+                        let (by, verdict) = compare_paired(&of(first), &of(best));
                         format!("| {best} | {verdict}, {:+.3} ({:+.3} to {:+.3}) |", by.mean, by.low, by.high)
                     },
                 );
@@ -60,7 +65,7 @@
             for &load in &spec.loads {
                 let of = |policy: &str| services(records, policy, &script, nodes, load);
                 for other in &spec.policies[1..] {
-                    let (by, verdict) = compare(&of(first), &of(other));
+                    let (by, verdict) = compare_paired(&of(first), &of(other));
                     counts[verdict as usize] += 1;
                     if by.mean < worst.0 {
                         let what =
@@ -72,7 +77,7 @@
         }
     }
     let [better, worse, even] =
-        [Verdict::Better, Verdict::Worse, Verdict::CantTell].map(|own| counts[own as usize]);
+        [Verdict::Better, Verdict::Worse, Verdict::Inconclusive].map(|own| counts[own as usize]);
     let broken = records.iter().filter(|record| !record.violations.is_empty()).count();
     format!(
         "{} runs; {first} is better in {better} comparisons, worse in {worse}, and in {even} the seeds can't tell. Its worst: \
@@ -84,7 +89,7 @@
 }
 
 /// All as comma-separated values.
-pub fn values(records: &[Record]) -> String {
+pub fn csv(records: &[Record]) -> String {
     let mut out =
         "policy,script,nodes,load,seed,service,tasks,tries,rejected,latency_s,latency_99_s,broken\n"
             .to_owned();
@@ -117,15 +122,14 @@
             .policies
             .iter()
             .map(|policy| {
-                let points = spec
-                    .loads
-                    .iter()
-                    .map(|load| (*load, interval(&services(records, policy, "calm", nodes, *load)).mean));
+                let points = spec.loads.iter().map(|load| {
+                    (*load, bootstrap_interval(&services(records, policy, "calm", nodes, *load)).mean)
+                });
                 Series { name: policy.clone(), points: points.collect() }
             })
             .collect();
         let file = format!("{}-load.svg", spec.name);
-        chart(&folder.join(&file), &format!("Service, {nodes} nodes, calm"), "load", false, &series)?;
+        draw_chart(&folder.join(&file), &format!("Service, {nodes} nodes, calm"), "load", false, &series)?;
         files.push(file);
     }
     for script in &spec.scripts {
@@ -161,14 +165,14 @@
             .collect();
         let file = format!("{}-{}.svg", spec.name, script.name);
         let title = format!("{}, {nodes} nodes, load {:.0} %: service by second", script.name, load * 100.0);
-        chart(&folder.join(&file), &title, "seconds", false, &series)?;
+        draw_chart(&folder.join(&file), &title, "seconds", false, &series)?;
         files.push(file);
     }
     Ok(files)
 }
 
 /// One page that opens without a network: table and charts in it.
-pub fn page(title: &str, markdown: &str, folder: &Path, files: &[String]) -> io::Result<String> {
+pub fn html_page(title: &str, markdown: &str, folder: &Path, files: &[String]) -> io::Result<String> {
     let mut out = format!(
         "<!doctype html><meta charset=utf-8><title>{title}</title>\
          <style>body{{font:15px sans-serif;margin:2em}}td,th{{padding:2px 9px;text-align:right}}\
