--- a/crates/testing/baselines/src/baseline.rs
+++ b/crates/testing/baselines/src/baseline.rs
@@ -1,4 +1,4 @@
-//! The baselines that decide by more than a fixed limit.
+//! A scheduler that runs one of several baseline algorithms for admission and queueing, chosen by [`BaselineKind`].
 
 use crate::controlled_delay::ControlledDelay;
 use crate::{reject, CALL_TIMEOUT};
@@ -6,78 +6,81 @@
 use lynxtally_engine::Scheduler;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How a baseline works.
+/// The algorithm of a baseline.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BaselineKind {
-    /// A pool of workers with a bounded queue, first come, first served.
+    /// A fixed number of workers and a bounded first-come, first-served queue.
     WorkerPool,
-    /// The same, and what would have to wait at all is rejected.
+    /// A fixed number of workers without a queue: a request is rejected when no worker is free.
     FixedLimit,
-    /// The limit grows by one for each that ends in time and is cut when one is late.
+    /// Additive increase, multiplicative decrease: rejects a request when the concurrency limit is reached. A run within
+    /// the latency objective raises the limit by 1 / limit; a run that exceeds the objective cuts the limit by a factor.
     Aimd,
-    /// The limit follows the ratio of the shortest latency seen to the present one.
+    /// Rejects a request when the concurrency limit is reached. The limit follows the ratio of the shortest run time seen
+    /// to the current mean.
     Gradient,
-    /// What waited too long for a whole interval is dropped at the head, ever faster. Source: K. Nichols, V. Jacobson,
+    /// CoDel: while the head of the queue stays too old, it is dropped at an increasing rate. Source: K. Nichols, V. Jacobson,
     /// "Controlling Queue Delay" (2012).
     ControlledDelay,
-    /// This fraction of the slots for the class of the highest utility, the rest for all.
+    /// Reserves this fraction of the slots for the favored class; all classes share the rest.
     StaticPartition(f64),
-    /// The longer the queue, the likelier a request is rejected at its arrival. Source: S. Floyd, V. Jacobson, "Random
-    /// Early Detection Gateways for Congestion Avoidance" (1993).
+    /// Rejects an arriving request with a probability that grows with the length of the queue. Source: S. Floyd,
+    /// V. Jacobson, "Random Early Detection Gateways for Congestion Avoidance" (1993).
     RandomEarlyDetection,
 }
 
-/// What a baseline is told.
+/// Configuration of a [`Baseline`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BaselineConfig {
-    /// How it works.
+    /// The algorithm.
     pub kind: BaselineKind,
-    /// How many run at once, at first.
+    /// Initial limit on the number of running requests; adaptive baselines change the limit later.
     pub slots: usize,
-    /// How many wait at most.
+    /// Maximum number of queued requests.
     pub max_queue_length: usize,
-    /// How long a request may take.
+    /// Time within which a run has to end to count as on time; CoDel also derives its target and interval from it.
     pub latency_objective: Span,
-    /// The index of the class that a split favours.
+    /// Index of the request class that a static partition reserves slots for.
     pub favored_class: usize,
 }
 
 struct QueuedRequest {
     request: RequestId,
-    since: Instant,
+    queued_at: Instant,
     class: usize,
 }
 
 struct RunningRequest {
     class: usize,
-    since: Instant,
+    started_at: Instant,
 }
 
-/// A baseline.
+/// A scheduler that runs the algorithm of its [`BaselineConfig`].
 pub struct Baseline {
     config: BaselineConfig,
-    /// The limit on what runs.
+    /// Limit on the number of running requests; a fraction when an algorithm adapts it gradually.
     limit: f64,
     queue: VecDeque<QueuedRequest>,
     running: BTreeMap<RequestId, RunningRequest>,
     random: Pcg,
     actions: Vec<Action>,
-    started: bool,
-    /// Of the runs, in seconds.
-    min_latency: f64,
-    mean_latency: f64,
+    health_reported: bool,
+    /// Shortest run so far, in seconds.
+    min_run_time: f64,
+    /// Exponentially weighted mean of the run times, in seconds.
+    mean_run_time: f64,
     controlled_delay: ControlledDelay,
 }
 
-/// A late request cuts the limit to this part.
-const DECREASE: f64 = 0.7;
-/// What one run moves the mean latency and the limit that follows it.
-const GAIN: f64 = 1.0 / 16.0;
-/// The limit is not cut before the latency is so many times the shortest.
-const TOLERATED_LATENCY: f64 = 2.0;
+/// Factor by which AIMD multiplies the limit after a run that exceeded the latency objective.
+const AIMD_DECREASE: f64 = 0.7;
+/// Weight of one run in the exponentially weighted means of the run time and of the gradient algorithm's limit.
+const EWMA_WEIGHT: f64 = 1.0 / 16.0;
+/// The gradient algorithm doesn't lower the limit until the mean run time is this many times the shortest one.
+const TOLERATED_LATENCY_RATIO: f64 = 2.0;
 
 impl Baseline {
-    /// A baseline without requests.
+    /// A baseline without requests. `seed` determines the draws of random early detection.
     pub fn new(config: BaselineConfig, seed: u64) -> Self {
         Self {
             config,
@@ -86,18 +89,18 @@
             running: BTreeMap::new(),
             random: Pcg::new(seed),
             actions: Vec::new(),
-            started: false,
-            min_latency: f64::INFINITY,
-            mean_latency: 0.0,
+            health_reported: false,
+            min_run_time: f64::INFINITY,
+            mean_run_time: 0.0,
             controlled_delay: ControlledDelay::new(config.latency_objective),
         }
     }
 
-    fn arrived(&mut self, now: Instant, request: RequestId, class: usize) {
+    fn request_arrived(&mut self, now: Instant, request: RequestId, class: usize) {
         if self.rejects_arrival() || self.queue.len() >= self.config.max_queue_length {
             return reject(request, &mut self.actions);
         }
-        self.queue.push_back(QueuedRequest { request, since: now, class });
+        self.queue.push_back(QueuedRequest { request, queued_at: now, class });
     }
 
     fn rejects_arrival(&mut self) -> bool {
@@ -118,18 +121,18 @@
     fn run_ended(&mut self, now: Instant, request: RequestId) {
         self.actions.push(Action::ReleaseId(request));
         let Some(run) = self.running.remove(&request) else { return };
-        let latency = (now - run.since).secs();
-        self.mean_latency += (latency - self.mean_latency) * GAIN;
-        self.min_latency = self.min_latency.min(latency);
+        let run_time = (now - run.started_at).secs();
+        self.mean_run_time += (run_time - self.mean_run_time) * EWMA_WEIGHT;
+        self.min_run_time = self.min_run_time.min(run_time);
         match self.config.kind {
-            BaselineKind::Aimd if latency > self.config.latency_objective.secs() => {
-                self.limit = (self.limit * DECREASE).max(1.0);
+            BaselineKind::Aimd if run_time > self.config.latency_objective.secs() => {
+                self.limit = (self.limit * AIMD_DECREASE).max(1.0);
             }
             BaselineKind::Aimd => self.limit += 1.0 / self.limit,
             BaselineKind::Gradient => {
-                let ratio = self.min_latency * TOLERATED_LATENCY / self.mean_latency.max(1e-9);
+                let ratio = self.min_run_time * TOLERATED_LATENCY_RATIO / self.mean_run_time.max(1e-9);
                 let target = self.limit * ratio.clamp(0.5, 1.0) + self.limit.sqrt();
-                self.limit = (self.limit + (target - self.limit) * GAIN).max(1.0);
+                self.limit = (self.limit + (target - self.limit) * EWMA_WEIGHT).max(1.0);
             }
             _ => {}
         }
@@ -142,9 +145,9 @@
         }
     }
 
-    fn drop_late(&mut self, now: Instant) {
+    fn drop_expired_heads(&mut self, now: Instant) {
         while let Some(head) = self.queue.front() {
-            if !self.controlled_delay.drops_head(now, head.since) {
+            if !self.controlled_delay.drops_head(now, head.queued_at) {
                 return;
             }
             reject(head.request, &mut self.actions);
@@ -152,20 +155,20 @@
         }
     }
 
-    /// The position in the queue of the next request that may start.
+    /// Position in the queue of the request to start next, if there is a free slot for one.
     fn next_position(&self) -> Option<usize> {
         let free = self.limit.max(1.0) - self.running.len() as f64;
         if free < 1.0 {
             return None;
         }
         match self.config.kind {
-            BaselineKind::StaticPartition(fraction) => self.next_of_split(fraction),
+            BaselineKind::StaticPartition(fraction) => self.next_of_partition(fraction),
             _ => (!self.queue.is_empty()).then_some(0),
         }
     }
 
-    /// The favoured class first; of its slots no other class takes any.
-    fn next_of_split(&self, fraction: f64) -> Option<usize> {
+    /// Prefers the favored class. Other classes never use the slots that are reserved for it.
+    fn next_of_partition(&self, fraction: f64) -> Option<usize> {
         let favored_class = self.config.favored_class;
         let reserved = self.limit * fraction;
         let favored = self.running.values().filter(|run| run.class == favored_class).count() as f64;
@@ -180,7 +183,7 @@
 impl Scheduler for Baseline {
     fn handle(&mut self, now: Instant, event: Event) {
         match event {
-            Event::Arrived(arrival) => self.arrived(now, arrival.request, arrival.class),
+            Event::Arrived(arrival) => self.request_arrived(now, arrival.request, arrival.class),
             Event::CallRequested(request) => {
                 self.actions.push(Action::Call { request, timeout: CALL_TIMEOUT });
             }
@@ -191,14 +194,14 @@
     }
 
     fn decide(&mut self, now: Instant, actions: &mut Vec<Action>) {
-        if !std::mem::replace(&mut self.started, true) {
+        if !std::mem::replace(&mut self.health_reported, true) {
             self.actions.push(Action::SetHealth(true));
         }
         if self.config.kind == BaselineKind::ControlledDelay {
-            self.drop_late(now);
+            self.drop_expired_heads(now);
         }
         while let Some(next) = self.next_position().and_then(|position| self.queue.remove(position)) {
-            self.running.insert(next.request, RunningRequest { class: next.class, since: now });
+            self.running.insert(next.request, RunningRequest { class: next.class, started_at: now });
             self.actions.push(Action::Start(next.request));
         }
         actions.append(&mut self.actions);
--- a/crates/testing/baselines/src/plain_queue.rs
+++ b/crates/testing/baselines/src/plain_queue.rs
@@ -1,23 +1,24 @@
-//! First come, first served.
+//! A first-come, first-served scheduler with a fixed limit, for benchmarks.
 
 use crate::{reject, CALL_TIMEOUT};
 use lynxtally::{Action, Event, Instant, RequestId};
 use lynxtally_engine::Scheduler;
 use std::collections::VecDeque;
 
-/// First come, first served: so many run at once, so many wait, the others are rejected. It keeps nothing beside the
-/// queue, so that in measurements of cost it stands for no decision at all.
+/// Starts requests in order of arrival, up to a fixed number at once. Requests that arrive while the queue is full are
+/// rejected. The scheduler keeps almost no state beside the queue, so benchmarks use it to measure the cost of a
+/// frontend without scheduling decisions.
 pub struct PlainQueue {
     slots: usize,
     max_queue_length: usize,
     running: usize,
     queue: VecDeque<RequestId>,
     actions: Vec<Action>,
-    started: bool,
+    health_reported: bool,
 }
 
 impl PlainQueue {
-    /// With so many slots and a queue so long.
+    /// A scheduler that runs at most `slots` requests at once and queues at most `max_queue_length` more.
     pub fn new(slots: usize, max_queue_length: usize) -> Self {
         Self {
             slots,
@@ -25,11 +26,11 @@
             running: 0,
             queue: VecDeque::new(),
             actions: Vec::new(),
-            started: false,
+            health_reported: false,
         }
     }
 
-    /// Nothing waits and nothing is rejected: what a frontend costs without any decision.
+    /// A scheduler without limits: it starts every request at once and rejects none.
     pub fn unlimited() -> Self {
         Self::new(usize::MAX, usize::MAX)
     }
@@ -54,7 +55,7 @@
     }
 
     fn decide(&mut self, _: Instant, actions: &mut Vec<Action>) {
-        if !std::mem::replace(&mut self.started, true) {
+        if !std::mem::replace(&mut self.health_reported, true) {
             actions.push(Action::SetHealth(true));
         }
         actions.append(&mut self.actions);
--- a/crates/testing/experiment/src/lib.rs
+++ b/crates/testing/experiment/src/lib.rs
@@ -1,4 +1,6 @@
-//! Experiments on the simulated fleet: declared, run in parallel, kept as records, shown as tables and charts.
+//! Experiments on the simulated fleet. An experiment is declared in a file ([`spec`]), its runs are executed in parallel
+//! ([`run_all`]), and their [`Record`]s are stored and shown as tables and charts ([`report`]). [`check`] validates the
+//! simulator against closed-form results, and [`search`] looks for scenarios on which a policy performs badly.
 
 #![forbid(unsafe_code)]
 
@@ -16,38 +18,38 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// What came of one run, as it is kept in files.
+/// The results of one run, as stored in files.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Which run.
+    /// The run: levels and seed.
     pub cell: Cell,
-    /// Utility earned over offered.
+    /// Utility earned divided by utility offered.
     pub service: f64,
-    /// The clients' requests.
+    /// Number of client requests after the warm-up, not counting retries.
     #[serde(rename = "tasks")]
     pub requests: u64,
-    /// Attempts a request.
+    /// Mean number of attempts per request.
     #[serde(rename = "tries")]
     pub attempts_per_request: f64,
-    /// Attempts that were rejected, over all.
+    /// Fraction of the attempts that nodes rejected.
     #[serde(rename = "rejected")]
     pub rejected_fraction: f64,
-    /// Mean time to a result, in seconds.
+    /// Mean time from a request's arrival to its result, in seconds.
     #[serde(rename = "latency")]
     pub mean_latency: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the time from a request's arrival to its result, in seconds.
     pub latency_99: f64,
-    /// Service by second.
+    /// Utility earned divided by utility offered, by the second in which the requests arrived.
     #[serde(rename = "line")]
     pub service_by_second: Vec<f64>,
-    /// Invariants that were violated: how often, and when, on which node and by which request first.
+    /// Violated invariants, one text each: the number of violations, and the time, node and client request of the first.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
-    /// Simulated events.
+    /// Number of simulated events.
     pub events: u64,
 }
 
-/// Does one run.
+/// Simulates one run.
 pub fn run(spec: &Spec, cell: &Cell) -> Record {
     let scenario = spec.scenario(cell);
     let make =
@@ -73,7 +75,8 @@
     }
 }
 
-/// What happened to one client request of a run, in words.
+/// Repeats a run and describes what happened to one of its client requests, one line per event. Empty if the run has no
+/// request of this number.
 pub fn explain(spec: &Spec, cell: &Cell, request: u32) -> Vec<String> {
     let scenario = spec.scenario(cell);
     let make =
@@ -81,8 +84,14 @@
     World::new(&scenario, &make, cell.seed).explain(request).run().1
 }
 
-/// Does all runs that are not among those `done`, on so many threads; `each` sees every one as it ends.
-pub fn run_all(spec: &Spec, done: &[Record], threads: usize, each: impl Fn(&Record) + Sync) -> Vec<Record> {
+/// Executes all runs of the experiment that have no record in `done`, on `threads` threads, and calls `on_record` with each
+/// new record as its run ends. Returns the records of all runs, in the order of [`Spec::cells`].
+pub fn run_all(
+    spec: &Spec,
+    done: &[Record],
+    threads: usize,
+    on_record: impl Fn(&Record) + Sync,
+) -> Vec<Record> {
     let cells = spec.cells();
     let results: Vec<Mutex<Option<Record>>> = cells
         .iter()
@@ -92,12 +101,12 @@
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1) {
             scope.spawn(|| loop {
-                let at = next.fetch_add(1, Ordering::Relaxed);
-                let Some(slot) = results.get(at) else { return };
+                let index = next.fetch_add(1, Ordering::Relaxed);
+                let Some(slot) = results.get(index) else { return };
                 let mut slot = slot.lock().unwrap_or_else(PoisonError::into_inner);
                 if slot.is_none() {
-                    let record = run(spec, &cells[at]);
-                    each(&record);
+                    let record = run(spec, &cells[index]);
+                    on_record(&record);
                     *slot = Some(record);
                 }
             });
--- a/crates/testing/experiment/src/spec/mod.rs
+++ b/crates/testing/experiment/src/spec/mod.rs
@@ -1,5 +1,7 @@
-//! An experiment as it is declared: factors, levels, seeds, policies. The words of the file end here; what is not given has
-//! its default here.
+//! The declaration of an experiment: factors, their levels, seeds and policies, as read from a file.
+//!
+//! serde renames map the keys of the file to the terms of the code. Keys that the file leaves out get their defaults here.
+//! Call [`Spec::check`] before use: parsing alone doesn't reject unknown names or values out of range.
 
 mod check;
 mod policies;
@@ -9,54 +11,55 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An experiment.
+/// An experiment: every combination of its levels is run once with each seed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
-    /// Its name.
+    /// Name of the experiment; result files are named after it.
     pub name: String,
-    /// Fleet sizes.
+    /// Fleet sizes, in nodes.
     pub nodes: Vec<usize>,
-    /// Loads, over what all cores can do.
+    /// Offered loads, as fractions of the capacity of all cores: 1.0 saturates the fleet.
     pub loads: Vec<f64>,
-    /// Seeds, the same for all that is compared.
+    /// Seeds; all policies run with the same ones, so that results can be compared in pairs.
     pub seeds: Vec<u64>,
-    /// The schedulers: module, pool, cap, aimd, gradient, age, split-0.5, early.
+    /// Names of the schedulers: `module` (lynxtally's policy) or a baseline (`pool`, `cap`, `aimd`, `gradient`, `age`,
+    /// `split-0.5`, `early`). Reports compare the first one with the others.
     pub policies: Vec<String>,
-    /// What happens; a script of the name `calm` is always there.
+    /// Scripts of faults, each run as a level of its own. A script `calm` without faults is always run as well.
     #[serde(default)]
     pub scripts: Vec<Script>,
-    /// The load by request class.
+    /// The request classes and their fractions of the load.
     #[serde(rename = "stages")]
     pub classes: Vec<ClassSpec>,
-    /// Cores a node.
+    /// Cores per node.
     #[serde(default = "default_cores")]
     pub cores: u32,
-    /// Sidecars a node.
+    /// Sidecars per node.
     #[serde(rename = "sidecars", default = "default_sidecars")]
     pub sidecars_per_node: f64,
-    /// How sidecars choose: round-robin, random, least, two, hash.
+    /// How sidecars choose a node: `round-robin`, `random`, `least` (outstanding), `two` (choices) or `hash`.
     #[serde(rename = "habit", default = "default_balancing")]
     pub balancing: String,
-    /// Attempts at most.
+    /// Maximum number of attempts per request, including the first.
     #[serde(rename = "tries", default = "default_max_attempts")]
     pub max_attempts: u32,
-    /// Successes that pay for a retry; 0 where retries have no budget.
+    /// Successful requests that earn one retry in the retry budget; 0 means that retries have no budget.
     #[serde(rename = "price", default = "default_successes_per_retry")]
     pub successes_per_retry: u32,
-    /// The mean delay of a link, one way, in milliseconds.
+    /// Mean one-way delay of a network link, in milliseconds.
     #[serde(rename = "delay_ms", default = "default_link_delay_ms")]
     pub link_delay_ms: f64,
-    /// Requests arrive for so long, in seconds.
+    /// How long requests arrive, in seconds of simulated time.
     #[serde(rename = "lasts_s")]
     pub duration_s: f64,
-    /// Requests that arrive before this do not count, in seconds.
+    /// Warm-up, in seconds: requests that arrive earlier are not counted in the results.
     #[serde(default)]
     pub warm_up_s: f64,
-    /// More requests a core than this slow each other down.
+    /// Running requests per core above which requests slow each other down.
     #[serde(rename = "crowd", default = "default_crowding_threshold")]
     pub crowding_threshold: f64,
-    /// By so much.
+    /// Slowdown per request per core above the threshold: the speed is 1 / (1 + slope x excess).
     #[serde(rename = "slope", default = "default_crowding_slope")]
     pub crowding_slope: f64,
 }
@@ -86,62 +89,63 @@
     0.05
 }
 
-/// A script of faults.
+/// A sequence of faults that are injected in a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Its name.
+    /// Name of the script, as a level of the experiment.
     pub name: String,
-    /// Its steps.
+    /// The faults.
     pub steps: Vec<StepSpec>,
 }
 
-/// A step of a script.
+/// One fault of a script and the nodes that it affects.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StepSpec {
-    /// When, in seconds.
+    /// Time of the fault, in seconds from the start of the run.
     pub at_s: f64,
-    /// On this fraction of the nodes.
+    /// Fraction of the nodes that the fault affects; at least one node is affected.
     #[serde(rename = "part")]
     pub node_fraction: f64,
-    /// From this fraction of them on.
+    /// Position of the first affected node, as a fraction of the fleet: 0.5 starts in the middle.
     #[serde(rename = "from", default)]
     pub from_fraction: f64,
-    /// What: crash, restart, slow, leave, deaf, mute, mended.
+    /// The fault: `crash`, `restart`, `slow`, `leave` (graceful shutdown), `deaf` (drops incoming messages), `mute` (drops
+    /// outgoing messages) or `mended` (restores the links).
     #[serde(rename = "what")]
     pub fault: String,
-    /// The part of its speed that is left, or the seconds until a graceful shutdown ends.
+    /// For `slow`, the remaining fraction of the speed; for `leave`, the seconds until the shutdown ends; otherwise unused.
     #[serde(default)]
     pub value: f64,
 }
 
-/// The load of a request class.
+/// A request class and its part of the load.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// What a result in time earns.
+    /// Utility of a result within the latency objective.
     pub utility: f64,
-    /// The fraction that a late one earns.
+    /// Fraction of the utility that a result after the latency objective earns.
     #[serde(rename = "late_part", default)]
     pub late_utility_fraction: f64,
-    /// The latency objective.
+    /// Latency objective, in milliseconds.
     #[serde(rename = "due_ms")]
     pub latency_objective_ms: u64,
-    /// When the client gives up.
+    /// Deadline in milliseconds after which the client gives up; at least the latency objective.
     #[serde(rename = "limit_ms")]
     pub deadline_ms: u64,
-    /// Its fraction of all requests.
+    /// Fraction of the arriving requests that belong to this class.
     pub share: f64,
-    /// Its mean work.
+    /// Mean work per request, in milliseconds on a core of its own.
     #[serde(rename = "work_ms")]
     pub mean_work_ms: f64,
-    /// fixed, exponential, lognormal, pareto, bimodal.
+    /// Distribution of the work: `fixed`, `exponential`, `lognormal`, `pareto` or `bimodal`.
     #[serde(rename = "spread", default = "default_distribution")]
     pub distribution: String,
-    /// restartable, or side-effecting.
+    /// `restartable` (idempotent) or `side-effecting` (not idempotent).
     #[serde(default = "default_effect")]
     pub effect: String,
 }
@@ -153,28 +157,28 @@
     IDEMPOTENT.to_owned()
 }
 
-/// The word of the file for an idempotent class.
+/// Value of the key `effect` for an idempotent class.
 const IDEMPOTENT: &str = "restartable";
-/// The name of the script without faults.
+/// Name of the script without faults, which every experiment runs.
 const CALM: &str = "calm";
 
-/// One run of an experiment.
+/// One run of an experiment: a combination of levels and a seed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Cell {
-    /// The scheduler.
+    /// Name of the scheduler, as in [`Spec::policies`].
     pub policy: String,
-    /// Fleet size.
+    /// Fleet size, in nodes.
     pub nodes: usize,
-    /// Load.
+    /// Offered load, as a fraction of the capacity of all cores.
     pub load: f64,
-    /// The script's name.
+    /// Name of the script of faults.
     pub script: String,
-    /// The seed.
+    /// Seed of the simulation.
     pub seed: u64,
 }
 
 impl Spec {
-    /// All runs, in order.
+    /// All runs, ordered by script, fleet size, load, policy and seed.
     pub fn cells(&self) -> Vec<Cell> {
         let mut cells = Vec::new();
         let scripts = [CALM].into_iter().chain(self.scripts.iter().map(|script| script.name.as_str()));
--- a/crates/testing/experiment/src/spec/policies.rs
+++ b/crates/testing/experiment/src/spec/policies.rs
@@ -1,15 +1,16 @@
-//! Schedulers by the names that experiments have for them.
+//! Creates the schedulers that experiment files name.
 
 use lynxtally::{Instant, Policy, Settings};
 use lynxtally_baselines::{Baseline, BaselineConfig, BaselineKind};
 use lynxtally_simulator::scenario::BoxedScheduler;
 
-/// Slots a core that a baseline gives out.
+/// Requests that a baseline runs at once, per core.
 const SLOTS_PER_CORE: f64 = 2.0;
-/// How many wait for each slot.
+/// Maximum queue length of a baseline, per slot.
 const QUEUED_PER_SLOT: usize = 20;
 
-/// A baseline by its name.
+/// The baseline algorithm that has this name in experiment files; `None` if there is none. `split-F` is a static partition
+/// that reserves the fraction F, from 0 to 1.
 pub fn baseline_kind(name: &str) -> Option<BaselineKind> {
     Some(match name {
         "pool" => BaselineKind::WorkerPool,
@@ -25,7 +26,8 @@
     })
 }
 
-/// A scheduler by its name: a baseline, or lynxtally's policy.
+/// Creates the baseline of this name, or lynxtally's own policy for any other name. The baseline's favored class is the one
+/// of the highest utility; its latency objective is the shortest of all classes.
 pub fn make_scheduler(name: &str, settings: &Settings, seed: u64, now: Instant) -> BoxedScheduler {
     let Some(kind) = baseline_kind(name) else {
         return Box::new(Policy::new(settings.clone(), seed, now));
--- a/crates/testing/experiment/src/spec/scenario.rs
+++ b/crates/testing/experiment/src/spec/scenario.rs
@@ -1,4 +1,4 @@
-//! From a declared experiment to the scenarios of its runs.
+//! Translates the declaration of an experiment to the simulator's scenarios.
 
 use super::{Cell, ClassSpec, Spec, StepSpec, IDEMPOTENT};
 use lynxtally::{Effect, RequestClass, Settings, Span};
@@ -7,13 +7,13 @@
 use lynxtally_simulator::sidecar::{LoadBalancing, RetryPolicy};
 use lynxtally_simulator::work_distribution::WorkDistribution;
 
-/// How long a restarted node takes to warm up.
+/// Time that a restarted node takes to reach its full speed.
 const WARMUP_TIME: Span = Span::from_millis(5000);
-/// The part of its speed that a cold node has, and that its scheduler is told.
+/// Fraction of its speed that a restarted node has at first; the node's scheduler is configured with the same value.
 const COLD_SPEED: f64 = 0.2;
 
 impl Spec {
-    /// How sidecars choose a node; none where no way has that name.
+    /// The load balancing of the sidecars; `None` if the name is unknown.
     pub(super) fn balancing(&self) -> Option<LoadBalancing> {
         Some(match self.balancing.as_str() {
             "round-robin" => LoadBalancing::RoundRobin,
@@ -25,7 +25,8 @@
         })
     }
 
-    /// The scenario of one run.
+    /// The scenario of one run. A script, load balancing, distribution or fault of an unknown name is replaced by a default or
+    /// left out, so call [`Spec::check`] first.
     pub fn scenario(&self, cell: &Cell) -> Scenario {
         let classes: Vec<ClassLoad> = self.classes.iter().map(ClassSpec::load).collect();
         let sidecars = ((cell.nodes as f64 * self.sidecars_per_node) as usize).clamp(1, 60_000);
@@ -79,7 +80,7 @@
 }
 
 impl ClassSpec {
-    /// How its work is distributed; none where no distribution has that name.
+    /// The distribution of the work; `None` if the name is unknown.
     pub(super) fn distribution(&self) -> Option<WorkDistribution> {
         Some(match self.distribution.as_str() {
             "fixed" => WorkDistribution::Fixed,
@@ -113,7 +114,7 @@
 }
 
 impl StepSpec {
-    /// What happens; none where no fault has that name.
+    /// The fault, with its value clamped to the valid range; `None` if the name is unknown.
     pub(super) fn fault(&self) -> Option<Fault> {
         Some(match self.fault.as_str() {
             "crash" => Fault::Crash,
--- a/crates/testing/model-check/src/lib.rs
+++ b/crates/testing/model-check/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small models of what coordination rests on, for a library that looks at every interleaving up to a bound
-//! (stateright). Each model comes with defects that have to be caught.
+//! Small models of the protocols that coordination relies on, for the model checker stateright, which explores every
+//! interleaving up to a bound. Each model can be built with a known defect; the tests require that the checker finds each.
 
 #![forbid(unsafe_code)]
 
