--- a/crates/frontends/dns/tests/stories.rs
+++ b/crates/frontends/dns/tests/stories.rs
@@ -15,7 +15,7 @@
 use lynxtally_dns::codec::{Asked, Question};
 use lynxtally_dns::control::Verb;
 use lynxtally_dns::tsig::{BadSignature, Keys, Signer};
-use lynxtally_test_doubles::names::{add, drop_set, Resolver};
+use lynxtally_test_doubles::dns::{add, drop_set, Resolver};
 use lynxtally_zones::secondary::TransferResult;
 use lynxtally_zones::{Name, RecordType, Serial};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/crates/frontends/dns/tests/world/mod.rs
+++ b/crates/frontends/dns/tests/world/mod.rs
@@ -5,7 +5,7 @@
 use lynxtally_dns::server::{self, Heard, Running};
 use lynxtally_dns::settings::{Checked, File, GrantFile, Limits, Stages, Transfer, ZoneFile};
 use lynxtally_dns::tsig::{Algorithm, Key};
-use lynxtally_test_doubles::names::{Resolver, Updater, PATIENCE};
+use lynxtally_test_doubles::dns::{Resolver, Updater, PATIENCE};
 use lynxtally_zones::{Name, Serial};
 use std::net::SocketAddr;
 use std::os::unix::fs::PermissionsExt;
--- a/crates/testing/benchmarks/src/names.rs
+++ b/crates/testing/benchmarks/src/dns.rs
@@ -11,7 +11,7 @@
 use lynxtally_dns::tsig::{Algorithm, Key};
 use lynxtally_dns::udp;
 use lynxtally_engine::Scheduler;
-use lynxtally_test_doubles::names::{add, drop_set, Updater};
+use lynxtally_test_doubles::dns::{add, drop_set, Updater};
 use lynxtally_zones::lookup::lookup;
 use lynxtally_zones::rate_limit::CountMinSketch;
 use lynxtally_zones::zone_file;
--- a/crates/testing/benchmarks/src/main.rs
+++ b/crates/testing/benchmarks/src/main.rs
@@ -2,9 +2,9 @@
 
 #![forbid(unsafe_code)]
 
-mod lab;
-mod names;
-mod shares;
+mod coordination;
+mod dns;
+mod simulator;
 mod streams;
 
 use clap::Parser;
@@ -84,30 +84,30 @@
             print!("{table}");
             std::fs::write(out, table)
         }
-        What::Shares { out } => shares::measure(&out),
+        What::Shares { out } => coordination::measure(&out),
         What::Lab { out } => {
-            let table = lab::measure()?;
+            let table = simulator::measure()?;
             print!("{table}");
             std::fs::write(out, table)
         }
         What::StreamServer { settings, plain } => streams::serve(&settings, plain),
         What::StreamCopy { upstream } => streams::copy(upstream),
         What::Reread => {
-            print!("{}", names::rereading(1_000_000)?);
+            print!("{}", dns::rereading(1_000_000)?);
             Ok(())
         }
         What::Decisions => {
             let mut out = String::new();
-            names::decisions(&mut out)?;
+            dns::decisions(&mut out)?;
             print!("{out}");
             Ok(())
         }
         What::Structure { what, size } => {
-            println!("{}", names::structure(&what, size));
+            println!("{}", dns::structure(&what, size));
             Ok(())
         }
         What::Names { out, largest } => {
-            let table = names::measure(largest)?;
+            let table = dns::measure(largest)?;
             print!("{table}");
             std::fs::write(out, table)
         }
--- a/crates/testing/test-doubles/src/lib.rs
+++ b/crates/testing/test-doubles/src/lib.rs
@@ -2,6 +2,6 @@
 
 #![forbid(unsafe_code)]
 
-pub mod names;
+pub mod dns;
 pub mod storage;
 pub mod stream;
