--- a/crates/testing/benchmarks/src/dns.rs
+++ b/crates/testing/benchmarks/src/dns.rs
@@ -11,7 +11,7 @@
 use lynxtally_dns::tsig::{Algorithm, Key};
 use lynxtally_dns::udp;
 use lynxtally_engine::Scheduler;
-use lynxtally_test_doubles::dns::{add, drop_set, Updater};
+use lynxtally_test_doubles::dns::{add, delete_rrset, Updater};
 use lynxtally_zones::lookup::lookup;
 use lynxtally_zones::rate_limit::CountMinSketch;
 use lynxtally_zones::zone_file;
@@ -526,7 +526,7 @@
     while !over.load(Ordering::Relaxed) {
         sent += 1;
         let edits = [
-            drop_set(&name, RecordType::A),
+            delete_rrset(&name, RecordType::A),
             add(&name, RecordType::A, &[10, 9, (sent >> 8) as u8, sent as u8]),
         ];
         let start = Instant::now();
@@ -602,7 +602,8 @@
                         let mut done = 0_u64;
                         while !over.load(Ordering::Relaxed) {
                             let data = [10, 9, (done >> 8) as u8, done as u8];
-                            let edits = [drop_set(&name, RecordType::A), add(&name, RecordType::A, &data)];
+                            let edits =
+                                [delete_rrset(&name, RecordType::A), add(&name, RecordType::A, &data)];
                             done += u64::from(updater.update(&edits)? == 0);
                         }
                         Ok(done)
--- a/crates/testing/test-doubles/src/storage.rs
+++ b/crates/testing/test-doubles/src/storage.rs
@@ -1,91 +1,102 @@
-//! A storage in memory that loses power at a chosen step. Of the bytes that were not durable by then a chosen part is
-//! left; files that were renamed without being durable are lost too.
+//! An in-memory [`Storage`] that simulates a power loss at a chosen step. The test chooses which part of the bytes that
+//! were written but not synced survives; durability is tracked for each file.
 
 use lynxtally_wal::Storage;
 use std::collections::BTreeMap;
 use std::io;
 
-/// What is left of bytes that were written and not made durable.
+/// Which part of the bytes that were written but not synced survives a power loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsynced {
-    /// Nothing.
+pub enum UnsyncedOutcome {
+    /// No byte survives.
     Lost,
-    /// Their first half.
-    HalfLeft,
-    /// All, but zeros in place of the second half, as where only the length was written.
+    /// The first half survives.
+    FirstHalfKept,
+    /// The file keeps its length, but the second half reads as zeros: the file system stored the length before the data.
     HalfZeroed,
-    /// All of them.
+    /// All bytes survive.
     Kept,
 }
 
-/// All that can happen to unsynced bytes.
-pub const UNSYNCED: [Unsynced; 4] =
-    [Unsynced::Lost, Unsynced::HalfLeft, Unsynced::HalfZeroed, Unsynced::Kept];
+/// Every outcome, for tests that try each of them.
+pub const UNSYNCED_OUTCOMES: [UnsyncedOutcome; 4] = [
+    UnsyncedOutcome::Lost,
+    UnsyncedOutcome::FirstHalfKept,
+    UnsyncedOutcome::HalfZeroed,
+    UnsyncedOutcome::Kept,
+];
 
 #[derive(Clone, Debug, Default)]
 struct File {
     bytes: Vec<u8>,
-    /// So many of them, from the start, are durable.
-    durable: usize,
+    /// Length of the durable part, from the start of the file.
+    durable_bytes: usize,
 }
 
-/// A directory in memory.
+/// A directory in memory. Each operation that changes it counts as a step; `replace` counts as three.
 #[derive(Clone, Debug)]
 pub struct MemoryStorage {
     files: BTreeMap<String, File>,
-    /// Steps until the power is lost, where it will be.
+    /// Steps that still succeed before the power loss; `None` if no power loss is planned.
     steps_left: Option<usize>,
-    /// How many steps were taken.
+    /// Steps taken since the start, the failed ones included.
     pub steps_taken: usize,
-    unsynced: Unsynced,
+    unsynced_outcome: UnsyncedOutcome,
 }
 
 impl Default for MemoryStorage {
     fn default() -> Self {
-        Self { files: BTreeMap::new(), steps_left: None, steps_taken: 0, unsynced: Unsynced::Kept }
+        Self {
+            files: BTreeMap::new(),
+            steps_left: None,
+            steps_taken: 0,
+            unsynced_outcome: UnsyncedOutcome::Kept,
+        }
     }
 }
 
 impl MemoryStorage {
-    /// The power is lost at the step after so many more.
-    pub fn lose_power_after(&mut self, steps: usize, unsynced: Unsynced) {
+    /// Plans a power loss: the next `steps` steps succeed and every later step fails.
+    pub fn lose_power_after(&mut self, steps: usize, unsynced_outcome: UnsyncedOutcome) {
         self.steps_left = Some(steps);
-        self.unsynced = unsynced;
+        self.unsynced_outcome = unsynced_outcome;
     }
 
-    /// The directory after the power came back.
+    /// Returns the directory as it is found after the restart. All that survived is durable.
     pub fn restart(&self) -> Self {
         let mut files = self.files.clone();
         for file in files.values_mut() {
-            let unsynced = file.bytes.len() - file.durable;
-            match self.unsynced {
-                Unsynced::Lost => file.bytes.truncate(file.durable),
-                Unsynced::HalfLeft => file.bytes.truncate(file.durable + unsynced / 2),
-                Unsynced::HalfZeroed => file.bytes[file.durable + unsynced / 2..].fill(0),
-                Unsynced::Kept => {}
+            let unsynced_bytes = file.bytes.len() - file.durable_bytes;
+            match self.unsynced_outcome {
+                UnsyncedOutcome::Lost => file.bytes.truncate(file.durable_bytes),
+                UnsyncedOutcome::FirstHalfKept => {
+                    file.bytes.truncate(file.durable_bytes + unsynced_bytes / 2)
+                }
+                UnsyncedOutcome::HalfZeroed => file.bytes[file.durable_bytes + unsynced_bytes / 2..].fill(0),
+                UnsyncedOutcome::Kept => {}
             }
-            file.durable = file.bytes.len();
+            file.durable_bytes = file.bytes.len();
         }
         Self { files, ..Self::default() }
     }
 
-    /// Flips a bit of one byte of a file.
-    pub fn flip(&mut self, name: &str, offset: usize) {
+    /// Flips one bit of the byte at `offset`. Does nothing if the file has no such byte.
+    pub fn flip_bit(&mut self, name: &str, offset: usize) {
         if let Some(byte) = self.files.get_mut(name).and_then(|file| file.bytes.get_mut(offset)) {
             *byte ^= 0x10;
         }
     }
 
-    /// A file's length.
+    /// Length of a file in bytes; 0 if it does not exist.
     pub fn length(&self, name: &str) -> usize {
         self.files.get(name).map_or(0, |file| file.bytes.len())
     }
 
-    /// Takes a step; fails once the power is lost.
+    /// Counts a step; fails if the power loss has happened.
     fn step(&mut self) -> io::Result<()> {
         self.steps_taken += 1;
         match &mut self.steps_left {
-            Some(0) => Err(io::Error::other("the power is gone")),
+            Some(0) => Err(io::Error::other("simulated power loss")),
             Some(steps) => {
                 *steps -= 1;
                 Ok(())
@@ -117,20 +128,20 @@
     fn sync(&mut self, name: &str) -> io::Result<()> {
         self.step()?;
         let file = self.file_mut(name)?;
-        file.durable = file.bytes.len();
+        file.durable_bytes = file.bytes.len();
         Ok(())
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        // Three steps that can be the last: the file beside it, its durability, the renaming.
-        let beside = format!("{name}.new");
-        let durable = File { bytes: bytes.to_vec(), durable: bytes.len() };
+        // The power loss can come before each of the three steps: write a temporary file, sync it, rename it.
+        let temporary = format!("{name}.new");
+        let durable = File { bytes: bytes.to_vec(), durable_bytes: bytes.len() };
         self.step()?;
-        self.files.insert(beside.clone(), File { bytes: bytes.to_vec(), durable: 0 });
+        self.files.insert(temporary.clone(), File { bytes: bytes.to_vec(), durable_bytes: 0 });
         self.step()?;
-        self.files.insert(beside.clone(), durable.clone());
+        self.files.insert(temporary.clone(), durable.clone());
         self.step()?;
-        self.files.remove(&beside);
+        self.files.remove(&temporary);
         self.files.insert(name.to_owned(), durable);
         Ok(())
     }
@@ -139,7 +150,7 @@
         self.step()?;
         let file = self.file_mut(name)?;
         file.bytes.truncate(length as usize);
-        file.durable = file.bytes.len();
+        file.durable_bytes = file.bytes.len();
         Ok(())
     }
 
