--- a/crates/testing/benchmarks/src/main.rs
+++ b/crates/testing/benchmarks/src/main.rs
@@ -1,4 +1,4 @@
-//! Measures one subsystem and writes a table under `docs/results`.
+//! Measures one subsystem of lynxtally and writes the figures as a Markdown table under `docs/results`.
 
 #![forbid(unsafe_code)]
 
@@ -10,103 +10,103 @@
 use clap::Parser;
 use std::path::PathBuf;
 
-/// Measures a subsystem of lynxtally.
+/// Measure a subsystem of lynxtally.
 #[derive(Parser)]
-enum What {
-    /// The names server: structures, queries, updates, overload.
+enum Benchmark {
+    /// The DNS server: data structures, queries, updates, overload.
     Names {
-        /// Where the table goes.
+        /// The file that the table is written to.
         #[arg(long, default_value = "docs/results/names.md")]
         out: PathBuf,
-        /// Records of the largest zone.
+        /// Number of records in the largest zone.
         #[arg(long, default_value_t = 1_000_000)]
         largest: usize,
     },
-    /// The emulator: its queue, and how fast a large fleet runs.
+    /// The simulator: its event queue, and how fast it simulates a large fleet.
     Lab {
-        /// Where the table goes.
+        /// The file that the table is written to.
         #[arg(long, default_value = "docs/results/lab.md")]
         out: PathBuf,
     },
-    /// The stream server: memory, throughput, fairness, overload, cuts.
+    /// The stream server: memory, throughput, fairness, overload, interrupted transfers.
     Streams {
-        /// Where the table goes; charts go beside it.
+        /// The file that the table is written to; charts go into the same folder.
         #[arg(long, default_value = "docs/results/streams.md")]
         out: PathBuf,
-        /// Only these parts: throughput, memory, fairness, overload, cuts.
+        /// Run only this part: throughput, memory, fairness, overload or cuts. May be repeated.
         #[arg(long)]
         only: Vec<String>,
     },
-    /// Shares of the fleet: what they serve, how soon a share is in use again, what they cost. The keepers are measured
-    /// where `lynxtally-coordinator` was built beside this program.
+    /// Leases of fleet-wide budgets and wallets: served calls, recovery after faults, and cost. The coordinators are measured
+    /// only if `lynxtally-coordinator` was built into the same folder as this program.
     Shares {
-        /// Where the table goes.
+        /// The file that the table is written to.
         #[arg(long, default_value = "docs/results/shares.md")]
         out: PathBuf,
     },
-    /// A stream server, for the other command.
+    /// Run a stream server until standard input ends; `streams` starts it as a child process.
     #[command(hide = true)]
     StreamServer {
-        /// Its settings, as JSON.
+        /// The settings of the server, as JSON.
         #[arg(long)]
         settings: String,
-        /// First come, first served.
+        /// Replace the scheduling policy by a first-come, first-served queue.
         #[arg(long)]
         plain: bool,
     },
-    /// A plain loop that copies, for the other command.
+    /// Run the copy loop that the stream server is compared with; `streams` starts it as a child process.
     #[command(hide = true)]
     StreamCopy {
-        /// From where.
+        /// The address that the loop copies from.
         #[arg(long)]
         upstream: std::net::SocketAddr,
     },
-    /// A file of a million records read again under way; written to standard output.
+    /// Reload a zone file of a million records under load, and print the figures to standard output.
     Reread,
-    /// What a decision takes, in process; written to standard output.
+    /// Measure the time of a scheduling decision in process, and print the figures to standard output.
     Decisions,
-    /// One structure of one size; the other command calls it.
+    /// Measure one data structure of one size; `names` starts it as a child process.
     #[command(hide = true)]
     Structure {
-        /// Which.
+        /// The structure: trie, BTreeMap or HashMap.
         what: String,
-        /// How many names.
+        /// Number of names in the structure.
         size: usize,
     },
 }
 
 fn main() -> std::io::Result<()> {
-    match What::parse() {
-        What::Streams { out, only } => {
+    match Benchmark::parse() {
+        Benchmark::Streams { out, only } => {
             let folder = out.parent().unwrap_or(&out);
             std::fs::create_dir_all(folder)?;
             let table = streams::measure(folder, &only)?;
             print!("{table}");
             std::fs::write(out, table)
         }
-        What::Shares { out } => coordination::measure(&out),
-        What::Lab { out } => {
+        Benchmark::Shares { out } => coordination::measure(&out),
+        Benchmark::Lab { out } => {
             let table = simulator::measure()?;
             print!("{table}");
             std::fs::write(out, table)
         }
-        What::StreamServer { settings, plain } => streams::serve(&settings, plain),
-        What::StreamCopy { upstream } => streams::copy(upstream),
-        What::Reread => {
-            print!("{}", dns::rereading(1_000_000)?);
+        Benchmark::StreamServer { settings, plain } => streams::serve(&settings, plain),
+        Benchmark::StreamCopy { upstream } => streams::copy(upstream),
+        Benchmark::Reread => {
+            print!("{}", dns::reload(1_000_000)?);
             Ok(())
         }
-        What::Decisions => {
+        Benchmark::Decisions => {
             let mut out = String::new();
-            dns::decisions(&mut out)?;
+            dns::measure_decisions(&mut out)?;
             print!("{out}");
             Ok(())
         }
-        What::Structure { what, size } => {
+        Benchmark::Structure { what, size } => {
             println!("{}", dns::structure(&what, size));
             Ok(())
         }
-        What::Names { out, largest } => {
+        Benchmark::Names { out, largest } => {
             let table = dns::measure(largest)?;
             print!("{table}");
             std::fs::write(out, table)
