--- a/crates/testing/benchmarks/src/dns.rs
+++ b/crates/testing/benchmarks/src/dns.rs
@@ -75,7 +75,7 @@
     start.elapsed().as_secs_f64() * 1e9 / count as f64
 }
 
-/// Draws `count` host names at random, so that no prefetcher predicts the next lookup.
+/// Draws `count` host names at random, so that no cache holds the next name ahead of its lookup.
 fn random_names(records: usize, count: usize) -> Vec<Name> {
     let mut random = Pcg::new(3);
     (0..count).map(|_| host_name((random.unit() * records as f64) as usize)).collect()
@@ -83,7 +83,7 @@
 
 /// Measures one data structure of one size and returns a row of the table. Runs in a process of its own, because memory that
 /// another structure freed would distort the growth of resident memory.
-pub fn structure(structure: &str, size: usize) -> String {
+pub fn measure_structure(structure: &str, size: usize) -> String {
     let names: Vec<Name> = (0..size).map(host_name).collect();
     let queried = random_names(size, 200_000);
     let record = |name: &Name| lynxtally_zones::Record {
@@ -359,7 +359,8 @@
             keys: vec![keys],
             cookie_secret: None,
             stages: Stages::default(),
-            // All load comes from a few addresses of this machine, so limits by address prefix and cookies are disabled.
+            // All load comes from a few addresses of this machine, so one prefix may
+            // use the whole rate, and clients need not prove their address.
             limits: Limits { prefix_share: 1.0, proof: false, ..Limits::default() },
             stop_ms: 3000,
             grace_ms: 1000,
@@ -392,7 +393,7 @@
     /// Queries with an error or a late response.
     failed: u64,
     seconds: f64,
-    /// Queries that the schedule asked for and the generator could not send.
+    /// Queries that were due but not sent, because the generator or the socket was too slow.
     unsent: f64,
     /// Response times of the successful queries, in microseconds.
     response_times: Option<Histogram<u64>>,
@@ -561,7 +562,7 @@
     Ok(rates[4])
 }
 
-/// Sends updates 20 ms after each other until `stop` is set. Returns how many were sent, and how many succeeded within a second.
+/// Sends updates with pauses of 20 ms until `stop` is set. Returns how many were sent, and how many succeeded within 1 s.
 fn send_updates(address: SocketAddr, n: usize, stop: &AtomicBool) -> io::Result<(u64, u64)> {
     let mut updater = Updater::new(address, update_key(), apex(), n as u16 * 500)?;
     let (mut sent, mut succeeded) = (0, 0);
--- a/crates/testing/benchmarks/src/main.rs
+++ b/crates/testing/benchmarks/src/main.rs
@@ -103,7 +103,7 @@
             Ok(())
         }
         Benchmark::Structure { what, size } => {
-            println!("{}", dns::structure(&what, size));
+            println!("{}", dns::measure_structure(&what, size));
             Ok(())
         }
         Benchmark::Names { out, largest } => {
--- a/crates/testing/benchmarks/src/streams.rs
+++ b/crates/testing/benchmarks/src/streams.rs
@@ -22,7 +22,7 @@
 const BUFFER_BYTES: usize = 128 * 1024;
 const MB: u64 = 1 << 20;
 
-/// Runs a stream server until standard input ends a line or closes, then prints its counters. `plain` replaces the scheduling
+/// Runs a stream server until standard input delivers a line or closes, then prints its counters. `plain` replaces the scheduling
 /// policy by a first-come, first-served queue. Called in a child process.
 pub fn serve(settings: &str, plain: bool) -> io::Result<()> {
     let file: SettingsFile = serde_json::from_str(settings).map_err(io::Error::other)?;
@@ -384,7 +384,7 @@
         let (count, path) = (count.clone(), format!("/{}/{}", if n < 10 { "a" } else { "b" }, 4096 * MB));
         thread::spawn(move || download(address, &path, 4096 * MB, &count));
     }
-    // The measurement starts once all streams are under way.
+    // Wait until all streams are under way.
     thread::sleep(Duration::from_millis(1500));
     let before: Vec<u64> = counts.iter().map(|count| count.load(Ordering::Relaxed)).collect();
     thread::sleep(Duration::from_secs(5));
@@ -417,7 +417,7 @@
 /// the latency objective, and for each class the share of its streams that was.
 fn offer_load(address: SocketAddr, load: f64, seconds: f64) -> (f64, [f64; 2]) {
     const LENGTH: u64 = 250_000;
-    // The link carries 80 Mbit/s, which are 10 million bytes per second.
+    // The link of 80 Mbit/s carries 10 million bytes per second.
     let rate = load * 10e6 / LENGTH as f64;
     let (mut random, start) = (Pcg::new(11), Instant::now());
     let (offered, in_time) = ([AtomicU64::new(0), AtomicU64::new(0)], [AtomicU64::new(0), AtomicU64::new(0)]);
@@ -546,14 +546,14 @@
                     };
                     match (response.status, response.is_complete) {
                         (200, true) if has_expected_body => complete.fetch_add(1, Ordering::Relaxed),
-                        // The framing says that the body is complete, but it isn't the expected one: the fault that must never occur.
+                        // Complete by its framing, but not the expected body: the fault that must never occur.
                         (200, true) => corrupt.fetch_add(1, Ordering::Relaxed),
                         (status, true) if status >= 500 => failed.fetch_add(1, Ordering::Relaxed),
                         _ => incomplete.fetch_add(1, Ordering::Relaxed),
                     };
                 });
             }
-            // The shutdown begins while streams are under way.
+            // Shut the server down while streams are under way.
             thread::sleep(Duration::from_millis(120 + round * 4));
             server.shut_down()
         })?;
--- a/crates/testing/test-doubles/src/storage.rs
+++ b/crates/testing/test-doubles/src/storage.rs
@@ -1,5 +1,5 @@
 //! An in-memory [`Storage`] that simulates a power loss at a chosen step. The test chooses which part of the bytes that
-//! were written but not synced survives; durability is tracked for each file.
+//! were written but not synced survives. Renaming a file doesn't make its bytes durable.
 
 use lynxtally_wal::Storage;
 use std::collections::BTreeMap;
@@ -12,7 +12,7 @@
     Lost,
     /// The first half survives.
     FirstHalfKept,
-    /// The file keeps its length, but the second half reads as zeros: the file system stored the length before the data.
+    /// The file keeps its length, but the second half of the unsynced bytes reads as zeros, as if only the length was stored.
     HalfZeroed,
     /// All bytes survive.
     Kept,
--- a/crates/testing/test-doubles/src/stream.rs
+++ b/crates/testing/test-doubles/src/stream.rs
@@ -19,7 +19,7 @@
     (offset.wrapping_mul(131) ^ (offset >> 8).wrapping_mul(17) ^ (offset >> 20)) as u8
 }
 
-/// The bytes of the object from `first` to before `end`.
+/// The bytes of the object at the offsets `first..end`.
 pub fn object_bytes(first: u64, end: u64) -> Vec<u8> {
     (first..end).map(object_byte).collect()
 }
@@ -220,7 +220,7 @@
         let _ = TcpStream::connect(self.address);
     }
 
-    /// The requests received so far. A request is listed once its body was read or given up.
+    /// The requests received so far. A request is listed when its body is complete, broken off or refused.
     pub fn received_requests(&self) -> Vec<ReceivedRequest> {
         lock(&self.state.requests).clone()
     }
@@ -401,7 +401,8 @@
         Self::from_stream(TcpStream::connect(address)?)
     }
 
-    /// Connects with a receive buffer of 4 KB, so that a server soon blocks if the client doesn't read.
+    /// Connects with a receive buffer near the smallest size that the system allows, so that the server's writes soon block if
+    /// the client doesn't read.
     pub fn connect_with_small_receive_buffer(address: SocketAddr) -> io::Result<Self> {
         let socket =
             socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
