--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -89,8 +89,8 @@
     }
 }
 
-/// The state of one connection to the executor: its output, the number of its last event, and the input of each run by
-/// request.
+/// The state of one connection from the node: the output stream, the number of the last event sent, and the input of
+/// each run by request id.
 struct Session {
     output: TcpStream,
     last_event: u64,
--- a/src/cost_model.rs
+++ b/src/cost_model.rs
@@ -7,7 +7,7 @@
     cost_secs: f64,
     /// Work of a run, in the unit of `Request::work`.
     work: f64,
-    /// Time of a run off the cores, waiting for calls or a core, in seconds.
+    /// Time that a run waits for calls or a core, in seconds.
     wait_secs: f64,
     observed: bool,
 }
@@ -26,7 +26,7 @@
     pub work: f64,
     /// Core time, in seconds.
     pub core_secs: f64,
-    /// Time off the cores, in seconds.
+    /// Time waiting for calls or a core, in seconds.
     pub wait_secs: f64,
 }
 
@@ -44,7 +44,7 @@
         work * self.0[class].cost_secs / self.0[class].work
     }
 
-    /// The expected time of a run off the cores, in seconds.
+    /// The expected time that a run waits for calls or a core, in seconds.
     pub fn wait_secs(&self, class: usize) -> f64 {
         self.0[class].wait_secs
     }
--- a/src/policy/arrival.rs
+++ b/src/policy/arrival.rs
@@ -26,8 +26,8 @@
         self.requests.insert_queued(id, request);
         self.learned.callers.observe(arrival.caller, LEARNING_GAIN);
         self.learned.receive_delay.observe(arrival.receive_delay, RECEIVE_DELAY_GAIN);
-        // Duplicates come first: an effect that may have happened is answered from its first run, never
-        // executed again or rejected, even in a shutdown or if the duplicate itself is not prepaid.
+        // Duplicates come first: if the effect may have happened, a duplicate gets the response of that run
+        // and is never executed again or rejected, even in a shutdown or if the duplicate is not prepaid.
         let is_duplicate = self.duplicates_started_request(arrival.duplicate, effect);
         if !arrival.prepaid && (effect == Effect::Idempotent || !is_duplicate) {
             let retry_after = self.settings.max_retry_after;
--- a/src/policy/call_budget.rs
+++ b/src/policy/call_budget.rs
@@ -1,13 +1,13 @@
-//! This backend's share of the concurrent calls that the shared dependency survives.
+//! This backend's share of the concurrent calls that the shared dependency can take.
 //!
-//! The dependency survives a given mean of concurrent calls over the averaging window. The call time of the
+//! The dependency can take a given mean of concurrent calls over the averaging window. The call time of the
 //! last window plus that of the calls in flight, each counted to its latest possible end downstream, stays
 //! under this backend's share of that mean, and only a fraction of it may be used in a burst. A lease bounds
 //! the calls in flight at each moment and the length of each instead, which bounds every mean as well.
 //!
-//! This covers a dependency that slows down for all backends at once, even during calls, which shows as
-//! timeouts at every backend and then its overload: each backend keeps to its share whatever the dependency
-//! does, and so does the sum. Drawback: a call may time out just before its reply.
+//! Without this, a dependency that slows down for all backends at once, even during calls, is overloaded by
+//! the calls that time out at every backend. As each backend keeps to its share, so does their sum, whatever
+//! the dependency does. Drawback: a call may time out just before its response.
 
 use super::learning::UNOBSERVED_COST_FRACTION;
 use crate::dependency_usage::DependencyUsage;
--- a/src/policy/call_retry.rs
+++ b/src/policy/call_retry.rs
@@ -2,8 +2,9 @@
 //!
 //! A call that may be retried times out after a multiple of the usual call time, doubled at each attempt;
 //! any other call gets all the time that its request has. A failed call is retried if its request is
-//! idempotent or the call was not executed, up to the attempt limit. A rejected call is no attempt: it costs
-//! far less than the run that would be lost. If a call can't be made, its request is degraded or fails.
+//! idempotent or the call was not executed, up to the attempt limit. A rejected call does not
+//! count as an attempt: it costs far less than the run that would be lost. If a call can't be made, its
+//! request is degraded or fails.
 
 use super::call_window::SLOW_CALL_FACTOR;
 use super::Policy;
@@ -35,7 +36,7 @@
         until - self.now
     }
 
-    /// The timeout of a call before the budget applies. Without it, a lost or endless reply would hold its
+    /// The timeout of a call before the budget applies. Without it, a lost or endless response would hold the
     /// run and its place in the call window for all the time left. Drawback: calls that suddenly slow down
     /// fail.
     pub(super) fn call_timeout(&self, id: RequestId) -> Span {
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -1,16 +1,16 @@
 //! Capacity of the machine.
 //!
-//! Two bounds apply. Throughput: the summed demand of running requests stays under the learned demand that
-//! keeps the cores full; a free core always takes one more. Safety: memory and the number of started
-//! requests stay under a safe fraction of what the machine survives, which is less on a cold machine and
-//! rises over a slow start. If the throughput is used up but the gauge shows idle cores, the queued request
-//! with the highest rate starts anyway, and the throughput rises to what then runs.
+//! Two bounds apply. Throughput: the total demand of running requests is at most the learned demand that
+//! keeps all cores busy; a free core always takes one more. Safety: memory and the number of started requests
+//! stay under a fraction of what the machine can take. A cold machine can take fewer started requests; their
+//! number rises over a slow start. If the throughput is used up but the gauge shows idle cores, the queued
+//! request with the highest rate starts anyway, and the throughput rises to the total demand that then runs.
 
 use super::learning::LEARNING_GAIN;
 use super::Policy;
 use crate::*;
 
-/// Fraction of the memory, and of the started requests that the machine survives, that is used at most.
+/// Largest fraction that is used of the memory, and of the started requests that the machine can take.
 const SAFE_FRACTION: f64 = 0.85;
 /// Cores count as idle below this CPU utilization.
 const IDLE_CPU_UTILIZATION: f64 = 0.92;
@@ -35,8 +35,8 @@
         usage.demand + demand <= self.learned.throughput.demand || usage.running < self.profile.cores
     }
 
-    /// Whether the machine survives the run of one more request, given its memory while queued. All started
-    /// requests count as on the cores, as all their calls may return at once.
+    /// Whether the machine can take the run of one more request that uses `queued_kb` while it is queued. All
+    /// started requests count as running, because all their calls may return at the same time.
     pub(super) fn is_safe_to_start(&self, queued_kb: f64) -> bool {
         let settings = &self.settings;
         let usage = self.requests.usage();
@@ -60,8 +60,8 @@
         (self.settings.cold_capacity_fraction * (1.0 - age) + age).min(1.0)
     }
 
-    /// Learns from a run that ended with all cores busy: the mean demand of running requests, times the
-    /// cores.
+    /// Learns from a run that ended while all cores were busy: the mean demand of the running requests times
+    /// the number of cores.
     pub(super) fn learn_throughput(&mut self, ended_demand: f64) {
         let usage = self.requests.usage();
         let demand = usage.demand + ended_demand;
--- a/src/policy/deadline.rs
+++ b/src/policy/deadline.rs
@@ -29,22 +29,22 @@
     }
 
     /// Expected wait for a call of this class in the call queue, in seconds. A run that can't make its call
-    /// in time wastes its core time, so this wait counts like the run queue's.
+    /// in time wastes its core time, so this wait counts like that in the run queue.
     fn call_queue_secs(&self, class: usize) -> f64 {
         let may_call = self.settings.classes[class].calls_downstream;
         let queued_calls = if may_call { self.requests.call_queue().len() } else { 0.0 };
         queued_calls * self.call_window.usual_call_secs / self.call_window.size
     }
 
-    /// Schedules the first check of a newly queued request, at the end of its full rate.
+    /// Schedules the first check of a newly queued request, at the time until which it keeps its full rate.
     pub(super) fn set_first_deadline_check(&mut self, id: RequestId) {
         let until_latest_start = self.latest_start(&self.requests[id]) - self.now;
         self.requests.set_timer(id, self.now, self.now + until_latest_start * FULL_RATE_FRACTION);
     }
 
     /// Rejects requests that are behind a long queue or can't respond in time, while another backend may.
-    /// This covers slow cores and backlogs of any cause, otherwise seen as late responses. Drawback: rejects
-    /// too many if the expected cost is too high.
+    /// Without this, slow cores and backlogs of any cause lead to late responses. Drawback: rejects too many
+    /// requests if the expected cost is too high.
     pub(super) fn reject_infeasible(&mut self) {
         let max_queue_secs = self.profile.mean_objective_secs * MAX_QUEUE_FRACTION;
         let mut work_ahead_secs = 0.0;
@@ -111,9 +111,9 @@
         }
     }
 
-    /// Rejects a queued request at its latest start. Before that, lowers its rate once: it may respond late
-    /// and waste its run, so a similar fresh one goes first. This covers long queues of any cause, otherwise
-    /// seen as runs cut off at their deadline. Drawback: a loss where costs hardly vary.
+    /// Rejects a queued request at its latest start. Before that, lowers its rate once, so that a similar new
+    /// request starts first: this one may respond late and waste its run. Without this, long queues of any
+    /// cause lead to runs that end at their deadline. Drawback: loses utility where costs hardly vary.
     fn check_queued(&mut self, id: RequestId) {
         let latest_start = self.latest_start(&self.requests[id]);
         if latest_start <= self.now {
--- a/src/policy/downstream_calls.rs
+++ b/src/policy/downstream_calls.rs
@@ -1,8 +1,8 @@
 //! Starts downstream calls.
 //!
 //! Waiting calls start in the order of their requests' rates, within three bounds: the call window, which
-//! follows signs of overload (`call_window`); the budget, this backend's share of what the dependency
-//! survives (`call_budget`); and a pause after the dependency rejected everything.
+//! follows signs of overload (`call_window`); the budget, this backend's share of the calls that the
+//! dependency can take (`call_budget`); and, at the smallest window, a pause after a call that was rejected.
 
 use super::learning::UNOBSERVED_COST_FRACTION;
 use super::Policy;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Starts a call, which counts until its latest possible end downstream, even if it is cancelled.
+    /// Starts a call. It counts as in use until its latest possible end downstream, even if it is cancelled.
     fn start_call(&mut self, id: RequestId, timeout: Span) {
         let call = &mut self.requests[id].call;
         call.started_at = self.now;
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -2,8 +2,8 @@
 //!
 //! This happens while the cores have spare time, far more connections are open than requests could run, and
 //! far more callers exist than connections. Otherwise idle callers fill the connection table, and connection
-//! attempts of other callers fail. In overload none are closed: no rejection is cheaper than a caller
-//! without a connection. Drawback: costly where a new connection is expensive.
+//! attempts of other callers fail. In overload none are closed: a caller that can't connect costs less than a
+//! rejection does. Drawback: costly where a new connection is expensive.
 
 use super::{Profile, TIMER_PERIOD_FRACTION};
 use crate::*;
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Handles the gauges, once a timer period. The idle time shrinks slowly to close no more connections
-    /// than needed: all at once would come back, at the cost of new ones. Drawback: they are freed slowly.
+    /// Handles the gauges, once a timer period. The idle time shrinks slowly, so that no more connections are
+    /// closed than needed: callers reopen them at a cost. Drawback: connections are freed slowly.
     pub fn update(&mut self, gauges: Gauges, settings: &Settings, profile: &Profile) {
         let utilization = gauges.cpu_utilization.unwrap_or(1.0);
         self.cpu_utilization +=
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -57,23 +57,23 @@
 
 impl Policy {
     /// The paper's demand: expected cost over latency objective, in cores. Uses the mean objective of all
-    /// classes because runs are not paced: one that may take longer loads the cores no less. Drawback: wrong
-    /// for paced runs.
+    /// classes, because runs are not paced: a run with a longer objective loads the cores as much as any
+    /// other. Drawback: wrong for paced runs.
     pub(super) fn demand(&self, class: usize, work: f64) -> f64 {
         let cost_secs = self.learned.costs.cost_secs(class, work);
         (cost_secs / self.profile.mean_objective_secs.max(MIN_DIVISOR_SECS)).max(1e-9)
     }
 
     /// Counts a request of the tenant, and returns the fraction of its utility that it is expected to keep.
-    /// The rate at other backends is unknown: the chance to be within the quota is quota over rate, both
-    /// here.
+    /// The tenant's rate at other backends is unknown, so the probability that the request is within the
+    /// quota is estimated as quota over rate, both of this backend.
     pub(super) fn expected_utility_fraction(&mut self, tenant: usize) -> f64 {
         self.learned.tenants.count(tenant);
         let within_quota = self.learned.tenants.covered_fraction(tenant);
         within_quota + (1.0 - within_quota) * self.settings.over_quota_utility_fraction
     }
 
-    /// The mean receive delay as a fraction of the saturated one, at most 1.
+    /// The mean receive delay as a fraction of the delay that counts as saturated, at most 1.
     pub(super) fn receive_saturation(&self) -> f64 {
         let saturated_secs = self.profile.mean_objective_secs * SATURATED_RECEIVE_DELAY_FRACTION;
         (self.learned.receive_delay.secs() / saturated_secs).min(1.0)
@@ -84,7 +84,7 @@
         Span::from_secs(self.learned.receive_delay.secs() * ATTEMPTS_BEFORE_RETRY)
     }
 
-    /// Updates the estimates with a run that ended with its own response.
+    /// Updates the estimates with a run that ended with a response.
     pub(super) fn learn_from_run(&mut self, id: RequestId) {
         let request = &self.requests[id];
         let costs = &mut self.learned.costs;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,8 +1,8 @@
 //! Starts queued requests.
 //!
 //! This is the greedy selection of the SLICE paper (docs/design.md): in the order of their rates, utility
-//! over demand, queued requests start until one doesn't fit under the learned throughput or the machine
-//! would not survive it (`capacity`). One that is not expected to respond in time is rejected or demoted
+//! over demand, queued requests start until one doesn't fit under the learned throughput or is more than
+//! the machine can take (`capacity`). One that is not expected to respond in time is rejected or demoted
 //! instead (`deadline`). If the queue itself exceeds the memory, the lowest rates are rejected.
 
 use super::final_response::RetryAdvice;
--- a/src/policy/shutdown.rs
+++ b/src/policy/shutdown.rs
@@ -1,8 +1,8 @@
 //! Graceful shutdown.
 //!
-//! From the notice on, health checks fail and no capacity is advertised. Requests that arrive within the
-//! grace may still start, later ones are rejected. All requests get their response before the process is
-//! killed: every deadline is moved to a margin before that moment.
+//! Once the shutdown has begun, health checks fail and no capacity is advertised. Requests that arrive within
+//! the drain grace may still start, later ones are rejected. Every request gets its response before the
+//! process is killed: later deadlines are moved to a margin before that time.
 
 use super::Policy;
 use crate::request::RequestState;
@@ -11,7 +11,7 @@
 /// A graceful shutdown in progress.
 #[derive(Clone, Copy)]
 pub(super) struct Shutdown {
-    /// Requests that arrive from here on are not started.
+    /// Requests that arrive from this time on are not started.
     pub admit_until: Instant,
     /// When the process is killed.
     pub deadline: Instant,
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -138,7 +138,7 @@
         self.started(request)
     }
 
-    /// Ends a run with its own response.
+    /// Reports that a run ended after it sent its response.
     pub fn end_run(&mut self, ms: u64, request: RequestId) {
         self.handle(ms, [Event::RunEnded(request, RunOutcome::Responded)]);
     }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -5,9 +5,9 @@
 
 /// Upper bound (exclusive) of the non-blank lines in all policy files.
 const TOTAL_LINES: usize = 1200;
-/// Most non-blank lines in one policy file.
+/// Maximum number of non-blank lines in one policy file.
 const MAX_FILE_LINES: usize = 400;
-/// Most characters in a line.
+/// Maximum number of characters in a line.
 const MAX_LINE_CHARS: usize = 110;
 
 /// The files that the deploy file lists under a key.
--- a/tests/policy/arrival.rs
+++ b/tests/policy/arrival.rs
@@ -90,8 +90,8 @@
         }
         let new = host.arrive_with(1700, 0, |a| a.prepaid = prepaid);
         assert!(host.rejected(new) && !host.started(new));
-        // An idempotent request that may share a response has no effect to protect: it has to be prepaid like any
-        // other.
+        // Executing an idempotent request again does no harm, so a duplicate of one is rejected like a new request if
+        // it is not prepaid.
         let read = host.arrive_with(1800, 1, |a| (a.duplicate, a.prepaid) = (Duplicate::OfReleased, prepaid));
         assert_eq!(host.rejected(read), !prepaid);
     }
