--- a/crates/core/coordination/src/budgets/mod.rs
+++ b/crates/core/coordination/src/budgets/mod.rs
@@ -16,10 +16,10 @@
 //! not expired (`holder`). The amount of a new lease is never larger than the outstanding amount of its holder plus
 //! the free units. A capacity that an operator has reduced is in force once enough leases have expired.
 //!
-//! Pauses: a node that was paused starts nothing under a lease that ended meanwhile, because its clock goes on during
-//! the pause and it reads the clock before it starts anything (`lynxtally-lease-client`). The units of a silent holder,
-//! suspected or not, are leased to others only after the lease duration, the longest time in flight, the clock drift
-//! and the pause margin have passed in this state (`safe_expiry`). A process whose name
+//! Pauses: a node that was paused starts nothing under a lease that expired during the pause, because its clock goes on
+//! during the pause and it reads the clock before it starts anything (`lynxtally-lease-client`). The units of a silent
+//! holder, suspected or not, are leased to others only after the lease duration, the longest time in flight, the clock
+//! drift and the pause margin have passed by the clock of the replicated state (`safe_expiry`). A process whose name
 //! another process has taken is fenced: it gets no new leases, and its leases stay outstanding until they expire.
 //!
 //! The division of the capacity among the holders ([`division`], `rotation`) affects only how well the capacity is
--- a/crates/core/engine/src/deduplication.rs
+++ b/crates/core/engine/src/deduplication.rs
@@ -80,13 +80,13 @@
         }
     }
 
-    /// Whether a request that arrived at this time and has the same key is checked against this entry.
+    /// Whether a request with the same key that arrived at `arrived_at` is compared with this entry.
     fn applies_to(&self, arrived_at: Instant) -> bool {
         !self.released || self.retained_until.is_some_and(|until| until > arrived_at)
     }
 
-    /// Whether no duplicate can be read any more. One that arrived while the key was retained may be read up to
-    /// `max_receive_delay` later.
+    /// Whether the entry is no longer needed, because every duplicate that arrived while the key was retained has been
+    /// read: a request is read at most `max_receive_delay` after it arrived on this machine.
     fn is_expired(&self, now: Instant, max_receive_delay: Span) -> bool {
         self.released && self.retained_until.is_none_or(|until| until + max_receive_delay <= now)
     }
--- a/crates/core/routes/src/plan/problem.rs
+++ b/crates/core/routes/src/plan/problem.rs
@@ -53,7 +53,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::DimensionMismatch { class } => {
-                write!(f, "class {class} needs one core time per pool and one number of calls per dependency")
+                write!(
+                    f,
+                    "class {class} does not have one core time per pool and one call count per dependency"
+                )
             }
             Self::InvalidClass { class } => {
                 write!(f, "class {class} has a value that is negative or not finite")
--- a/crates/core/wal/src/frame.rs
+++ b/crates/core/wal/src/frame.rs
@@ -9,7 +9,7 @@
 const HEADER_BYTES: usize = 4 + 4 + 8;
 /// A frame with longer content counts as damaged. The limit is checked on reading only; writers stay far below it.
 const MAX_CONTENT_BYTES: usize = 256 << 20;
-/// A number that is this far above the expected one does not belong to the log: the bytes are no frame.
+/// Bytes whose frame number would be this far above the expected one are not a frame of the log.
 const MAX_NUMBER_GAP: u64 = 1 << 32;
 
 /// A complete frame whose CRC matches.
--- a/crates/lynxtally-coordinator/src/leader.rs
+++ b/crates/lynxtally-coordinator/src/leader.rs
@@ -70,7 +70,7 @@
         metrics.current_leader
     }
 
-    /// The highest log index that another coordinator acknowledged to this one while this one leads; 0 if unknown.
+    /// The highest log index that the given coordinator acknowledged to this one; 0 if unknown or if this one does not lead.
     pub fn acknowledged_index(&self, coordinator: u64) -> u64 {
         self.acknowledged_indexes().get(&coordinator).copied().unwrap_or(0)
     }
@@ -167,7 +167,7 @@
             let leads = self.leading_term().is_some();
             if leads != was_leading {
                 was_leading = leads;
-                info!(leads, "this coordinator gained or lost the leadership");
+                info!(leads, "this coordinator's leadership changed; `leads` is whether it leads now");
                 self.reset_suspicion(leads);
             }
             if !leads || !self.state.read(|state| state.needs_ticks()) {
@@ -181,7 +181,7 @@
     }
 
     /// Starts a new failure detector when this replica becomes the leader. A new leader has received no requests yet and
-    /// must not suspect anybody for that.
+    /// must not suspect any member because of that.
     fn reset_suspicion(&self, leads: bool) {
         let shortest_lease =
             self.state.read(|state| state.budgets().map(|(_, budget)| budget.terms.lease_duration_us).min());
--- a/crates/lynxtally-coordinator/src/net/state_report.rs
+++ b/crates/lynxtally-coordinator/src/net/state_report.rs
@@ -4,7 +4,7 @@
 use lynxtally_coordination::{CoordinationState, Member};
 use serde_json::{json, Map, Value};
 
-/// The complete report.
+/// The report on the whole replicated state, with the number of the coordinator that leads.
 pub(super) fn report(leader: Option<u64>, state: &CoordinationState) -> Value {
     json!({ "leader": leader, "register": report_state(state) })
 }
--- a/crates/lynxtally-coordinator/src/startup.rs
+++ b/crates/lynxtally-coordinator/src/startup.rs
@@ -5,8 +5,8 @@
 //! replicated state how much of the log each replica acknowledged, and a replica asks the other coordinators for this when
 //! it starts. With an older copy the coordinator ends with the error "this is an older copy".
 //!
-//! The check does not detect the loss of entries that were acknowledged after the last tick, or that only replicas know
-//! of which do not respond.
+//! The check does not detect the loss of entries that were acknowledged after the last tick, or of entries that are known
+//! only to replicas that do not respond.
 
 use crate::net::{self, AcknowledgedIndex, StartupCheck};
 use crate::settings::Settings;
--- a/crates/lynxtally-node/src/event_loop/executor.rs
+++ b/crates/lynxtally-node/src/event_loop/executor.rs
@@ -122,7 +122,7 @@
             Command::Start { id, class: self.classes[work.class].clone(), body: work.body.clone() }
         };
         self.counters.runs.increment();
-        debug!(id = work.id, "run started");
+        debug!(id = work.id, "run started or resumed");
         self.send(work, command);
     }
 
@@ -138,7 +138,12 @@
         if work.call.is_none() {
             error!(id = work.id, "downstream call not started: no coroutine could be allocated");
         }
-        debug!(id = work.id, number, timeout_ms = timeout.micros() / 1000, "downstream call started");
+        debug!(
+            id = work.id,
+            number,
+            timeout_ms = timeout.micros() / 1000,
+            "tried to start a downstream call"
+        );
         work.call.is_some()
     }
 
--- a/crates/lynxtally-node/tests/documented_settings.rs
+++ b/crates/lynxtally-node/tests/documented_settings.rs
@@ -1,5 +1,5 @@
-//! The configuration file: each key that docs/configuration.md documents outside `settings` sets its field, in its
-//! unit.
+//! The configuration file: each key that docs/configuration.md documents outside `settings` sets the field of [`Config`]
+//! that it stands for, and its value is read in the documented unit.
 
 use lynxtally_node::config::{self, Config};
 use std::time::Duration;
--- a/crates/lynxtally-node/tests/fleet.rs
+++ b/crates/lynxtally-node/tests/fleet.rs
@@ -190,7 +190,7 @@
 }
 
 /// A node is killed with long calls in flight and restarted at once under the same name. The new process must get its
-/// part of the budget only after the calls of the killed process must have ended.
+/// part of the budget only after the latest time at which a call of the killed process can still be running.
 #[test]
 fn a_node_killed_with_calls_in_flight_and_restarted_at_once_waits_for_them() {
     let dependency = TestDependency::start(Duration::from_millis(30));
--- a/crates/lynxtally-node/tests/races.rs
+++ b/crates/lynxtally-node/tests/races.rs
@@ -1,5 +1,6 @@
-//! Races between bytes, responses, signals and timers on the one hand, and reads, responses, closes and handovers on
-//! the other. docs/design/crossings.md lists the races; each test forces one of them.
+//! Races between an event from outside (bytes from a peer, the response to a call, a signal, a timer) and a step of the
+//! node (a read, the write of a response, a close, a handover). docs/design/crossings.md lists the races; each test
+//! forces one of them.
 
 mod doubles;
 use doubles::{config, id, request, wait_until, Addresses, Behavior, Client, Exit, TestNode};
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -42,7 +42,7 @@
     None,
     /// A dependency that all backends share.
     Shared {
-        /// This backend's share of the mean number of concurrent calls that the dependency survives.
+        /// This backend's share of the mean number of concurrent calls that the dependency can take.
         concurrent_calls: f64,
         /// The window of that mean.
         averaging_window: Span,
@@ -61,7 +61,8 @@
 pub enum CapacityFormat {
     /// No capacity is advertised.
     None,
-    /// A threshold: callers send no requests here whose placement is below it.
+    /// A threshold from 0 to 1. Callers give each request a placement in this range, and send no request here whose
+    /// placement is below the threshold.
     Threshold,
     /// The number of requests that each caller may have in flight here.
     Credits,
@@ -87,9 +88,9 @@
     pub cold_capacity_fraction: f64,
     /// How long after its start a cold backend is warm at the latest.
     pub warmup_time: Span,
-    /// The number of running requests a core that a warm backend survives.
+    /// The number of running requests per core that a warm backend can take.
     pub max_running_per_core: f64,
-    /// The time after the shutdown notice within which arriving requests may still be started.
+    /// How long after the start of a graceful shutdown arriving requests may still be started.
     pub drain_grace: Span,
     /// The request classes. A request refers to its class by index.
     pub classes: Vec<RequestClass>,
