--- a/crates/core/coordination/src/budgets/rotation.rs
+++ b/crates/core/coordination/src/budgets/rotation.rs
@@ -23,7 +23,7 @@
     #[serde(rename = "having")]
     turn_since_us: BTreeMap<u64, u64>,
     /// The deficit of each incarnation, in thousandths of a unit times seconds. It grows by the holder's fraction of a
-    /// unit while the holder has no extra unit, and shrinks by the rest of the unit while it has one.
+    /// unit while the holder has no extra unit, and shrinks by 1 minus that fraction while it has one.
     #[serde(rename = "owed")]
     deficits: BTreeMap<u64, i64>,
     #[serde(rename = "now", with = "serde_instant")]
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Ends the oldest turns: those that have reached their full length, but no more than there are holders waiting. If
-    /// there are more turns than `units`, ends at least as many as there are too many.
+    /// Ends the oldest turns: those that have reached their full length, but no more of them than there are holders
+    /// waiting. If there are more turns than `units`, at least the excess turns end.
     fn end_turns(&mut self, now: Instant, lease_duration: Span, units: usize, waiting: usize) {
         let turn_us = (lease_duration * TURN_LEASE_DURATIONS).micros();
         let now_us = to_micros(now);
--- a/crates/core/coordination/src/schemas/mod.rs
+++ b/crates/core/coordination/src/schemas/mod.rs
@@ -141,9 +141,9 @@
         let mut conflicts = Vec::new();
         for (version, names) in self.versions_still_read(schema.version, readers) {
             let Some(older) = self.in_force.get(&version) else { continue };
-            let verdict = check_compatibility(&schema.fields, &older.fields);
+            let compatibility = check_compatibility(&schema.fields, &older.fields);
             let names = names.join(", ");
-            for conflict in verdict.conflicts {
+            for conflict in compatibility.conflicts {
                 conflicts.push(format!("{conflict}; version {version}, read by {names}"));
             }
         }
--- a/crates/core/coordination/src/serde_instant.rs
+++ b/crates/core/coordination/src/serde_instant.rs
@@ -1,4 +1,4 @@
-//! Serializes an [`Instant`] in logs and snapshots as an integer: the microseconds since the clock's zero.
+//! Serializes an [`Instant`] in logs and snapshots as an integer: the microseconds since the clock's origin.
 
 use lynxtally::Instant;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/crates/core/engine/src/lib.rs
+++ b/crates/core/engine/src/lib.rs
@@ -1,9 +1,10 @@
 //! The request engine that every frontend is built on.
 //!
 //! The engine connects a frontend, a [`Scheduler`] and an executor. It holds the scheduler, the table of request ids, the
-//! open requests and all timers, and it counts that each request read gets exactly one final response. It reads no clock
-//! and does no I/O. The frontend's event loop (the driver) reports events with their time, an [`Executor`] runs requests,
-//! and a [`Responder`] delivers their final responses. The same code therefore serves real sockets and simulated time.
+//! open requests and all timers, and it counts requests and responses, so that an operator can check that each request
+//! gets exactly one final response. It reads no clock and does no I/O. The frontend's event loop (the driver) reports
+//! events with their time, an [`Executor`] runs requests, and a [`Responder`] delivers their final responses. The same
+//! code therefore serves real sockets and simulated time.
 //!
 //! A driver repeats these steps:
 //!
--- a/crates/core/lease-client/src/client.rs
+++ b/crates/core/lease-client/src/client.rs
@@ -20,8 +20,8 @@
 const DEMAND_RENEWAL_PERIODS: f64 = 1.0 / RENEWAL_FRACTION;
 /// The longest renewal period, in response timeouts. Long leases are renewed this often too, because demand changes.
 const MAX_RENEWAL_PERIOD_TIMEOUTS: f64 = 3.0;
-/// Renewals are sent earlier, and retries later, by a random fraction of up to this, so that nodes that started together do
-/// not send in lockstep.
+/// Renewals are sent earlier, and retries later, by a random fraction of up to this value, so that nodes that started
+/// together do not send at the same times.
 const JITTER: f64 = 0.25;
 
 /// The leases and reservations of one node, and its session with the coordinators.
--- a/crates/core/membership/src/membership.rs
+++ b/crates/core/membership/src/membership.rs
@@ -64,8 +64,8 @@
         let new = Member::new(now, &observation);
         let Observation { name, address, source, capacity, zone, draining } = observation;
         let member = self.members.entry(name).or_insert_with(|| new.clone());
-        let silenced = matches!(member.state, MemberState::Removed | MemberState::Suspect);
-        if source < member.source && !silenced {
+        let is_suspect_or_removed = matches!(member.state, MemberState::Removed | MemberState::Suspect);
+        if source < member.source && !is_suspect_or_removed {
             return;
         }
         // With another address, or after its removal, the member is a new process, for which nothing has been learned.
@@ -256,7 +256,7 @@
         desired
     }
 
-    /// The fraction of its capacity that a member's weight is; none if the member is not in the view.
+    /// A member's weight as a fraction of its capacity; none if the member is not in the view.
     fn weight_fraction(&self, now: Instant, member: &Member) -> Option<f64> {
         match member.state {
             MemberState::Ready => Some(1.0),
--- a/crates/core/membership/src/views.rs
+++ b/crates/core/membership/src/views.rs
@@ -60,9 +60,9 @@
     pub rate_window: Span,
     /// A view has at least this fraction of the number of members of the previous view.
     pub min_kept_fraction: f64,
-    /// How long no view is published after a restart, unless enough members of the last view are known again before.
+    /// How long no view is published after a restart, unless enough members of the last view are known again earlier.
     pub restart_hold: Span,
-    /// The fraction of the last view's members that must be known again to end this time early.
+    /// The fraction of the last view's members that must be known again to end `restart_hold` early.
     pub restart_known_fraction: f64,
 }
 
--- a/crates/core/wal/src/lib.rs
+++ b/crates/core/wal/src/lib.rs
@@ -9,7 +9,7 @@
 //! empty log file; [`WriteAheadLog::write_snapshot`] adds its snapshot later. Appends therefore never wait for a
 //! snapshot, and a crash at any step leaves a snapshot and all log files after it.
 //!
-//! # What goes wrong
+//! # Incomplete writes and damage
 //!
 //! Every entry carries its number, its length and a CRC-32C over number and content. An incomplete write at the end of the
 //! newest log file ([`TornTail`]) was never acknowledged and is truncated. Anything else that can't be read is reported
--- a/crates/frontends/net/src/fair_yield.rs
+++ b/crates/frontends/net/src/fair_yield.rs
@@ -54,7 +54,7 @@
         Ok(fair_yield)
     }
 
-    /// Waits until all other connections with pending events had a chance to run, or until another event of the socket.
+    /// Waits until all other connections with pending events have had a chance to run, or until the socket has an event.
     pub fn yield_on(&self, socket: &Socket) {
         let mut waiting = lock(&self.0.waiting);
         let is_first = waiting.is_empty();
--- a/crates/lynxtally-adapter/src/fleet.rs
+++ b/crates/lynxtally-adapter/src/fleet.rs
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// Records that a backend has to decide at the end of the batch, once however many events it got.
+    /// Records that a backend has to decide at the end of the batch. It decides once, however many events it got.
     fn mark_pending(&mut self, instance: u64) {
         let Some(backend) = self.backends.get_mut(&instance) else { return };
         if !backend.has_events {
--- a/crates/lynxtally-adapter/tests/exchange.rs
+++ b/crates/lynxtally-adapter/tests/exchange.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// The adapter reads each message of the simulator by its wire names, and writes the replies with theirs.
+/// The adapter reads each message of the simulator, and writes its own messages, with the wire names of the protocol.
 #[test]
 fn every_message_of_the_protocol_is_read() {
     let out = run(&[
--- a/crates/lynxtally-coordinator/src/coordinator.rs
+++ b/crates/lynxtally-coordinator/src/coordinator.rs
@@ -19,7 +19,8 @@
 
 /// The number of heartbeats that the leader sends in one election timeout.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: u32 = 5;
-/// Each election timeout is drawn at random between the configured one and this many times it, which makes split votes rare.
+/// Each election timeout is drawn at random between the configured one and this multiple of it, which makes split votes
+/// rare.
 const MAX_ELECTION_TIMEOUT_FACTOR: f64 = 2.0;
 /// The timeout for installing a snapshot, in election timeouts.
 const INSTALL_SNAPSHOT_ELECTION_TIMEOUTS: u64 = 10;
--- a/crates/lynxtally-coordinator/src/lib.rs
+++ b/crates/lynxtally-coordinator/src/lib.rs
@@ -1,5 +1,5 @@
-//! A coordinator: one of 1, 3 or 5 Raft replicas that agree on one log of commands, and so on the leases and reservations that
-//! nodes get.
+//! A coordinator: one of 1, 3 or 5 Raft replicas that agree on one log of commands, and thus on the leases and
+//! reservations that nodes get.
 //!
 //! openraft replicates the commands. [`store`] keeps its log in the project's write-ahead log and its snapshots in a
 //! checksummed file. The replicated state machine is that of `lynxtally-coordination`. Nodes and operators send the
--- a/crates/lynxtally-coordinator/tests/cluster.rs
+++ b/crates/lynxtally-coordinator/tests/cluster.rs
@@ -290,7 +290,7 @@
     let nodes = start_nodes(&cluster, 0, 3, &audit);
     wait_until("the whole capacity is leased", || total_leased(&nodes) == CAPACITY);
     let leader = cluster.leader();
-    // Restarted with a limit on the size of files (`ulimit -f`), which makes writes fail as a full disk does.
+    // The leader is restarted with a limit on the size of files (`ulimit -f`), which makes writes fail as a full disk does.
     cluster.kill(leader);
     let script = cluster.folder.0.join("small");
     let lines =
@@ -302,7 +302,8 @@
     let log = cluster.folder.0.join(format!("log{leader}"));
     cluster.processes[leader] = Some(Process::start("sh", &script, &log));
     cluster.leader();
-    // Each request adds an entry to its log until the limit is reached, whether or not it leads.
+    // Each request adds an entry to the log of the restarted coordinator, whether or not it leads, until its log
+    // reaches the limit.
     let mut process = cluster.processes[leader].take().expect("the coordinator runs");
     let ended = std::thread::spawn(move || process.wait_for_success());
     let mut number = 0;
--- a/crates/lynxtally-settings/src/document.rs
+++ b/crates/lynxtally-settings/src/document.rs
@@ -1,7 +1,7 @@
 //! The settings object as it is in the JSON. Only this module uses its key names and values.
 //!
-//! Operators search logs for the serde error texts, so `expecting` keeps the struct names that these texts have always
-//! had.
+//! Operators search logs for the serde error texts. The `expecting` attributes therefore keep the struct names that these
+//! texts had before the structs were renamed.
 
 use crate::millis::Millis;
 use serde::Deserialize;
@@ -33,7 +33,7 @@
     1.0
 }
 
-/// What the utility of a class is earned per.
+/// Whether a class earns its utility per request, or per unit of a request's expected work.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub(crate) enum UtilityUnit {
     #[serde(rename = "request")]
--- a/crates/lynxtally-settings/tests/documented_settings.rs
+++ b/crates/lynxtally-settings/tests/documented_settings.rs
@@ -1,4 +1,5 @@
-//! Checks that each key of docs/configuration.md is read into its setting, in its unit.
+//! Checks that each key of docs/configuration.md sets the setting that it stands for, and that its value is read in the
+//! documented unit.
 
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
 use lynxtally_settings::{read, BackendSettings};
--- a/crates/lynxtally-settings/tests/documents.rs
+++ b/crates/lynxtally-settings/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Checks what each key of the settings object becomes, and the text of each error.
+//! Checks which setting each key of the settings object sets, and the text of each error.
 
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
 use serde_json::{json, Value};
--- a/src/action.rs
+++ b/src/action.rs
@@ -11,7 +11,7 @@
 pub enum Action {
     /// Start a queued request, or resume a stopped one.
     Start(RequestId),
-    /// Take a running request off the cores.
+    /// Stop a running request, so that it uses no core.
     Stop(RequestId),
     /// Send the final response that the request was rejected. The caller may send it again elsewhere: it was never
     /// started, or may be executed again.
--- a/src/dependency_usage.rs
+++ b/src/dependency_usage.rs
@@ -27,7 +27,7 @@
     recent_call_secs: Option<SlidingSum>,
     /// Call time beyond the sustained use, in seconds: a leaky bucket that drains at `sustained_calls`.
     burst_secs: f64,
-    /// Concurrent calls that don't count as a burst.
+    /// The number of concurrent calls up to which the use doesn't count as a burst.
     sustained_calls: f64,
     /// Expected number of cancelled calls that still run downstream, decaying over the cancellation lag.
     cancelled: f64,
--- a/src/policy/advertise.rs
+++ b/src/policy/advertise.rs
@@ -15,7 +15,7 @@
 const MAX_RESIDENCE_FRACTION: f64 = 0.3;
 /// A dominant class multiplies that bound by this, so that there are more requests to choose from.
 const DOMINANT_RESIDENCE_FACTOR: f64 = 2.0;
-/// Least target concurrency a core with a dominant class, whatever its requests cost.
+/// Lower bound of the target concurrency per core with a dominant class, whatever its requests cost.
 const DOMINANT_MIN_PER_CORE: f64 = 4.0;
 /// Highest threshold advertised outside a shutdown.
 const MAX_THRESHOLD: f64 = 0.5;
@@ -52,15 +52,15 @@
         ((caller_concurrency * CREDIT_STEPS).round() / CREDIT_STEPS).max(1.0)
     }
 
-    /// Present requests over the target concurrency.
+    /// The number of present requests divided by the target concurrency.
     fn occupancy(&self) -> f64 {
         let requests = self.requests.usage().started + self.requests.run_queue().len();
         requests / self.target_concurrency().max(1.0)
     }
 
-    /// The number of requests that should be here (Little's law), less as the receive delay grows: reading
-    /// costs core time even for rejected requests, so unread ones show that callers send too much, whatever
-    /// the cause. Drawback: a short pause reduces it until the advertised capacity expires.
+    /// The number of requests that this backend should have (Little's law). It falls as the receive delay
+    /// grows: reading costs core time even for rejected requests, so unread ones show that callers send too
+    /// many, whatever the cause. Drawback: a short pause reduces it until the advertised capacity expires.
     fn target_concurrency(&self) -> f64 {
         let cores = self.profile.cores;
         let cost_secs = self.learned.costs.mean_cost_secs();
--- a/src/policy/call_budget.rs
+++ b/src/policy/call_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! The dependency can take a given mean of concurrent calls over the averaging window. The call time of the
 //! last window plus that of the calls in flight, each counted to its latest possible end downstream, stays
-//! under this backend's share of that mean, and only a fraction of it may be used in a burst. A lease bounds
+//! within this backend's share of that mean, and only a part of it may be used in a burst. A lease bounds
 //! the calls in flight at each moment and the length of each instead, which bounds every mean as well.
 //!
 //! Without this, a dependency that slows down for all backends at once, even during calls, is overloaded by
--- a/src/policy/final_response.rs
+++ b/src/policy/final_response.rs
@@ -43,8 +43,8 @@
     }
 
     /// Handles a caller that stopped waiting. A request that was not started ends. A run goes on, because
-    /// duplicates may get its result, unless it waits for a call: that is not made, and the executor ends
-    /// the run.
+    /// duplicates may get its result, unless it waits for a call: the call is not made, and the
+    /// executor ends the run.
     pub(super) fn caller_gone(&mut self, id: RequestId) {
         self.requests[id].response_owed = false;
         self.requests.leave_queue(id);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -59,8 +59,8 @@
     timer_period: Span,
     /// The mean latency objective of all classes, in seconds.
     mean_objective_secs: f64,
-    /// One class is worth far more than the mean. Callers that are told to hold off reject requests of every
-    /// class, which then loses more utility than reading all requests here costs.
+    /// Whether one class has far more utility than the mean. Callers that are told to hold off reject
+    /// requests of every class; then that loses more utility than it costs to read all requests here.
     has_dominant_class: bool,
 }
 
--- a/tests/policy/call_retry.rs
+++ b/tests/policy/call_retry.rs
@@ -3,8 +3,8 @@
 use crate::host::{two_core_settings, FakeHost};
 use lynxtally::*;
 
-/// A reply is lost. Without a timeout, its run and its place in the call window are held for all the time that the
-/// request has.
+/// The response to a call is lost. Without a timeout, the run and the call's place in the call window are held for all
+/// the time that the request has.
 #[test]
 fn a_call_without_a_reply_times_out_after_several_times_the_usual_time() {
     let mut host = FakeHost::new(Settings { downstream: Downstream::Tier, ..two_core_settings() });
