--- a/crates/core/coordination/src/wallets/mod.rs
+++ b/crates/core/coordination/src/wallets/mod.rs
@@ -150,7 +150,8 @@
                 return report.account;
             }
             Some(settled) => {
-                // The policy has already decided about the units that the node reports now, so they are only counted.
+                // The wallet's policy has already decided about the units that the node reports now, so they are only
+                // counted.
                 self.balances.reported_late += report.spent.saturating_sub(settled.spent);
                 self.accounts.remove(&report.account);
             }
--- a/crates/lynxtally-adapter/src/backend.rs
+++ b/crates/lynxtally-adapter/src/backend.rs
@@ -21,7 +21,7 @@
     actions: Vec<Action>,
     /// The message of a panic in the policy. After a panic the policy gets no more events.
     panic: Option<String>,
-    /// Whether the backend got an event in the current batch and has not decided yet.
+    /// Whether the backend was started or got an event in the current batch, and has not decided yet.
     pub has_events: bool,
 }
 
@@ -51,8 +51,8 @@
         Ok(())
     }
 
-    /// The policy's event for a message; `None` for a request whose id was released, because the event has no effect
-    /// then.
+    /// The policy's event for a message. `None` if the message starts or stops a batch or a backend, or if it concerns a
+    /// request whose id was released, because the event would have no effect.
     fn event(&mut self, incoming: Incoming) -> Result<Option<Event>, MessageError> {
         Ok(match incoming {
             Incoming::Arrived(arrived) => Some(Event::Arrived(self.arrival(&arrived)?)),
--- a/crates/lynxtally-adapter/src/fleet.rs
+++ b/crates/lynxtally-adapter/src/fleet.rs
@@ -44,7 +44,7 @@
 #[derive(Default)]
 struct Fleet {
     backends: BTreeMap<u64, Backend>,
-    /// Backends that got an event in the current batch, in the order of their first event.
+    /// Backends that were started or got an event in the current batch, in the order of the first of these.
     pending: Vec<u64>,
     /// The time of the current batch; `None` between batches.
     batch_time: Option<Instant>,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Makes each backend that got an event decide, and ends the batch's output.
+    /// Makes each backend that was started or got an event decide, and ends the batch's output.
     fn decide_pending(&mut self, now: Instant, output: &mut impl Write) -> io::Result<()> {
         let mut write = |outgoing: &Outgoing| -> io::Result<()> {
             serde_json::to_writer(&mut *output, outgoing)?;
--- a/crates/lynxtally-coordinator/src/main.rs
+++ b/crates/lynxtally-coordinator/src/main.rs
@@ -50,7 +50,8 @@
         Err(_) => LevelFilter::INFO,
     };
     let settings = settings::read(Path::new(path))?;
-    // openraft logs each of its steps at level info. They are logged only if a more verbose level than info is set.
+    // openraft logs each of its steps at level info. These lines are written only if a more verbose level than info is
+    // set.
     let openraft_level = if level > LevelFilter::INFO { level } else { level.min(LevelFilter::WARN) };
     let levels = Targets::new().with_default(level).with_target("openraft", openraft_level);
     let log_layer = tracing_subscriber::fmt::layer().with_writer(std::io::stderr).with_ansi(false);
--- a/crates/lynxtally-coordinator/src/suspicion.rs
+++ b/crates/lynxtally-coordinator/src/suspicion.rs
@@ -1,5 +1,5 @@
 //! The leader's failure detector for members. Suspicion determines only whose demand counts when budgets are divided; it
-//! never revokes a lease. A member that is suspected for an hour without interruption is removed, and has to join again.
+//! never revokes a lease. A suspected member that has sent no request for an hour is removed, and has to join again.
 
 use lynxtally::{Instant, Span};
 use lynxtally_coordination::Member;
--- a/crates/lynxtally-node/src/downstream/connection.rs
+++ b/crates/lynxtally-node/src/downstream/connection.rs
@@ -55,7 +55,7 @@
                 break;
             }
             if let IdleEnd::Closed = self.wait_for_call(idle) {
-                // A call may have arrived at the same time; the next iteration makes it on a new connection.
+                // A call may have arrived while the connection closed; the next iteration makes it on a new connection.
                 connection = None;
                 self.handle.detach();
                 self.remove_from_pool();
--- a/crates/lynxtally-node/src/event_loop/mod.rs
+++ b/crates/lynxtally-node/src/event_loop/mod.rs
@@ -131,7 +131,7 @@
     pub fn new(config: Config, parts: EventLoopParts) -> Self {
         let mut engine = Engine::new(config.resource_limits().retained_result_bytes);
         engine.set_timer(Instant::default(), TimerKind::CloseExpired);
-        // The HTTP codec rejects requests that arrived earlier than this.
+        // The HTTP codec rejects requests that arrived longer ago than the longest deadline of a class.
         let max_deadline_ms = RequestSchema::new(&config.backend).max_deadline_ms;
         engine.set_max_receive_delay(Span::from_millis(max_deadline_ms));
         let classes = config.backend.class_names.clone();
--- a/crates/lynxtally-node/src/http/headers.rs
+++ b/crates/lynxtally-node/src/http/headers.rs
@@ -145,7 +145,8 @@
                 None => checked(None, schema.tenants.is_empty(), TENANT)?,
             },
             client: number(headers.client, CLIENT)?,
-            // Both values are capped at the longest deadline of any class, since no client waits longer than that.
+            // The deadline and the expected work are capped at the longest deadline of any class, since no client waits
+            // longer than that.
             deadline_ms: time_left_ms.map(|left| arrived_ms + left.min(max_deadline_ms) as u64),
             expected_work_ms: expected_work_ms
                 .map(|work| work.min(max_deadline_ms))
--- a/crates/lynxtally-node/src/listener/accept_loop.rs
+++ b/crates/lynxtally-node/src/listener/accept_loop.rs
@@ -35,7 +35,9 @@
     pub fn accept(self: &Arc<Self>, socket: TcpListener) {
         let socket = match CoIo::new(socket) {
             Ok(socket) => socket,
-            Err(error) => return warn!(%error, "failed to register the listening socket for I/O"),
+            Err(error) => {
+                return warn!(%error, "failed to register the listening socket for I/O; no client can connect")
+            }
         };
         *lock(&self.waker) = Some(socket.waker());
         let mut accepted_in_a_row = 0;
