--- a/crates/core/coordination/src/command.rs
+++ b/crates/core/coordination/src/command.rs
@@ -22,7 +22,7 @@
 pub struct TimestampedCommand {
     /// The term in which the leader knew that it was the leader, before it read its clock.
     pub term: u64,
-    /// The leader's clock, read after the request had arrived. The clock is monotonic, goes on while the machine is
+    /// The leader's clock, read after the request had arrived. The clock is monotonic, keeps counting while the machine is
     /// suspended, and has an arbitrary origin. Stored in microseconds.
     #[serde(rename = "at", with = "serde_instant")]
     pub leader_clock: Instant,
--- a/crates/core/coordination/src/wallets/mod.rs
+++ b/crates/core/coordination/src/wallets/mod.rs
@@ -24,7 +24,7 @@
 /// If a wallet has more accounts than this, settled accounts are evicted, oldest first.
 const MAX_ACCOUNTS: usize = 4096;
 /// A renewal grants at most the balance divided by this number and by the number of nodes that share the wallet, unless
-/// a single request costs more. This keeps the last units from being stranded on nodes that don't use them.
+/// a single request costs more. Otherwise the last units could stay on nodes that don't use them.
 const BALANCE_SHARE_DIVISOR: u64 = 4;
 
 /// The number of units of a wallet in each category. `bought` is the sum of `balance`, `reserved`, `charged` and
--- a/crates/core/lease-client/tests/recorded_exchange.rs
+++ b/crates/core/lease-client/tests/recorded_exchange.rs
@@ -202,7 +202,8 @@
                 nodes[1].leaving = true;
                 nodes[1].client.leave();
             }
-            // Another process takes the name of the third node, which keeps sending requests and is told so.
+            // Another process takes the name of the third node, which keeps sending requests and is told that it was
+            // replaced.
             160 => nodes.push(node("n3", 9, world.now_us)),
             // The first node sends nothing for longer than its leases last.
             200 => nodes[0].responses.clear(),
--- a/crates/lynxtally-coordinator/src/net/server.rs
+++ b/crates/lynxtally-coordinator/src/net/server.rs
@@ -113,8 +113,9 @@
     Json(server.state.read(|state| state_report::report(leader, state))).into_response()
 }
 
-/// Handles the startup check of another coordinator. Returns the larger of two indexes: the one in the replicated state, as of
-/// the last tick, and the one that the other coordinator has acknowledged to this one if this one leads.
+/// Handles the startup check of another coordinator. Returns the highest log index that the other coordinator is known to
+/// have acknowledged: the index in the replicated state, as of the last tick, or, if this replica leads, a higher index
+/// acknowledged to this replica.
 async fn startup_check(State(server): State<ServerState>, body: Bytes) -> Response {
     match serde_json::from_slice::<StartupCheck>(&body) {
         Err(error) => bad_request(&error),
--- a/crates/lynxtally-coordinator/src/startup.rs
+++ b/crates/lynxtally-coordinator/src/startup.rs
@@ -35,8 +35,8 @@
     Ok(())
 }
 
-/// The highest index that, as the other coordinators report, this replica acknowledged. Waits for so many responses that
-/// the responding coordinators and this one form a majority.
+/// The highest index that this replica acknowledged, as reported by the other coordinators. Waits until the coordinators
+/// that responded and this one form a majority.
 async fn max_acknowledged_index(settings: &Settings) -> u64 {
     let needed = settings.coordinators.len() / 2;
     let others = settings.coordinators.len() - 1;
--- a/crates/lynxtally-node/tests/races.rs
+++ b/crates/lynxtally-node/tests/races.rs
@@ -215,7 +215,7 @@
     };
     assert!(client.start_call(call(1, Instant::now())).is_some());
     assert!(matches!(call_end(), CallEnd::NoResponse { written: false, .. }));
-    // The same on a pooled connection: it gets a call that has timed out after one that succeeded.
+    // The same on a pooled connection: after a call that succeeded, it gets one that has already timed out.
     assert!(client.start_call(call(2, Instant::now() + Duration::from_secs(20))).is_some());
     let mut pooled = loop {
         let mut accepted = Client::new(listener.accept().expect("accept a connection").0);
--- a/crates/testing/fault-injection/src/lib.rs
+++ b/crates/testing/fault-injection/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`process`]: processes that a test can kill, pause and restart.
 //! - [`test_node`]: a node that consists of a lease client only. It records its leases in a [`lease_audit`], which sums the
 //!   leases of all nodes.
-//! - [`test_dependency`]: a dependency that counts the calls in flight, whatever their callers believe.
+//! - [`test_dependency`]: a dependency that counts the calls in flight, independently of the callers' own counts.
 
 #![forbid(unsafe_code)]
 
--- a/examples/toy.rs
+++ b/examples/toy.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// The dependency: replies to each call with the call's body after `CALL_TIME`.
+/// The dependency: responds to each call with the call's body after `CALL_TIME`.
 fn serve_calls(connection: TcpStream) -> Result<()> {
     let mut reader = BufReader::new(connection.try_clone()?);
     let mut connection = connection;
--- a/src/dependency_usage.rs
+++ b/src/dependency_usage.rs
@@ -1,5 +1,5 @@
-//! This backend's past and present use of its dependency, as the dependency sees it: a call that was cancelled here
-//! goes on there for the cancellation lag.
+//! This backend's past and present use of its dependency, counted as at the dependency: a call that this backend
+//! cancelled keeps running there for the cancellation lag.
 //!
 //! Call time is the number of calls in flight summed over time: two calls of one second each are two seconds.
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// How long the dependency goes on with a call that was cancelled here.
+    /// How long a call that this backend cancelled keeps running at the dependency.
     pub fn cancellation_lag(&self) -> Span {
         self.cancellation_lag
     }
--- a/src/policy/advertise.rs
+++ b/src/policy/advertise.rs
@@ -80,8 +80,8 @@
         (run_secs * RESIDENCE_FACTOR).min(max_residence_secs)
     }
 
-    /// Retry-After of a rejection: the time to drain the queue. Zero with a dominant class, whose requests
-    /// would otherwise be kept away with the rest.
+    /// Retry-After of a rejection: the time to drain the queue. Zero with a dominant class, because
+    /// callers that hold off would hold off its requests too.
     pub(super) fn retry_after(&mut self) -> Span {
         let longest = self.settings.max_retry_after;
         if self.shutdown.is_some() {
--- a/src/policy/arrival.rs
+++ b/src/policy/arrival.rs
@@ -106,7 +106,7 @@
 
     /// Retains the idempotency key by which duplicates of this request are recognized. Returns false if a
     /// required key doesn't fit in memory: a duplicate would look new, and both could run. An idempotent
-    /// request that gets no key goes on; its response is just not shared.
+    /// request that gets no key is still accepted; its response is not shared.
     fn retain_key(&mut self, id: RequestId, coalescable: bool, arrived_at: Instant) -> bool {
         let request = &self.requests[id];
         let coalescing_window = self.settings.coalescing_window;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -180,8 +180,8 @@
         self.learned.receive_delay.advance(elapsed_secs);
     }
 
-    /// Replaces the settings' quotas by leased ones. Work begun under larger quotas goes on; no more begins
-    /// until it fits under the new ones.
+    /// Replaces the settings' quotas by leased ones. Work that was started under larger quotas
+    /// continues; no more is started until it fits the new ones.
     fn apply_quotas(&mut self, quotas: LeasedQuotas) {
         self.call_budget.lease = quotas.calls;
         self.learned.tenants.set_quotas(&quotas.tenants);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -46,7 +46,7 @@
         concurrent_calls: f64,
         /// The window of that mean.
         averaging_window: Span,
-        /// How long the dependency goes on with a call that was cancelled here.
+        /// How long a call that this backend cancelled keeps running at the dependency.
         cancellation_lag: Span,
     },
     /// Another tier of backends.
--- a/tests/policy/call_budget.rs
+++ b/tests/policy/call_budget.rs
@@ -16,7 +16,7 @@
     assert_eq!(calls_started, 1, "the safe fraction of a share of two has room for one call");
 }
 
-/// The dependency goes on with calls that were cancelled here. When new calls replaced them at once, the cancelled
+/// Calls that the backend cancelled keep running at the dependency. When new calls replaced them at once, the cancelled
 /// calls overloaded the dependency.
 #[test]
 fn cancelled_calls_count_as_in_flight_until_they_end_downstream() {
@@ -122,8 +122,8 @@
     }
 }
 
-/// The dependency stops replying, for all backends at once, during calls. Each backend's timeouts were sound on their
-/// own, but the sum of the calls overloaded the dependency.
+/// The dependency stops responding, for all backends at once, during calls. The timeouts were right for each backend
+/// alone, but the sum of the calls overloaded the dependency.
 #[test]
 fn the_mean_of_calls_to_a_dependency_that_slows_down_stays_within_the_share() {
     for share in [0.35, 0.41, 0.7, 0.95, 1.2, 2.5] {
