--- a/crates/lynxtally-coordinator/src/startup.rs
+++ b/crates/lynxtally-coordinator/src/startup.rs
@@ -5,8 +5,8 @@
 //! replicated state how much of the log each replica acknowledged, and a replica asks the other coordinators for this when
 //! it starts. With an older copy the coordinator ends with the error "this is an older copy".
 //!
-//! The check does not detect the loss of entries that were acknowledged after the last tick, or that only replicas know
-//! of which do not respond.
+//! The check does not detect the loss of entries that were acknowledged after the last tick, or of entries that are known
+//! only to replicas that do not respond.
 
 use crate::net::{self, AcknowledgedIndex, StartupCheck};
 use crate::settings::Settings;
@@ -35,8 +35,8 @@
     Ok(())
 }
 
-/// The highest index that, as the other coordinators report, this replica acknowledged. Waits for so many responses that
-/// the responding coordinators and this one form a majority.
+/// The highest index that this replica acknowledged, as reported by the other coordinators. Waits until the coordinators
+/// that responded and this one form a majority.
 async fn max_acknowledged_index(settings: &Settings) -> u64 {
     let needed = settings.coordinators.len() / 2;
     let others = settings.coordinators.len() - 1;
--- a/crates/lynxtally-node/tests/races.rs
+++ b/crates/lynxtally-node/tests/races.rs
@@ -1,5 +1,6 @@
-//! Races between bytes, responses, signals and timers on the one hand, and reads, responses, closes and handovers on
-//! the other. docs/design/crossings.md lists the races; each test forces one of them.
+//! Races between an event from outside (bytes from a peer, the response to a call, a signal, a timer) and a step of the
+//! node (a read, the write of a response, a close, a handover). docs/design/crossings.md lists the races; each test
+//! forces one of them.
 
 mod doubles;
 use doubles::{config, id, request, wait_until, Addresses, Behavior, Client, Exit, TestNode};
@@ -214,7 +215,7 @@
     };
     assert!(client.start_call(call(1, Instant::now())).is_some());
     assert!(matches!(call_end(), CallEnd::NoResponse { written: false, .. }));
-    // The same on a pooled connection: it gets a call that has timed out after one that succeeded.
+    // The same on a pooled connection: after a call that succeeded, it gets one that has already timed out.
     assert!(client.start_call(call(2, Instant::now() + Duration::from_secs(20))).is_some());
     let mut pooled = loop {
         let mut accepted = Client::new(listener.accept().expect("accept a connection").0);
--- a/src/dependency_usage.rs
+++ b/src/dependency_usage.rs
@@ -1,5 +1,5 @@
-//! This backend's past and present use of its dependency, as the dependency sees it: a call that was cancelled here
-//! goes on there for the cancellation lag.
+//! This backend's past and present use of its dependency, counted as at the dependency: a call that this backend
+//! cancelled keeps running there for the cancellation lag.
 //!
 //! Call time is the number of calls in flight summed over time: two calls of one second each are two seconds.
 
@@ -27,7 +27,7 @@
     recent_call_secs: Option<SlidingSum>,
     /// Call time beyond the sustained use, in seconds: a leaky bucket that drains at `sustained_calls`.
     burst_secs: f64,
-    /// Concurrent calls that don't count as a burst.
+    /// The number of concurrent calls up to which the use doesn't count as a burst.
     sustained_calls: f64,
     /// Expected number of cancelled calls that still run downstream, decaying over the cancellation lag.
     cancelled: f64,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// How long the dependency goes on with a call that was cancelled here.
+    /// How long a call that this backend cancelled keeps running at the dependency.
     pub fn cancellation_lag(&self) -> Span {
         self.cancellation_lag
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -59,8 +59,8 @@
     timer_period: Span,
     /// The mean latency objective of all classes, in seconds.
     mean_objective_secs: f64,
-    /// One class is worth far more than the mean. Callers that are told to hold off reject requests of every
-    /// class, which then loses more utility than reading all requests here costs.
+    /// Whether one class has far more utility than the mean. Callers that are told to hold off reject
+    /// requests of every class; then that loses more utility than it costs to read all requests here.
     has_dominant_class: bool,
 }
 
@@ -180,8 +180,8 @@
         self.learned.receive_delay.advance(elapsed_secs);
     }
 
-    /// Replaces the settings' quotas by leased ones. Work begun under larger quotas goes on; no more begins
-    /// until it fits under the new ones.
+    /// Replaces the settings' quotas by leased ones. Work that was started under larger quotas
+    /// continues; no more is started until it fits the new ones.
     fn apply_quotas(&mut self, quotas: LeasedQuotas) {
         self.call_budget.lease = quotas.calls;
         self.learned.tenants.set_quotas(&quotas.tenants);
