--- a/crates/testing/experiment/src/check.rs
+++ b/crates/testing/experiment/src/check.rs
@@ -178,7 +178,7 @@
     checks.push(Check {
         what: "service with half of a list dead and no other try".to_owned(),
         known: 0.5,
-        found: outcome.service(),
+        found: outcome.utility_ratio(),
         borne: 0.02,
     });
     checks
--- a/crates/testing/experiment/src/lib.rs
+++ b/crates/testing/experiment/src/lib.rs
@@ -61,13 +61,13 @@
     };
     Record {
         cell: cell.clone(),
-        service: outcome.service(),
+        service: outcome.utility_ratio(),
         requests: outcome.requests,
         attempts_per_request: attempts / outcome.requests.max(1) as f64,
         rejected_fraction: outcome.rejected as f64 / attempts.max(1.0),
         mean_latency: outcome.mean_latency,
         latency_99: outcome.latency_99,
-        service_by_second: outcome.service_by_second,
+        service_by_second: outcome.utility_ratio_by_second,
         violations: outcome.violations.records.iter().map(describe).collect(),
         events: outcome.events,
     }
--- a/crates/testing/simulator/src/coordination/mod.rs
+++ b/crates/testing/simulator/src/coordination/mod.rs
@@ -11,4 +11,4 @@
 mod simulation;
 
 pub use scenario::{DemandPattern, FaultKind, Scenario, ScheduledFault};
-pub use simulation::{run, AllocationRule, CapacityExceeded, Figures};
+pub use simulation::{run, AllocationRule, CapacityExceeded, RunStatistics};
--- a/crates/testing/simulator/src/coordination/simulation.rs
+++ b/crates/testing/simulator/src/coordination/simulation.rs
@@ -16,14 +16,14 @@
     /// By leases.
     Leases,
     /// Each node has an equal part for good; of units that do not go round the first nodes have one.
-    StaticParts,
+    EqualShares,
     /// As one that sees everything at once would.
     Omniscient,
 }
 
 /// What came of a run.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Figures {
+pub struct RunStatistics {
     /// Calls that were started in each window of 100 ms.
     pub started_per_window: Vec<u64>,
     /// Calls that were requested.
@@ -102,7 +102,7 @@
     in_flight: u64,
     /// Calls that were started, also those that have not arrived downstream.
     started: u64,
-    figures: Figures,
+    figures: RunStatistics,
 }
 
 /// The longest time that a message takes, in microseconds.
@@ -119,7 +119,7 @@
 ///
 /// # Errors
 /// More calls were in flight downstream than the capacity.
-pub fn run(scenario: &Scenario, rule: AllocationRule) -> Result<Figures, CapacityExceeded> {
+pub fn run(scenario: &Scenario, rule: AllocationRule) -> Result<RunStatistics, CapacityExceeded> {
     let mut random = Pcg::new(scenario.seed ^ 0x5eed);
     let coordinators = Coordinators::new(&mut random, scenario.terms, scenario.real_drift_ppm);
     let top = scenario.nodes.div_ceil(10);
@@ -154,7 +154,7 @@
         pool: VecDeque::new(),
         in_flight: 0,
         started: 0,
-        figures: Figures::default(),
+        figures: RunStatistics::default(),
     };
     simulation.run()
 }
@@ -169,7 +169,7 @@
         -mean * (1.0 - self.random.unit()).ln()
     }
 
-    fn run(&mut self) -> Result<Figures, CapacityExceeded> {
+    fn run(&mut self) -> Result<RunStatistics, CapacityExceeded> {
         for node in 0..self.scenario.nodes {
             self.start(node);
             self.schedule_request(node);
@@ -303,7 +303,7 @@
     fn static_part(&self, at: usize) -> Option<u64> {
         let (nodes, capacity) = (self.scenario.nodes as u64, self.scenario.terms.capacity);
         let part = capacity / nodes + u64::from((at as u64) < capacity % nodes);
-        (self.rule == AllocationRule::StaticParts).then_some(part)
+        (self.rule == AllocationRule::EqualShares).then_some(part)
     }
 
     /// The omniscient rule starts the first call that waits as soon as there is room downstream.
--- a/crates/testing/simulator/src/outcome.rs
+++ b/crates/testing/simulator/src/outcome.rs
@@ -25,7 +25,7 @@
     /// The same of the 99th percentile.
     pub latency_99: f64,
     /// Utility earned over utility offered, by second of birth.
-    pub service_by_second: Vec<f64>,
+    pub utility_ratio_by_second: Vec<f64>,
     /// Invariants that were violated.
     pub violations: Violations,
     /// The largest mean of calls under way to the dependency, over what it survives.
@@ -36,7 +36,7 @@
 
 impl Outcome {
     /// Utility earned over offered.
-    pub fn service(&self) -> f64 {
+    pub fn utility_ratio(&self) -> f64 {
         self.earned_utility / self.offered_utility.max(1e-9)
     }
 }
@@ -100,7 +100,7 @@
         self.outcome.latency_99 = self.latencies.get(rank_99).map_or(0.0, |latency| f64::from(*latency));
         let service =
             |second: &SecondUtility| if second.offered > 0.0 { second.earned / second.offered } else { 0.0 };
-        self.outcome.service_by_second = self.seconds.iter().map(service).collect();
+        self.outcome.utility_ratio_by_second = self.seconds.iter().map(service).collect();
         self.outcome
     }
 }
