--- a/crates/testing/simulator/src/coordination/mod.rs
+++ b/crates/testing/simulator/src/coordination/mod.rs
@@ -1,7 +1,7 @@
-//! Coordination in simulated time: the real state machine and the real lease clients, hundreds of them, with clocks that
-//! drift apart, messages that are lost, repeated and late, coordinators that change their leader or are gone, and nodes
-//! that are paused, cut off, killed and started again. A dependency counts what is in flight there, and the sum is
-//! checked at every event.
+//! Simulation of leases in a fleet of up to hundreds of nodes: the real coordination state machine and the real lease clients
+//! in simulated time. Clocks drift apart; messages are lost, duplicated and delayed; coordinators change their leader or
+//! stop; nodes are paused, partitioned, killed and restarted. The simulated dependency counts the calls in flight from all
+//! nodes. If leases limit the calls, that sum is checked against the capacity at every event.
 
 mod clock;
 mod coordinators;
--- a/crates/testing/simulator/src/cores.rs
+++ b/crates/testing/simulator/src/cores.rs
@@ -1,110 +1,112 @@
-//! The cores of a node: requests share them alike (processor sharing), and crowding slows them down. With n requests on c
-//! cores each gets min(1, c/n) of a core; past a threshold of requests a core all of them slow down, as memory, caches and
-//! switching cost more. A cold node is slow at first.
+//! Model of a node's CPU cores, used as the [`Executor`] of a simulated node. Running requests share the cores equally
+//! (processor sharing): with n requests on c cores each request gets min(1, c/n) of a core. Above a threshold of requests
+//! per core every request slows down, because memory, cache misses and context switches cost more. A cold node starts at a
+//! fraction of its speed and speeds up linearly until it is warm.
 
 use lynxtally::{Instant, RequestId, Span};
 use lynxtally_engine::Executor;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A model of a node's cores.
+/// Parameters of a node's cores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MachineModel {
-    /// How many cores.
+    /// Number of cores.
     pub cores: u32,
-    /// From so many requests a core on they slow each other down.
+    /// Running requests per core above which requests slow each other down.
     pub crowding_threshold: f64,
-    /// By so much for each further request a core: the speed is 1 / (1 + slope x excess).
+    /// Slowdown for each request per core above the threshold: the speed is 1 / (1 + slope x excess).
     pub crowding_slope: f64,
-    /// A cold node begins with this part of its speed.
+    /// Fraction of the full speed at which a cold node starts.
     pub cold_speed: f64,
-    /// And is warm after this.
+    /// Time from a cold start until the node reaches its full speed.
     pub warmup_time: Span,
 }
 
-/// A request's work, as it comes to a node.
+/// The work that a request causes on its node and on the dependency.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestWork {
-    /// The client's request.
+    /// Index of the client request that this request is an attempt of.
     pub client_request: u32,
-    /// Work on a core of its own, in seconds.
+    /// Time that the request takes on a core that it doesn't share, in seconds.
     pub work: f64,
-    /// Work of the downstream call that it makes half way, in seconds; zero where it makes none.
+    /// Work of the downstream call that the request makes after half of its own work, in seconds; zero if it makes none.
     pub call: f64,
 }
 
-/// A run that began, for the check of the invariants.
+/// A run that the scheduler started. The simulation checks the invariants for each of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedRun {
-    /// The request on its node.
+    /// Id of the request on its node.
     pub request: RequestId,
-    /// The client's request that it is an attempt of.
+    /// Index of the client request that the request is an attempt of.
     pub client_request: u32,
 }
 
-/// A downstream call that is to be made.
+/// A downstream call that the scheduler started and the simulation has to send to the dependency.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StartedCall {
-    /// The request that makes it.
+    /// The request that makes the call.
     pub request: RequestId,
-    /// The call's number on its node.
+    /// Number of the call, unique on its node.
     pub number: u64,
-    /// Its work, in seconds.
+    /// Work of the call, in seconds.
     pub work: f64,
 }
 
-/// Why a run leaves the cores.
+/// Why a run stopped using the cores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunPause {
-    /// It is over.
+    /// All of its work is done.
     Done,
-    /// It is ready to make its call.
+    /// The first half of its work is done and its downstream call comes next.
     AtCall,
 }
 
-/// What follows a run's call.
+/// The state of a run that has a downstream call to make.
 #[derive(Clone, Copy, Debug)]
 struct AfterCall {
-    /// Work that is left after it, in seconds.
+    /// Work that is left after the call, in seconds.
     work: f64,
-    /// Whether the call is under way.
+    /// Whether the call is in flight.
     calling: bool,
 }
 
 /// The cores of one node.
 pub struct Cores {
     machine: MachineModel,
-    /// Work that a request running since the start would have had, in seconds; a run is over once its own end is reached.
+    /// Work done so far by a hypothetical request that has been running since the start, in seconds (the virtual time of
+    /// processor sharing). A run ends when this reaches the run's entry in `ends`.
     work_per_run: f64,
-    /// The running requests by their end, in nanoseconds of work.
+    /// Running requests, ordered by the value of `work_per_run` at which each ends, in nanoseconds.
     ends: BTreeSet<(u64, RequestId)>,
     end_of: BTreeMap<RequestId, u64>,
-    /// Requests with a call to make.
+    /// Requests whose downstream call has not succeeded yet.
     after_call: BTreeMap<RequestId, AfterCall>,
     now: Instant,
     cold_since: Option<Instant>,
-    /// The part of its speed that a fault leaves.
+    /// Fraction of the full speed that an injected fault leaves; 1 without a fault.
     pub speed: f64,
     busy_seconds: f64,
     busy_since: Instant,
-    /// The gauges were asked for.
+    /// Whether the scheduler requested gauges since the last reset of this flag.
     pub gauges_requested: bool,
-    /// Runs that began.
+    /// Runs that were started and not yet taken by the simulation.
     pub started_runs: Vec<StartedRun>,
-    /// Calls that are to be made.
+    /// Calls that were started and not yet taken by the simulation.
     pub started_calls: Vec<StartedCall>,
-    /// Calls that were cancelled, by their numbers.
+    /// Numbers of cancelled calls not yet taken by the simulation.
     pub cancelled_calls: Vec<u64>,
 }
 
-/// Ends are counted in nanoseconds of work, so that they can be ordered.
+/// Ends are whole nanoseconds of work, because floating-point numbers can't be keys of an ordered set.
 const NANOS_PER_SECOND: f64 = 1e9;
-/// Time is counted in microseconds: work that ends less than one away has ended.
-const TIME_STEP: f64 = 1e-6;
-/// While a node warms up its speed changes: its next end is computed anew so many times.
+/// Resolution of simulated time, in seconds: work that ends within one microsecond counts as ended.
+const TIME_STEP_SECONDS: f64 = 1e-6;
+/// The speed of a node changes while it warms up, so its next end is recomputed this many times during the warm-up.
 const WARMUP_STEPS: f64 = 50.0;
 
 impl Cores {
-    /// Cores without requests.
+    /// Creates cores without running requests.
     pub fn new(machine: MachineModel, now: Instant, cold: bool) -> Self {
         Self {
             machine,
@@ -124,12 +126,12 @@
         }
     }
 
-    /// How many requests run.
+    /// Number of running requests.
     pub fn running(&self) -> usize {
         self.ends.len()
     }
 
-    /// The speed of one run, in seconds of work a second.
+    /// Speed of each run, in seconds of work per second.
     fn rate(&self) -> f64 {
         let (running, cores) = (self.ends.len() as f64, f64::from(self.machine.cores));
         let excess = (running / cores - self.machine.crowding_threshold).max(0.0);
@@ -141,7 +143,7 @@
         shared * warmth * self.speed / (1.0 + self.machine.crowding_slope * excess)
     }
 
-    /// Time passes.
+    /// Credits the running requests with the work done until `now`.
     pub fn advance(&mut self, now: Instant) {
         if now <= self.now {
             return;
@@ -154,7 +156,8 @@
         self.now = now;
     }
 
-    /// When the next run ends, if nothing changes; sooner while the node warms up, as its speed changes.
+    /// When the next run ends if no run starts or stops before. While the node warms up, the result is at most one warm-up step
+    /// ahead, because the speed changes.
     pub fn next_end(&self) -> Option<Instant> {
         let (end, _) = self.ends.first()?;
         let left = (*end as f64 / NANOS_PER_SECOND - self.work_per_run).max(0.0) / self.rate().max(1e-9);
@@ -164,10 +167,10 @@
         Some(self.now + Span::from_micros((left * 1e6).ceil() as u64))
     }
 
-    /// The runs that have left the cores by now.
+    /// Removes and returns the runs that stopped using the cores by `now`.
     pub fn take_paused(&mut self, now: Instant) -> Vec<(RequestId, RunPause)> {
         self.advance(now);
-        let reached = ((self.work_per_run + TIME_STEP) * NANOS_PER_SECOND) as u64;
+        let reached = ((self.work_per_run + TIME_STEP_SECONDS) * NANOS_PER_SECOND) as u64;
         let mut paused = Vec::new();
         while let Some(&(end, request)) = self.ends.first().filter(|(end, _)| *end <= reached) {
             self.ends.remove(&(end, request));
@@ -184,19 +187,19 @@
         self.end_of.insert(request, end);
     }
 
-    /// A run goes on after its call.
+    /// Continues a run after its downstream call, or without the call if the run is degraded.
     pub fn resume(&mut self, request: RequestId) {
         if let Some(after) = self.after_call.remove(&request) {
             self.run_for(request, after.work);
         }
     }
 
-    /// A call failed: its run is ready to make it again.
+    /// Records that a call failed. Its run can make the call again.
     pub fn call_failed(&mut self, request: RequestId) {
         self.after_call.entry(request).and_modify(|after| after.calling = false);
     }
 
-    /// Ends a run that is ready to make its call and has none under way; tells whether it was so.
+    /// Drops a run that waits to make its call and has no call in flight. Returns whether the run was dropped.
     pub fn drop_at_call(&mut self, request: RequestId) -> bool {
         let on_cores = self.end_of.contains_key(&request);
         let waits = self.after_call.get(&request).is_some_and(|after| !after.calling);
@@ -207,7 +210,7 @@
         dropped
     }
 
-    /// How busy the cores were since this was last asked.
+    /// Mean utilization of the cores since the previous call of this method.
     pub fn take_utilization(&mut self, now: Instant) -> f64 {
         self.advance(now);
         let elapsed = (now - self.busy_since).secs().max(1e-6);
--- a/crates/testing/simulator/src/event_queue.rs
+++ b/crates/testing/simulator/src/event_queue.rs
@@ -1,15 +1,17 @@
-//! The queue of future events: a radix heap. Simulated time only goes forward, so what comes out is never earlier than
-//! what came out before; then each event moves down a bucket at most once for each bit of time. Source: R. K. Ahuja,
-//! K. Mehlhorn, J. B. Orlin, R. E. Tarjan, "Faster Algorithms for the Shortest Path Problem" (1990). Of events due at
-//! the same instant the first pushed comes out first.
+//! The queue of future events, a radix heap. It relies on simulated time being monotonic: no event is due earlier than the
+//! last event that was popped, so each event moves to a lower bucket at most once per bit of its time. Events due at the
+//! same instant are popped in the order in which they were pushed. Source: R. K. Ahuja, K. Mehlhorn, J. B. Orlin,
+//! R. E. Tarjan, "Faster Algorithms for the Shortest Path Problem" (1990).
 
-/// Future events by their time.
+/// A monotone priority queue of events, ordered by time.
 #[derive(Clone, Debug)]
 pub struct EventQueue<T> {
-    /// Bucket 0 holds what is due `now`; bucket n what differs from it first in bit n - 1.
+    /// Bucket 0 holds the events due at `now`; bucket n holds those whose time differs from `now` in bit n - 1 and in no
+    /// higher bit.
     buckets: Vec<Vec<(u64, T)>>,
-    /// Where in bucket 0 the next event is.
+    /// Index of the next event in bucket 0.
     next_in_first: usize,
+    /// Time of the events in bucket 0.
     now: u64,
     length: usize,
 }
@@ -21,12 +23,12 @@
 }
 
 impl<T: Copy> EventQueue<T> {
-    /// How many there are.
+    /// Number of events in the queue.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether there is none.
+    /// Whether the queue has no events.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
@@ -35,7 +37,7 @@
         (64 - (at ^ self.now).leading_zeros()) as usize
     }
 
-    /// Adds an event. What is due before the present is due now.
+    /// Adds an event. An event with a time before that of the last popped event is due immediately.
     pub fn push(&mut self, at: u64, event: T) {
         let at = at.max(self.now);
         let bucket = self.bucket(at);
@@ -43,7 +45,7 @@
         self.length += 1;
     }
 
-    /// Takes the next event out.
+    /// Removes and returns the event with the earliest time.
     pub fn pop(&mut self) -> Option<(u64, T)> {
         if self.length == 0 {
             return None;
@@ -52,14 +54,14 @@
             self.buckets[0].clear();
             self.next_in_first = 0;
             let bucket = self.buckets.iter().position(|bucket| !bucket.is_empty())?;
-            // The order within a bucket is that in which events were pushed, and stays so as they move down.
+            // Events of a bucket are in the order in which they were pushed. Moving them in order keeps it.
             let moved = std::mem::take(&mut self.buckets[bucket]);
             self.now = moved.iter().map(|(at, _)| *at).min()?;
             for (at, event) in &moved {
                 let bucket = self.bucket(*at);
                 self.buckets[bucket].push((*at, *event));
             }
-            // Its capacity is used again.
+            // Keeps the allocation of the emptied bucket for later events.
             let mut moved = moved;
             moved.clear();
             if self.buckets[bucket].is_empty() {
--- a/crates/testing/simulator/src/lib.rs
+++ b/crates/testing/simulator/src/lib.rs
@@ -1,7 +1,8 @@
-//! A fleet in simulated time. Nodes are the real [`lynxtally_engine::Engine`] with lynxtally's policy, or a baseline,
-//! inside; round them are models, each with its source named: cores ([`cores`]), work ([`work_distribution`]), sidecars
-//! ([`sidecar`]), the dependency ([`dependency`]), links and faults ([`world`]). A run is described by a [`scenario`] and
-//! ends in an [`outcome`]. Invariants are checked on every run ([`violations`]); the same seed gives the same run.
+//! Discrete-event simulation of a fleet of nodes. Each node runs the real [`lynxtally_engine::Engine`] with lynxtally's
+//! policy or a baseline scheduler. Everything else is a model: cores ([`cores`]), work ([`work_distribution`]), sidecars
+//! ([`sidecar`]), the dependency ([`dependency`]), links and faults ([`world`]). A [`scenario`] describes a simulation, and
+//! an [`outcome`] holds its results. Every simulation checks the invariants ([`violations`]). The same scenario and seed
+//! always give the same events. [`coordination`] simulates leases and coordinators separately.
 
 #![forbid(unsafe_code)]
 
--- a/crates/testing/simulator/src/outcome.rs
+++ b/crates/testing/simulator/src/outcome.rs
@@ -1,63 +1,64 @@
-//! What came of a run, and how it is measured while the run goes on.
+//! The results of a simulation, and the measurements taken during it.
 
 use crate::violations::Violations;
 use lynxtally::{RequestClass, Span};
 
-/// What came of a run.
+/// The results of a simulation. Requests created during the warm-up are left out of all fields except `violations`,
+/// `peak_dependency_load` and `events`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// The clients' requests that count.
+    /// Client requests created after the warm-up.
     pub requests: u64,
-    /// The utility that they offered.
+    /// Sum of the utilities of these requests.
     pub offered_utility: f64,
-    /// The utility earned.
+    /// Utility earned by results: the full utility within the latency objective, a fraction of it until the deadline.
     pub earned_utility: f64,
-    /// Requests with a result within their latency objective.
+    /// Requests that got a result within their latency objective.
     pub within_objective: u64,
-    /// Attempts.
+    /// Attempts that sidecars sent, including the first of each request.
     pub attempts: u64,
     /// Attempts that were rejected.
     pub rejected: u64,
     /// Attempts that failed.
     pub failed: u64,
-    /// Seconds from a request's birth to its result, in the mean.
+    /// Mean time from the creation of a request to its result, in seconds.
     pub mean_latency: f64,
-    /// The same of the 99th percentile.
+    /// 99th percentile of the same time, in seconds.
     pub latency_99: f64,
-    /// Utility earned over utility offered, by second of birth.
+    /// Earned utility divided by offered utility, for the requests created in each second of the simulation.
     pub utility_ratio_by_second: Vec<f64>,
-    /// Invariants that were violated.
+    /// Invariants that were violated, over the whole simulation.
     pub violations: Violations,
-    /// The largest mean of calls under way to the dependency, over what it survives.
+    /// Largest mean number of calls in flight at the dependency, divided by the limit on that mean.
     pub peak_dependency_load: f64,
-    /// Simulated events.
+    /// Number of events that were simulated.
     pub events: u64,
 }
 
 impl Outcome {
-    /// Utility earned over offered.
+    /// Earned utility divided by offered utility.
     pub fn utility_ratio(&self) -> f64 {
         self.earned_utility / self.offered_utility.max(1e-9)
     }
 }
 
-/// Utility of the requests born in one second.
+/// Utility of the requests created in one second.
 #[derive(Clone, Copy, Debug, Default)]
 struct SecondUtility {
     earned: f64,
     offered: f64,
 }
 
-/// The outcome as it builds up.
+/// Collects the outcome while the simulation runs.
 pub(crate) struct Measurements {
     pub outcome: Outcome,
-    /// Latencies of results, in seconds.
+    /// Latency of each result, in seconds.
     latencies: Vec<f32>,
     seconds: Vec<SecondUtility>,
 }
 
 impl Measurements {
-    /// Nothing measured yet, of a run of this length.
+    /// Creates empty measurements for a simulation in which requests arrive for `duration`.
     pub fn new(duration: Span) -> Self {
         let seconds = duration.secs().ceil() as usize + 1;
         Self {
@@ -67,15 +68,15 @@
         }
     }
 
-    /// A request that counts was born.
-    pub fn born(&mut self, at_micros: u64, utility: f64) {
+    /// Records the creation of a request after the warm-up.
+    pub fn record_created(&mut self, created_micros: u64, utility: f64) {
         self.outcome.requests += 1;
         self.outcome.offered_utility += utility;
-        self.seconds[second_of(at_micros)].offered += utility;
+        self.seconds[second_of(created_micros)].offered += utility;
     }
 
-    /// A request that counts has its result after so long.
-    pub fn completed(&mut self, born_micros: u64, latency: Span, class: &RequestClass) {
+    /// Records the result of a request that was created after the warm-up.
+    pub fn record_completed(&mut self, created_micros: u64, latency: Span, class: &RequestClass) {
         let within_objective = latency <= class.latency_objective;
         let earned = if within_objective {
             class.utility
@@ -86,11 +87,11 @@
         };
         self.outcome.earned_utility += earned;
         self.outcome.within_objective += u64::from(within_objective);
-        self.seconds[second_of(born_micros)].earned += earned;
+        self.seconds[second_of(created_micros)].earned += earned;
         self.latencies.push(latency.secs() as f32);
     }
 
-    /// The outcome at the end of the run.
+    /// Computes the outcome at the end of the simulation.
     pub fn finish(mut self) -> Outcome {
         self.latencies.sort_unstable_by(f32::total_cmp);
         let count = self.latencies.len().max(1);
--- a/crates/testing/simulator/src/scenario.rs
+++ b/crates/testing/simulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario: the fleet, its load, and the faults that happen to it.
+//! The input of a simulation: the fleet, its load and the injected faults.
 
 use crate::cores::MachineModel;
 use crate::dependency::DependencyModel;
@@ -10,93 +10,93 @@
 
 /// The scheduler of a node.
 pub type BoxedScheduler = Box<dyn Scheduler + Send>;
-/// Makes the scheduler of each node; the number is its seed.
+/// Creates the scheduler of a node from its settings, its seed and the current time.
 pub type MakeScheduler<'a> = &'a dyn Fn(&Settings, u64, Instant) -> BoxedScheduler;
 
 /// The load of a request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassLoad {
-    /// What the scheduler is told of the class.
+    /// Settings of the class that the scheduler gets.
     pub class: RequestClass,
-    /// Its fraction of all requests, over the sum of these.
+    /// Weight of the class: its fraction of all requests is `share` divided by the sum over all classes.
     pub share: f64,
-    /// Its mean work, in seconds on a core of its own.
+    /// Mean work of a request, in seconds on a core that it doesn't share.
     pub mean_work: f64,
-    /// How that is distributed.
+    /// Distribution of the work.
     pub distribution: WorkDistribution,
-    /// Mean work of its downstream call, in seconds, distributed like the work; zero where it makes none.
+    /// Mean work of the downstream call, in seconds, distributed like the work of a request; zero if the class makes no calls.
     pub mean_call_work: f64,
 }
 
-/// What happens to nodes.
+/// A fault that is injected into nodes or the dependency, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// It crashes: all that it has is lost.
+    /// The node crashes and loses its state and all its requests.
     Crash,
-    /// It comes back, cold.
+    /// A node that is down starts again, cold.
     Restart,
-    /// It has this part of its speed.
+    /// The node runs at this fraction of its full speed.
     Slow(f64),
-    /// A graceful shutdown begins; it ends this long after.
+    /// A graceful shutdown of the node begins; the node goes down after this time.
     Drain(Span),
-    /// Nothing reaches it, though it runs; its responses arrive.
+    /// The node keeps running, but requests to it are lost. Its responses arrive.
     DropIncoming,
-    /// Its responses are lost, though requests reach it.
+    /// Requests reach the node, but its responses are lost.
     DropOutgoing,
-    /// Its links work again.
+    /// Ends `DropIncoming` and `DropOutgoing` of the node.
     HealLinks,
-    /// The dependency has this part of its speed; the nodes of the step count for nothing.
+    /// The dependency runs at this fraction of its full speed. The nodes of the step are ignored.
     SlowDependency(f64),
 }
 
-/// A fault of a script: when, on which nodes, what.
+/// One step of the fault script of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultStep {
-    /// When, from the start.
+    /// Time from the start of the simulation.
     pub at: Span,
-    /// The first node that it happens to.
+    /// Index of the first affected node.
     pub first_node: usize,
-    /// To how many nodes it happens.
+    /// Number of affected nodes, consecutive from the first.
     pub node_count: usize,
-    /// What happens.
+    /// The fault to inject.
     pub fault: Fault,
 }
 
-/// A scenario.
+/// A complete description of a simulation, except for the scheduler and the seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// The cores of each.
+    /// Parameters of the cores of each node.
     pub machine: MachineModel,
-    /// What the scheduler is told; its classes are those of the load.
+    /// Settings of the scheduler. Its request classes must be those of `classes`, in the same order.
     pub settings: Settings,
-    /// The load by class.
+    /// Load of each request class.
     pub classes: Vec<ClassLoad>,
-    /// The work that arrives, over the work that all cores can do.
+    /// Offered load: work that arrives per second divided by the work that all cores can do per second.
     pub load: f64,
-    /// Requests arrive for so long.
+    /// Time during which requests arrive.
     pub duration: Span,
-    /// Requests that arrive before this do not count.
+    /// Requests that arrive in this time from the start are left out of the outcome.
     pub warm_up: Span,
-    /// How many sidecars.
+    /// Number of sidecars.
     pub sidecars: usize,
-    /// How they choose a node.
+    /// How sidecars choose a node.
     pub balancing: LoadBalancing,
-    /// When they retry.
+    /// When sidecars retry.
     pub retry_policy: RetryPolicy,
-    /// When they eject a node, if they do.
+    /// When sidecars eject a node as an outlier; `None` turns ejection off.
     pub outliers: Option<OutlierLimits>,
-    /// The mean delay of a link, one way; exponential.
+    /// Mean one-way delay of a link. Delays are distributed exponentially.
     pub mean_link_delay: Span,
-    /// What all nodes call, where classes make calls.
+    /// The dependency that all nodes call; `None` if no class makes calls.
     pub dependency: Option<DependencyModel>,
-    /// What happens to the fleet.
+    /// The fault script.
     pub faults: Vec<FaultStep>,
 }
 
-/// The settings of a simulated node that nothing limits but its cores: warm from the start, without quotas, downstream
-/// calls and capacity advertisement. Scenarios set what they are about over it.
+/// Settings of a simulated node that only its cores limit: warm from the start, without quotas, downstream calls and
+/// capacity advertisement. A scenario overrides the settings that it tests.
 pub fn unconstrained_settings(
     cores: u32,
     classes: Vec<RequestClass>,
--- a/crates/testing/simulator/src/sidecar.rs
+++ b/crates/testing/simulator/src/sidecar.rs
@@ -1,5 +1,5 @@
-//! Sidecars: the load balancer and retry policy beside each client. They choose the node of an attempt, and whether there
-//! is another attempt.
+//! Model of the sidecars: the load balancer and retry policy that run next to each client. A sidecar chooses the node of
+//! each attempt and decides whether to retry.
 
 use lynxtally::{Instant, Pcg};
 use lynxtally_retry::{OutlierDetector, OutlierLimits, RetryBudget};
@@ -7,70 +7,71 @@
 /// How a sidecar chooses a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadBalancing {
-    /// One after the other.
+    /// Each eligible node in turn.
     RoundRobin,
-    /// By chance.
+    /// A uniformly random eligible node.
     Random,
-    /// The one with the fewest outstanding attempts.
+    /// The eligible node with the fewest outstanding attempts of this sidecar.
     LeastOutstanding,
-    /// Of two by chance the one with fewer outstanding. Source: M. Mitzenmacher (1996).
+    /// Of two random eligible nodes, the one with fewer outstanding attempts (power of two choices). Source: M. Mitzenmacher
+    /// (1996).
     TwoChoices,
-    /// Always the same for the same client request.
+    /// The node that a hash of the client request selects, or the next eligible one.
     Hash,
 }
 
 /// When a sidecar retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// Never.
+    /// Requests are never retried.
     Never,
-    /// Up to so many attempts, whatever happens.
+    /// Retries up to a maximum number of attempts, without a budget.
     Unbudgeted {
-        /// Attempts, the first included.
+        /// Maximum number of attempts, including the first.
         max_attempts: u32,
     },
-    /// The same, as far as a retry budget allows.
+    /// Retries up to a maximum number of attempts, as long as the retry budget of the sidecar is not used up.
     Budgeted {
-        /// Attempts, the first included.
+        /// Maximum number of attempts, including the first.
         max_attempts: u32,
-        /// So many successes pay for a retry.
+        /// Number of successes that add one retry to the budget.
         successes_per_retry: u32,
     },
 }
 
-/// How an attempt ended, as far as its node is concerned.
+/// How an attempt ended, as the sidecar counts it for its node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// With a result.
+    /// The node returned a result.
     Succeeded,
     /// The node rejected it.
     Rejected,
-    /// The node failed.
+    /// The node failed, its connection broke, or the client's deadline passed.
     Failed,
 }
 
-/// Retries that a budget saves up.
+/// Maximum number of retries that a retry budget accumulates.
 const MAX_SAVED_RETRIES: u32 = 10;
-/// Draws until an eligible node is searched for in order.
+/// Random draws before the search falls back to the first eligible node in order.
 const RANDOM_DRAWS: usize = 8;
 
-/// A sidecar.
+/// The state of one sidecar.
 pub struct Sidecar {
     balancing: LoadBalancing,
     retry_policy: RetryPolicy,
     budget: RetryBudget,
     outliers: Option<OutlierDetector>,
-    /// Attempts under way by node.
+    /// Outstanding attempts by node.
     outstanding: Vec<u32>,
-    /// The nodes it knows of.
+    /// The nodes that the sidecar balances over.
     nodes: Vec<u16>,
-    /// Where round robin is.
+    /// Index in `nodes` of the node that round robin chose last.
     position: usize,
     random: Pcg,
 }
 
 impl Sidecar {
-    /// One that knows of all nodes.
+    /// Creates a sidecar that balances over `nodes` nodes.
     pub fn new(
         balancing: LoadBalancing,
         retry_policy: RetryPolicy,
@@ -96,7 +97,8 @@
         }
     }
 
-    /// The node for an attempt, none of those tried where there is another.
+    /// Chooses the node for an attempt and counts the attempt as outstanding. Nodes in `tried` and ejected nodes are chosen
+    /// only if no other node is left.
     pub fn choose(&mut self, now: Instant, client_request: u64, tried: &[u16]) -> Option<u16> {
         let count = self.nodes.len();
         if count == 0 {
@@ -116,7 +118,7 @@
                 nodes.find(|node| self.is_eligible(now, tried, *node))
             }
         };
-        // Where all that it knows of are ejected or tried, any is better than none.
+        // If every node is ejected or tried already, an attempt at the first one is better than none.
         let chosen = chosen.or_else(|| self.nodes.first().copied())?;
         self.outstanding[usize::from(chosen)] += 1;
         Some(chosen)
@@ -152,7 +154,7 @@
         }
     }
 
-    /// An eligible node by chance. A few draws find one wherever most are.
+    /// Draws a random eligible node. If most nodes are eligible, a few draws find one; returns `None` if they don't.
     fn draw(&mut self, now: Instant, tried: &[u16]) -> Option<u16> {
         let count = self.nodes.len() as f64;
         (0..RANDOM_DRAWS).find_map(|_| {
@@ -165,7 +167,7 @@
         self.nodes.iter().copied().find(|node| self.is_eligible(now, tried, *node))
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt in the outstanding attempts, the retry budget and the outlier detector.
     pub fn attempt_ended(&mut self, now: Instant, node: u16, end: AttemptEnd) {
         let node = usize::from(node);
         self.outstanding[node] = self.outstanding[node].saturating_sub(1);
@@ -182,7 +184,8 @@
         }
     }
 
-    /// Whether there is another attempt after so many; a retry is paid from the budget.
+    /// Whether a request may be retried after `attempts` attempts. With a budgeted policy, a permitted retry is taken out of
+    /// the budget.
     pub fn may_retry(&mut self, attempts: u32) -> bool {
         match self.retry_policy {
             RetryPolicy::Never => false,
