--- a/crates/testing/experiment/src/check.rs
+++ b/crates/testing/experiment/src/check.rs
@@ -207,7 +207,7 @@
     checks.push(Check {
         name: "service with half of the known nodes crashed and no retries".to_owned(),
         expected: 0.5,
-        simulated: outcome.service(),
+        simulated: outcome.utility_ratio(),
         tolerance: 0.02,
     });
     checks
