--- a/crates/core/flow/src/link_scheduler.rs
+++ b/crates/core/flow/src/link_scheduler.rs
@@ -82,7 +82,8 @@
         let mut granted_streams = Vec::new();
         while self.tokens >= 1.0 {
             let Some((stream, bytes)) = self.turns.next_turn() else { break };
-            // A turn is granted whole, and the tokens may go below zero for it: cut turns would ignore the weights.
+            // A turn is always granted in full, even if that makes the tokens negative: shortened turns would not follow
+            // the weights.
             self.turns.record_sent(stream, bytes, false);
             *self.granted.entry(stream).or_default() += bytes;
             (self.tokens, self.used) = (self.tokens - bytes as f64, self.used + bytes as f64);
--- a/crates/core/flow/src/memory_pool.rs
+++ b/crates/core/flow/src/memory_pool.rs
@@ -35,7 +35,7 @@
     taken: u64,
 }
 
-/// The window of each stream, and what it holds.
+/// The window of each stream, and the bytes that the stream holds.
 #[derive(Clone, Debug)]
 pub struct MemoryPool {
     limits: MemoryLimits,
@@ -46,7 +46,7 @@
 /// Weight of a new sample in a learned rate that falls. A rate that rises is followed at once, so that a receiver is not
 /// kept slow after a stall.
 const FALLING_RATE_GAIN: f64 = 0.25;
-/// The used fraction of a part of the budget from which on memory counts as scarce.
+/// If at least this fraction of a part of the budget is used, memory counts as scarce.
 const SCARCE_FRACTION: f64 = 0.8;
 /// The factor by which a window grows when its receiver emptied it between two rebalances: then the window limits the
 /// stream, not the receiver.
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Sets the windows anew from what the receivers have taken since the last call. The window of a stalled stream
-    /// shrinks to its floor. If a window shrinks below what its stream holds, the excess goes to other streams only once
+    /// Recomputes the windows from the bytes that the receivers have taken since the last call. The window of a stalled
+    /// stream shrinks to its floor. If a window shrinks below what its stream holds, the excess goes to other streams only once
     /// it has been written out.
     pub fn rebalance(&mut self, now: Instant) {
         let elapsed = (now - self.last_rebalance).secs();
@@ -174,7 +174,8 @@
             stream.taken = 0;
         }
         let mut left = total.saturating_sub(reserved) as f64;
-        // Weighted water-filling, smallest demand per weight first: what a stream does not want is left to the others.
+        // Weighted water-filling, smallest demand per weight first: memory that a stream does not need is left to the
+        // others.
         wanted.sort_by(|a, b| (a.2 as f64 / a.1).total_cmp(&(b.2 as f64 / b.1)).then(a.0.cmp(&b.0)));
         let mut weights: f64 = wanted.iter().map(|(_, weight, _)| weight).sum();
         let mut targets = Vec::with_capacity(wanted.len());
--- a/crates/core/flow/src/progress_monitor.rs
+++ b/crates/core/flow/src/progress_monitor.rs
@@ -15,7 +15,7 @@
     pub median_fraction: f64,
     /// The least bytes per interval that a stream has to transfer, whatever the median.
     pub min_bytes: u64,
-    /// The number of consecutive short intervals after which a stream is reported.
+    /// The number of consecutive intervals with too few bytes after which a stream is reported.
     pub max_short_intervals: u32,
 }
 
@@ -71,8 +71,8 @@
         (self.median * self.limits.median_fraction).max(self.limits.min_bytes as f64) as u64
     }
 
-    /// Ends the intervals that are over, and returns the streams that have just reached the number of consecutive short
-    /// intervals. Each is returned once per run of short intervals.
+    /// Ends the intervals that are over, and returns the streams that have just reached the limit of consecutive
+    /// intervals with too few bytes. A stream is returned again only after an interval with enough bytes.
     pub fn newly_late(&mut self, now: Instant) -> Vec<StreamId> {
         let (required, mut late) = (self.required_bytes(), Vec::new());
         for (id, progress) in &mut self.streams {
--- a/crates/core/flow/src/retry_policy.rs
+++ b/crates/core/flow/src/retry_policy.rs
@@ -23,8 +23,8 @@
 pub struct RetryPolicy(RetryBudget);
 
 impl RetryPolicy {
-    /// Creates a budget in which `successes_per_retry` successes pay for one retry. It holds at most `max_retries`, and
-    /// that many at the start.
+    /// Creates a budget in which `successes_per_retry` successes pay for one retry. It holds at most
+    /// `max_retries`, and starts full.
     pub fn new(successes_per_retry: u32, max_retries: u32) -> Self {
         Self(RetryBudget::new(successes_per_retry, max_retries))
     }
--- a/crates/core/flow/src/uploads.rs
+++ b/crates/core/flow/src/uploads.rs
@@ -15,7 +15,7 @@
     pub tenant_bytes: u64,
     /// The most bytes that all uploads together may have.
     pub total_bytes: u64,
-    /// Seconds after which an upload expires if nobody resumes it.
+    /// Seconds after which an upload expires if it receives no bytes.
     pub expiry_secs: u64,
 }
 
@@ -76,7 +76,7 @@
 pub enum UploadError {
     /// No upload has this id.
     Unknown,
-    /// The offset given is not the upload's; the upload has this one.
+    /// The given offset is not the current offset of the upload, which is this one.
     WrongOffset(u64),
     /// The id is in use, or another connection has taken the upload over.
     TakenOver,
@@ -164,8 +164,8 @@
     }
 
     /// Takes an upload over from its current writer, and returns the number of the new writer. The server may not have
-    /// noticed yet that the old connection has dropped. Bytes that still arrive on it must not move the offset that the
-    /// client has been told since.
+    /// noticed yet that the connection of the old writer has dropped. Bytes that still arrive on that connection must not
+    /// move the offset that was reported to the client in the meantime.
     ///
     /// # Errors
     /// [`UploadError::Unknown`] if no upload has this id.
@@ -192,7 +192,7 @@
     ///
     /// # Errors
     /// [`UploadError::WrongLength`] if another length was announced before or more bytes have been received, and
-    /// [`UploadError::QuotaExceeded`] if the length exceeds the quota of a tenant.
+    /// [`UploadError::QuotaExceeded`] if the length alone exceeds the quota of a tenant.
     pub fn set_length(&mut self, id: UploadId, length: u64) -> Result<(), UploadError> {
         let limits = self.limits;
         let state = self.uploads.get_mut(&id).ok_or(UploadError::Unknown)?;
@@ -269,7 +269,7 @@
         Some(Entry::Removed(id))
     }
 
-    /// The uploads that nobody has resumed within the expiry time.
+    /// The uploads that have received no bytes within the expiry time.
     pub fn expired(&self, now_secs: u64) -> Vec<UploadId> {
         let is_expired =
             |state: &State| state.upload.updated_secs.saturating_add(self.limits.expiry_secs) < now_secs;
--- a/crates/core/flow/src/upstream_selector.rs
+++ b/crates/core/flow/src/upstream_selector.rs
@@ -17,7 +17,7 @@
     rate: f64,
 }
 
-/// Selects upstreams, and records how the requests that they got have ended.
+/// Selects upstreams, and records how the requests that were sent to them ended.
 #[derive(Clone, Debug)]
 pub struct UpstreamSelector {
     outliers: OutlierDetector,
--- a/crates/frontends/stream/src/body_framing.rs
+++ b/crates/frontends/stream/src/body_framing.rs
@@ -7,7 +7,7 @@
 /// The longest extension of one chunk.
 const MAX_EXTENSION_BYTES: usize = 256;
 
-/// The most that the extensions of all chunks of a body may have together. It is limited so that a body
+/// The most bytes in the extensions of all chunks of a body together. It is limited so that a body
 /// cannot consist mainly of extensions, which are read and dropped.
 const MAX_TOTAL_EXTENSION_BYTES: usize = 16 * 1024;
 
--- a/crates/frontends/stream/src/http/request.rs
+++ b/crates/frontends/stream/src/http/request.rs
@@ -79,7 +79,7 @@
         self.known.closes_connection || (self.is_http_10 && !self.known.keep_alive)
     }
 
-    /// Whether this is a `HEAD` request, whose response has no body whatever its fields say.
+    /// Whether this is a `HEAD` request, whose response has no body even if the response's fields announce one.
     pub fn is_head(&self) -> bool {
         self.method == "HEAD"
     }
--- a/crates/frontends/stream/src/output_buffer.rs
+++ b/crates/frontends/stream/src/output_buffer.rs
@@ -33,8 +33,8 @@
         if self.consumed == self.bytes.len() {
             self.consumed = 0;
             self.bytes.clear();
-            // An empty buffer keeps no memory, so that a body whose receiver keeps up costs none between
-            // writes.
+            // An empty buffer keeps no memory, so that a body whose receiver keeps up takes no memory
+            // between writes.
             if self.bytes.capacity() > MIN_RELEASED_BYTES {
                 self.bytes = Vec::new();
             }
--- a/crates/frontends/stream/src/proxied_request/mod.rs
+++ b/crates/frontends/stream/src/proxied_request/mod.rs
@@ -1,8 +1,8 @@
 //! The state of one proxied request, without I/O. It is fed the bytes that the client and the upstream send,
 //! and holds the bytes that are to be written to either side. Both bodies are passed on as they arrive.
 //!
-//! This file has the request direction, `response` the response direction, and `resend` what is sent to
-//! another upstream after one has failed.
+//! This module implements the request direction, `response` the response direction, and `resend` what is sent
+//! to another upstream after one has failed.
 
 mod resend;
 mod response;
@@ -169,7 +169,7 @@
         true
     }
 
-    /// Sends the response to an earlier request that this one duplicates, byte for byte.
+    /// Sends the kept response of an earlier request, byte for byte, because this request is a duplicate of it.
     pub fn replay_response(&mut self, bytes: &[u8]) {
         self.is_local_response = true;
         self.closes_connection = true;
@@ -189,8 +189,8 @@
     }
 }
 
-/// Describes the whole request with its body in this framing. Only a body that is decoded changes its
-/// framing.
+/// Describes how the whole request is forwarded, with its body in this framing. The framing differs from the
+/// received one only if the body is decoded.
 fn forwarded_request(request: &RequestHead, framing: Framing) -> ForwardedRequest<'static> {
     ForwardedRequest { framing, is_decoded: framing != request.framing, range: None }
 }
--- a/crates/frontends/stream/src/proxied_request/resend.rs
+++ b/crates/frontends/stream/src/proxied_request/resend.rs
@@ -13,7 +13,8 @@
         self.request_body.kept_copy().is_some() || self.request_body.received_bytes() == 0
     }
 
-    /// Prepares the output for another upstream: the whole request again.
+    /// Prepares the output for another upstream: replaces what waits to be sent by the head of the request and
+    /// the copy of the body received so far.
     pub fn resend(&mut self) {
         let mut head = Vec::new();
         self.request.write(&mut head, forwarded_request(&self.request, self.forwarded_framing));
@@ -44,7 +45,8 @@
         (is_plain_get && has_rest).then_some(download)
     }
 
-    /// Prepares the output for another upstream: a request for the rest of a download.
+    /// Prepares the output for another upstream: replaces what waits to be sent by a request for the rest of a
+    /// download.
     pub fn request_rest(&mut self, download: PartialDownload) {
         let received = self.response_body.as_ref().map_or(0, BodyPipe::received_bytes);
         let Some((first, end)) = download.remaining(received) else { return };
--- a/crates/frontends/stream/src/proxied_request/response.rs
+++ b/crates/frontends/stream/src/proxied_request/response.rs
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    /// Resumes a download with the response of another upstream, if that has the same object.
+    /// Resumes a download with the response of another upstream, if that upstream has the same object.
     fn resume_response(
         &mut self,
         download: &PartialDownload,
@@ -204,7 +204,7 @@
         if copy.len() + count > self.settings.max_response_copy_bytes {
             return;
         }
-        // Interim responses do not belong to the response.
+        // Interim responses are not part of the response that is copied.
         if self.preface.is_empty() {
             copy.extend_from_slice(&self.client_output()[..count]);
         }
--- a/crates/frontends/stream/src/proxy/client_connection.rs
+++ b/crates/frontends/stream/src/proxy/client_connection.rs
@@ -85,7 +85,7 @@
     /// Waits for the head of a request.
     ///
     /// # Errors
-    /// `Ok` with the reason why the connection ended, or `Err` with what is wrong with the head.
+    /// `Err(Ok(_))` with the reason if the connection ended, and `Err(Err(_))` if the head is not valid.
     pub(super) fn read_head(
         &self,
         socket: &Arc<Socket>,
--- a/crates/frontends/stream/src/proxy/exchange.rs
+++ b/crates/frontends/stream/src/proxy/exchange.rs
@@ -34,7 +34,8 @@
 pub(super) enum Outcome {
     /// The whole response was written.
     Completed,
-    /// The response was cut off. Its connection is reset, so that the client does not take it for complete.
+    /// The response was cut off. The client's connection is reset, so that the client does not treat the
+    /// response as complete.
     Cut,
     /// The client closed its connection, or the connection failed.
     ClientGone(CloseReason),
@@ -75,7 +76,7 @@
     pub(super) client_input_ended: bool,
     /// The client sent another request before the response to this one was complete.
     pub(super) has_pipelined: bool,
-    /// The bytes of the request body's copy for which the copy budget has room reserved.
+    /// The bytes of the request body's copy that are reserved in the copy budget.
     pub(super) copied_bytes: u64,
     pub(super) outcome: Option<Outcome>,
 }
@@ -179,7 +180,8 @@
         if let Some(upstream) =
             state.upstream.take().filter(|_| !is_body_complete || !state.proxied.is_response_complete())
         {
-            // The upstream must not take a request that was cut off for complete.
+            // A reset, unlike a normal close, keeps the upstream from treating a truncated request as a complete
+            // one.
             upstream.reset_on_close();
         }
         let succeeded = state.proxied.response().map(|response| response.status < 500);
@@ -259,9 +261,9 @@
         }
     }
 
-    /// Handles an error. One that the client caused is answered, or cuts the response off if that has begun.
-    /// One that the upstream caused ends its connection, and the upstream's coroutine decides whether to
-    /// retry.
+    /// Handles an error. An error that the client caused gets a response, or cuts off the response that has
+    /// already begun. An error that the upstream caused ends the upstream's connection, and the upstream's
+    /// coroutine decides whether to retry.
     pub(super) fn handle_error(&self, state: &mut ExchangeState, error: ProxyError) {
         match error {
             ProxyError::Client(error) => {
@@ -272,12 +274,12 @@
                 state.client_input_ended = true;
             }
             ProxyError::Upstream(error) => {
-                debug!(%error, "the response of an upstream is not valid");
+                debug!(%error, "the upstream sent an invalid response");
                 state.failure = Some(CloseReason::Malformed);
                 state.upstream_read_ended = true;
             }
             ProxyError::ObjectChanged(changed) => {
-                debug!(?changed, "the upstream's response is not the rest of the download to resume");
+                debug!(?changed, "the upstream's response does not continue the interrupted download");
                 state.failure = Some(CloseReason::AddressChanged);
                 state.upstream_read_ended = true;
             }
--- a/crates/frontends/stream/src/proxy/request_direction.rs
+++ b/crates/frontends/stream/src/proxy/request_direction.rs
@@ -9,7 +9,9 @@
 use lynxtally_net::socket::{ReadOutcome, Socket};
 
 impl<P: Scheduler + Send + 'static> Proxy<P> {
-    /// Transfers bytes from the client to the upstream, and returns how many.
+    /// Reads the request from the client or the upload archive, and writes it to the upstream, as far as
+    /// possible now. Returns the bytes read plus the buffered bytes written, as a measure of progress; 0 if
+    /// nothing changed.
     pub(super) fn transfer_request(
         &self,
         exchange: &Exchange,
--- a/crates/frontends/stream/src/proxy/response_direction.rs
+++ b/crates/frontends/stream/src/proxy/response_direction.rs
@@ -10,7 +10,8 @@
 use std::sync::Arc;
 
 impl<P: Scheduler + Send + 'static> Proxy<P> {
-    /// Transfers bytes from the upstream to the client, and returns how many.
+    /// Writes buffered output to the client, and reads the response from the upstream, as far as possible now.
+    /// Returns the bytes read plus the buffered bytes written, as a measure of progress.
     pub(super) fn transfer_response(
         &self,
         exchange: &Exchange,
--- a/crates/frontends/stream/src/request_manager.rs
+++ b/crates/frontends/stream/src/request_manager.rs
@@ -29,7 +29,7 @@
 /// Only the ratios between requests matter.
 const UNLIMITED_LINK_RATE: f64 = 1e8;
 
-/// What the manager has for the coroutines of a request.
+/// Messages from the manager to the coroutines of a request.
 #[derive(Default)]
 pub struct ManagerMessages {
     /// The request was admitted.
@@ -179,7 +179,7 @@
     pub max_held_bytes: u64,
 }
 
-/// The resources that all requests share, the policies that divide them, and what each running request has of them.
+/// The resources that all requests share, the policies that divide them, and the state of each running request.
 pub struct StreamResources {
     memory: MemoryPool,
     progress: ProgressMonitor,
@@ -253,7 +253,7 @@
         self.running.get_mut(id.0 as usize)?.as_mut()
     }
 
-    /// Releases all that a request has.
+    /// Releases all resources that a request holds.
     fn release_all(&mut self, id: RequestId) -> Option<RunningRequest> {
         let request = self.running.get_mut(id.0 as usize)?.take()?;
         for stream in [upstream_stream(id), client_stream(id)] {
@@ -331,11 +331,11 @@
     /// The shared resources and their policies.
     pub resources: StreamResources,
     responses: ResponseDelivery,
-    /// When the timer fires that the caller of `run` has set last.
+    /// When the timer that the caller of `run` set last fires.
     armed_timer: Option<Instant>,
     ticks: u32,
     gauges: Gauges,
-    /// When the CPU time was read last, and the value in seconds.
+    /// When the CPU time was last read, and the CPU time read then, in seconds.
     last_cpu_time: (Instant, f64),
     open_connections: f64,
     is_link_scarce: bool,
@@ -419,8 +419,8 @@
         self.open_connections = open as f64;
     }
 
-    /// Handles expired timers and carries out the scheduler's decisions. Returns after which time to call this again, or
-    /// `None` if a timer that the caller set before fires early enough.
+    /// Handles expired timers and carries out the scheduler's decisions. Returns how long to wait before
+    /// calling this again, or `None` if a timer that the caller has already set fires early enough.
     pub fn run(&mut self, now: Instant) -> Option<Span> {
         self.resources.now = now;
         if self.armed_timer.is_some_and(|at| at <= now) {
@@ -488,8 +488,8 @@
             else {
                 continue;
             };
-            // A stream that could move and does not is short of progress, whichever peer stalls: the receiver of the
-            // bytes that the stream holds, or the client that has to send its body.
+            // No progress is recorded for a stream that could transfer bytes and does not, whichever peer stalls: the
+            // receiver of the bytes that the stream holds, or the client that has to send its body.
             let awaits_client_body = request.awaits_client_body;
             for stream in [upstream_stream(id), client_stream(id)] {
                 let holds_bytes = self.resources.memory.room(stream) < self.resources.memory.window(stream);
@@ -572,7 +572,7 @@
         }
     }
 
-    /// Takes in what a request has transferred and what it holds.
+    /// Records what a request has transferred since its last report, and what it holds.
     pub fn record_transfer(&mut self, now: Instant, handle: &RequestHandle, report: TransferReport) {
         let Some(id) = handle.running_id() else { return };
         let resources = &mut self.resources;
@@ -725,7 +725,7 @@
         self.engine.begin_drain(now, timeout)
     }
 
-    /// Fails all requests after an internal error. Returns the handles of those that are owed a response.
+    /// Fails all requests after an internal error. Returns the handles of the requests that still have to get a response.
     pub fn fail_all(&mut self) -> Vec<Arc<RequestHandle>> {
         self.engine.fail_all()
     }
--- a/crates/frontends/stream/src/resumable_upload.rs
+++ b/crates/frontends/stream/src/resumable_upload.rs
@@ -352,7 +352,7 @@
         }
     }
 
-    /// Makes the current offset of an upload durable, and waits for it.
+    /// Records the current offset of an upload in the log, and waits until the entry is durable.
     fn make_durable(
         &self,
         archive: &Arc<UploadArchive>,
@@ -526,7 +526,7 @@
         Ok((length, writer.archive.append(writer.id, bytes, move || waker.wakeup())))
     }
 
-    /// The client's connection dropped: archives what has arrived of the body.
+    /// Archives the rest of the received bytes after the client's connection has dropped.
     fn archive_rest(
         &self,
         writer: &mut UploadWriter,
@@ -536,8 +536,8 @@
     ) -> ReceiveOutcome {
         let mut last_append = pending_append.map(|(_, operation)| operation);
         if !pipe.out.is_empty() {
-            // If another request has taken the upload over, these bytes are left out: the client sends them
-            // there.
+            // If another request has taken the upload over, these bytes are discarded: the client sends them
+            // again in that request.
             last_append =
                 self.append_to_archive(writer, pipe).ok().map(|(_, operation)| operation).or(last_append);
         }
@@ -590,7 +590,7 @@
     }
 }
 
-/// When a client may retry a request on an upload that was refused.
+/// The delay after which a client may retry a refused request that creates or resumes an upload.
 const REFUSED_RETRY_AFTER: lynxtally::Span = lynxtally::Span::from_millis(1000);
 
 fn upload_state(archive: &UploadArchive, id: UploadId) -> Option<UploadState> {
@@ -610,7 +610,7 @@
                 ..LocalResponse::new(503, "not taken; nothing of it was done")
             }
         }
-        // The upload can be resumed at its offset after the deadline.
+        // The deadline of the request has passed, but a new request can resume the upload at its offset.
         _ => LocalResponse {
             retry_after_secs: Some(1),
             upload_state,
--- a/crates/frontends/stream/src/settings.rs
+++ b/crates/frontends/stream/src/settings.rs
@@ -1,7 +1,8 @@
 //! Settings of a stream server: the form of the settings file, its defaults, and its checks.
 //! [`SettingsFile::check`] turns the file into [`StreamSettings`], which the rest of the crate uses.
 //!
-//! No other module reads the file or has defaults. The fields of the file types are the keys of the file.
+//! No other module reads the settings file or defines defaults. The types that the file is deserialized into have
+//! the keys of the file as their fields.
 
 use crate::http::{MessageError, RequestHead};
 use crate::proxied_request::ForwardingSettings;
@@ -42,7 +43,7 @@
     /// The progress that a stream has to make.
     #[serde(default)]
     pub progress: ProgressFile,
-    /// When an upstream is ejected.
+    /// The limits by which failing upstreams are ejected.
     #[serde(default)]
     pub leave_out: OutlierFile,
     /// The retry budget.
@@ -79,7 +80,7 @@
     SideEffecting,
 }
 
-/// A request class as it stands in the file.
+/// A request class as given in the settings file, not checked yet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename = "StageFile", deny_unknown_fields)]
 pub struct ClassFile {
@@ -93,7 +94,7 @@
     pub paths: Vec<String>,
     /// The utility of a response within the latency objective.
     pub utility: f64,
-    /// The fraction of the utility that a later response has.
+    /// The fraction of the utility that a response after the latency objective still has.
     #[serde(default = "late_part")]
     pub late_part: f64,
     /// The latency objective for the complete response, in milliseconds.
@@ -102,7 +103,7 @@
     pub limit_ms: u64,
     /// The effect of executing a request of the class twice.
     pub effect: EffectFile,
-    /// How long duplicates of a fingerprinted request are recognized, in milliseconds.
+    /// How long duplicates of a request with an idempotency key are recognized, in milliseconds.
     #[serde(default = "repeat_ms")]
     pub repeat_ms: u64,
     /// The largest request body, in MB.
@@ -125,7 +126,7 @@
     4096
 }
 
-/// A tenant as it stands in the file.
+/// A tenant as given in the settings file, not checked yet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename = "Customer", deny_unknown_fields)]
 pub struct TenantFile {
@@ -182,23 +183,23 @@
         connect_ms: u64 = 2000,
         /// The rate of the link to clients, in Mbit/s; 0 if the link is not scarce.
         link_mbit: f64 = 0.0,
-        /// The most that the copies of request bodies, which are kept for retries, may take together, in KB.
+        /// The most memory for all copies of request bodies together, which are kept for retries, in KB.
         spool_kb: u64 = 16_384,
-        /// The most that the copy of one request body may take, in KB.
+        /// The most memory for the copy of one request body, in KB.
         spool_each_kb: u64 = 256,
-        /// The most that is read of a refused body, in KB. It is read so that the client gets to see the
-        /// response.
+        /// The most that is read and discarded of a refused body, in KB. Closing the connection with unread
+        /// input would reset it, and the client would lose the response.
         rest_kb: u64 = 1024,
         /// How long a refused body is read, in milliseconds.
         rest_ms: u64 = 2000,
-        /// The most that the kept responses to fingerprinted requests may take, in KB. They answer
-        /// duplicates.
+        /// The most memory for responses that are kept to answer duplicates of requests with an idempotency
+        /// key, in KB.
         results_kb: u64 = 4096,
-        /// The most that the resumable uploads of one tenant may take on disk, in MB.
+        /// The most disk space for the resumable uploads of one tenant, in MB.
         uploads_mb: u64 = 1024,
-        /// The most that all resumable uploads together may take on disk, in MB.
+        /// The most disk space for all resumable uploads together, in MB.
         uploads_all_mb: u64 = 16_384,
-        /// The time after which an upload that nobody resumes expires, in seconds.
+        /// The time without received bytes after which an upload expires, in seconds.
         uploads_s: u64 = 86_400,
     }
 }
@@ -212,13 +213,13 @@
         part: f64 = 0.02,
         /// The least bytes per interval that a stream has to transfer, whatever the median.
         least: u64 = 1024,
-        /// The number of consecutive short intervals after which a stream is late.
+        /// The number of consecutive intervals with too few bytes after which a stream is late.
         patience: u32 = 3,
     }
 }
 
 defaults! {
-    /// When an upstream is ejected.
+    /// The limits by which failing upstreams are ejected.
     OutlierFile, "LeaveOut" {
         /// The number of consecutive failures after which an upstream is ejected.
         failures: u32 = 3,
@@ -246,7 +247,7 @@
 defaults! {
     /// Content codings of bodies.
     CodingFile, "CodingFile" {
-        /// The content codings of request bodies that upstreams accept, beside no coding.
+        /// The content codings of request bodies that upstreams accept, in addition to bodies without a coding.
         takes: Vec<String> = Vec::new(),
         /// The least length of a response that is encoded for clients that accept it, in KB; 0 turns encoding
         /// off.
@@ -298,7 +299,7 @@
     pub memory: MemoryLimits,
     /// The progress that a stream has to make.
     pub progress: ProgressLimits,
-    /// When an upstream is ejected.
+    /// The limits by which failing upstreams are ejected.
     pub outlier_limits: UpstreamLimits,
     /// The retry budget.
     pub retries: RetryFile,
@@ -452,7 +453,7 @@
     /// that waits for a peer occupies none. The memory of a request is its two floors.
     fn scheduling(&self) -> Settings {
         let mut classes: Vec<RequestClass> = self.stages.iter().map(ClassFile::request_class).collect();
-        // The class of requests that only query an upload, which take no time. Its latency objective also
+        // The class of requests that only query the state of an upload, which take practically no time. Its latency objective also
         // bounds the interval of the scheduler's timer.
         classes.push(RequestClass {
             utility: self.stages.iter().map(|stage| stage.utility).fold(0.0, f64::max),
@@ -576,7 +577,7 @@
     }
 }
 
-/// The longest response, in bytes, that is kept to answer duplicates of a fingerprinted request.
+/// The longest response, in bytes, that is kept to answer duplicates of a request with an idempotency key.
 const MAX_RESPONSE_COPY_BYTES: usize = 64 * 1024;
 
 impl ClassSettings {
@@ -609,8 +610,8 @@
         self.classes.len()
     }
 
-    /// The index of the tenant of a request. A tenant that is not in the settings has no quota of its own,
-    /// and counts as none.
+    /// The index of the tenant of a request. A tenant that is not in the settings has no quota of its own:
+    /// its requests are treated as requests without a tenant.
     pub fn tenant(&self, request: &RequestHead) -> Option<usize> {
         let name = request.field(self.tenant_field.as_deref()?)?;
         self.tenants.iter().position(|tenant| tenant.as_bytes() == name)
--- a/crates/frontends/stream/src/upload_archive/mod.rs
+++ b/crates/frontends/stream/src/upload_archive/mod.rs
@@ -2,7 +2,7 @@
 //! offset of each upload. One thread reads, writes and syncs, so that disk operations do not block the
 //! streams of other requests.
 //!
-//! Submitting an operation returns a [`PendingOperation`] at once. When the result is there, the archive's
+//! Submitting an operation returns a [`PendingOperation`] at once. When the result is available, the archive's
 //! thread calls the submitter's `wake` function.
 
 mod error;
@@ -22,7 +22,7 @@
 use tracing::info;
 use worker::{write_snapshot, Completion, Operation, Worker};
 
-/// The name of the log, with which the names of its files begin.
+/// The name of the log. The names of its files begin with it.
 const LOG_NAME: &str = "uploads";
 
 /// The suffix of the files of uploads.
@@ -31,7 +31,7 @@
 /// The most bytes that one read returns.
 const MAX_READ_BYTES: usize = 128 * 1024;
 
-/// The result of an operation: the bytes of a read; no bytes for other operations.
+/// The result of an operation: the bytes that were read, or no bytes if the operation was not a read.
 pub type OperationResult = Result<Vec<u8>, ArchiveError>;
 
 /// The name of the file that holds the bytes of an upload.
@@ -56,7 +56,7 @@
 }
 
 impl PendingOperation {
-    /// Takes the result, if it is there. It can be taken only once.
+    /// Takes the result, if it is available. It can be taken only once.
     pub fn take(&self) -> Option<OperationResult> {
         lock(&self.result).take()
     }
@@ -135,7 +135,7 @@
         pending
     }
 
-    /// Makes an entry durable, after the bytes that it covers.
+    /// Makes the bytes of an upload durable, and then the log entry that covers them.
     pub fn record(&self, entry: Entry, wake: impl FnOnce() + Send + 'static) -> PendingOperation {
         let pending = PendingOperation::default();
         self.send(Operation::Record { entry, completion: pending.completion(wake) });
--- a/crates/frontends/stream/src/upload_archive/worker.rs
+++ b/crates/frontends/stream/src/upload_archive/worker.rs
@@ -20,7 +20,7 @@
     Append { id: UploadId, bytes: Vec<u8>, completion: Completion },
     /// Reads at most `max_bytes` of the file of an upload.
     Read { id: UploadId, offset: u64, max_bytes: usize, completion: Completion },
-    /// Makes the bytes of an upload durable, and then the entry that covers them.
+    /// Makes the bytes of an upload durable, and then the log entry that covers them.
     Record { entry: Entry, completion: Completion },
     /// Removes the file of an upload.
     Remove { id: UploadId },
--- a/crates/frontends/stream/tests/proxy.rs
+++ b/crates/frontends/stream/tests/proxy.rs
@@ -63,7 +63,7 @@
     let server = TestServer::start(1, json!({}));
     let mut client = server.client();
     client.send(format!("GET /bytes/{} HTTP/1.1\r\nHost: h\r\n\r\n", 16 * MB).as_bytes()).expect("sent");
-    // Stands for a stall of a minute.
+    // A short pause, in place of a stall of a minute.
     std::thread::sleep(Duration::from_millis(1500));
     assert_eq!(server.counters()["open"], 1);
     assert_complete(&client.read_response("GET"), 200, 16 * MB);
@@ -85,7 +85,7 @@
     let (mut before, mut rejected) = (json!(0), 0);
     server.wait_until("all receivers stall", |counters| {
         std::thread::sleep(Duration::from_millis(200));
-        // On a busy machine a request may be queued for longer than that, or rejected. All 500 receivers
+        // On a busy machine a request may be queued for longer than these 200 ms, or rejected. All 500 receivers
         // stall only once each request has reached the upstream. A rejected request is replaced by another.
         let rejected_now = counters["rejected"].as_u64().expect("a count");
         stalled.extend((rejected..rejected_now).map(|_| stalled_receiver()));
@@ -98,8 +98,8 @@
     for _ in 0..5 {
         assert_complete(&server.client().get(&format!("/bytes/{MB}"), "").expect("sent"), 200, MB);
     }
-    // If the stalled receivers delayed other clients, these would never finish. The limit only has to suit a
-    // busy machine.
+    // If the stalled receivers delayed other clients, these would never finish. The time
+    // limit is high enough for a busy machine.
     assert!(start.elapsed() < Duration::from_secs(20), "{:?}", start.elapsed());
     let counters = server.counters();
     assert!(counters["held_most"].as_u64() <= Some(16 * MB), "{counters}");
@@ -261,7 +261,7 @@
     let upstream = Upstream::start(harness::unused_address()).expect("an upstream");
     let mut first = upstream.clone();
     first.address = start_resetting_upstream(harness::unused_address()).expect("an upstream");
-    // This test is not about connect timeouts, so the timeout only has to suit a busy machine.
+    // This test is not about connect timeouts, so the timeout is high enough for a busy machine.
     let overrides = json!({"repeats": {"price": 1, "most": 500}, "leave_out": {"failures": 1000},
         "limits": {"connect_ms": 20_000}});
     let settings = harness::settings(&[first, upstream.clone()], overrides);
