--- a/crates/frontends/dns/src/client.rs
+++ b/crates/frontends/dns/src/client.rs
@@ -133,12 +133,12 @@
         Self::read_response(&connection.receive()?, request.id, &mut signer)
     }
 
-    /// Sends a request over UDP and returns the response; after a truncated one the request is repeated over TCP.
+    /// Sends a request over UDP and returns the response. If it is truncated, the request is repeated over TCP.
     pub fn exchange_udp(&self, request: &OutgoingRequest) -> Result<Response, ClientError> {
         self.exchange_udp_from(None, request)
     }
 
-    /// As [`Self::exchange_udp`], from a given local address where the server checks the sender's address.
+    /// Like [`Self::exchange_udp`], but sends from the given local address, for servers that check the sender's address.
     pub fn exchange_udp_from(
         &self,
         from: Option<IpAddr>,
--- a/crates/frontends/dns/src/codec.rs
+++ b/crates/frontends/dns/src/codec.rs
@@ -91,7 +91,7 @@
     NotSupported = 21,
 }
 
-/// What a request asks for.
+/// The kind of a request, with the content that only this kind has.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestBody {
     /// A query.
@@ -518,7 +518,7 @@
         .ok()
 }
 
-/// The size up to which a transfer's message is filled.
+/// The size up to which each message of a transfer is filled.
 const TRANSFER_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// Writes a transfer, one message at a time (RFC 5936, RFC 1995). All of it comes from one version of the zone.
--- a/crates/frontends/dns/src/connection.rs
+++ b/crates/frontends/dns/src/connection.rs
@@ -18,10 +18,11 @@
 
 /// Stack of a connection's coroutine, sized for writing a transfer message. Only touched pages take memory.
 const STACK_WORDS: usize = 0x4000;
-/// Limits of one connection: requests without a response, and bytes not yet written. At a limit it is not read.
+/// Limits of one connection: requests without a response, and bytes not yet written. While a limit is reached, nothing is
+/// read from the connection.
 const MAX_PENDING_RESPONSES: usize = 64;
 const MAX_OUTPUT_BYTES: usize = 128 * 1024;
-/// A connection that is idle for so long is closed (RFC 7766 section 6.2.3 leaves the time to the server).
+/// The time after which an idle connection is closed (RFC 7766 section 6.2.3 leaves it to the server).
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A command of the server thread to a connection.
@@ -85,7 +86,7 @@
 }
 
 impl Connections {
-    /// At most `max_connections` at once; `on_event` receives the events of all connections.
+    /// Creates a table of at most `max_connections` connections; `on_event` receives the events of all connections.
     pub fn new(
         max_connections: usize,
         timer: Timer,
@@ -156,7 +157,7 @@
         };
         let connections = self.clone();
         let on_panic = move |panic: Panic| {
-            warn!(%panic, "connection closed: its coroutine panicked");
+            warn!(%from, %panic, "client connection closed: its coroutine panicked");
             connections.table.remove(number);
             (connections.on_event)(ConnectionEvent::Closed(handle.clone(), CloseReason::InternalError));
         };
@@ -236,7 +237,7 @@
                 return reason;
             }
             self.connections.table.set_idle(self.number, idle && buffer.is_empty());
-            // A full buffer or a limit left data unread, for which the socket reports no further event.
+            // If a full buffer or a limit left data unread, the socket reports no further event for that data.
             let room =
                 self.pending_responses < MAX_PENDING_RESPONSES && socket.output().len() < MAX_OUTPUT_BYTES;
             let more = received
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Reports the complete messages in the buffer; true if there was one.
+    /// Reports the complete messages in the buffer. Returns true if there was at least one.
     fn read_messages(&mut self, buffer: &mut Vec<u8>) -> Result<bool, CloseReason> {
         let mut at = 0;
         while let Some(head) =
--- a/crates/frontends/dns/src/control.rs
+++ b/crates/frontends/dns/src/control.rs
@@ -52,7 +52,7 @@
     state.join("control.sock")
 }
 
-/// How long a reply is waited for, by the server's side and by the program that asks.
+/// How long a reply is waited for, both in the server and in the operator's program.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Listens for commands as long as the program runs. A socket file that a stopped server left is replaced.
@@ -65,7 +65,7 @@
 ) -> std::io::Result<()> {
     let path = path(state);
     if UnixStream::connect(&path).is_ok() {
-        return Err(std::io::Error::other("another server runs on this state folder"));
+        return Err(std::io::Error::other("another server uses this state folder"));
     }
     let _ = std::fs::remove_file(&path);
     let listener = UnixListener::bind(&path)?;
--- a/crates/frontends/dns/src/executor.rs
+++ b/crates/frontends/dns/src/executor.rs
@@ -26,7 +26,7 @@
 
 /// How a response reaches its client.
 pub trait Transport: Clone {
-    /// Starts a transfer on the client's TCP connection; false if there is none.
+    /// Starts a transfer on the client's TCP connection. Returns false if there is no such connection.
     fn start_transfer(&self, transfer: Box<OutgoingTransfer>) -> bool;
     /// Closes the connection at once, because a transfer on it can't be completed.
     fn abort(&self);
@@ -112,7 +112,7 @@
 }
 
 impl ZoneState {
-    /// A zone as loaded at the start.
+    /// Creates the state of a zone that was loaded at server startup.
     pub fn new(
         settings: settings::ZoneSettings,
         store: Option<ZoneStore>,
@@ -151,7 +151,7 @@
     }
 }
 
-/// Counters since the start.
+/// Counters since server startup.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ExecutorCounts {
     /// Responses by response code.
@@ -173,7 +173,8 @@
     by_apex: HashMap<Box<[u8]>, usize>,
     /// Runs that ended, to be reported to the engine.
     pub ended_runs: Vec<(RequestId, RunEnd)>,
-    /// Requests that need a call: an update that waits for the log, or a transfer.
+    /// Requests for which the engine is to start a call. To the scheduler, an update that waits for the log and a
+    /// transfer that is being sent are downstream calls.
     pub call_requests: Vec<RequestId>,
     /// Calls that ended, to be reported to the engine.
     pub ended_calls: Vec<(RequestId, u64, CallOutcome)>,
@@ -181,7 +182,7 @@
     pub notified_zones: Vec<usize>,
     /// The current time, set by the server thread.
     pub now: Instant,
-    /// Counters since the start.
+    /// Counters since server startup.
     pub counts: ExecutorCounts,
     contexts: HashMap<RequestId, Arc<RequestContext<P>>>,
     max_log_bytes: u64,
@@ -425,7 +426,8 @@
         }
     }
 
-    /// Records that a zone's log entries below this number are durable. True if that put a new version in force.
+    /// Records that a zone's log entries below this number are durable. Returns true if queries are
+    /// now answered from a new version.
     pub fn entries_durable(&mut self, zone_index: usize, durable_below: u64) -> bool {
         let (now, zone) = (self.now, &mut self.zones[zone_index]);
         zone.durable_below = zone.durable_below.max(durable_below);
@@ -459,7 +461,7 @@
         }
     }
 
-    /// The log entries to write, by zone index.
+    /// Takes the log entries that wait to be written, with the index of their zone.
     pub fn batches(&mut self) -> Vec<(usize, Batch)> {
         let batches = self.zones.iter_mut().enumerate();
         batches.filter_map(|(zone_index, zone)| Some((zone_index, zone.journal.take_batch()?))).collect()
@@ -499,7 +501,7 @@
             Some(true) => {
                 warn!(
                     %apex,
-                    "many leases expired at once, the path to their holders may be down: keeping the records"
+                    "many leases expired at once: keeping their records, as the network path to the holders may be down"
                 )
             }
             Some(false) => info!(%apex, "leases are renewed again: expired records are removed again"),
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -50,9 +50,10 @@
 /// Limits on what one pass of the server loop reads per socket, in batches of datagrams, and from the event queue.
 const MAX_BATCHES_PER_TURN: usize = 2;
 const MAX_EVENTS_PER_TURN: usize = 64;
-/// A base file that nothing references is kept for so long: the log entry that names it is written within seconds.
+/// The minimum age at which an unreferenced base file is deleted. The log entry that references a new base file is
+/// written within seconds.
 const MIN_BASE_AGE: Duration = Duration::from_secs(600);
-/// How often idle connections are looked for.
+/// How often connections that have been idle for too long are closed.
 const IDLE_CHECK_INTERVAL: Span = Span::from_millis(1000);
 
 /// An event for the server thread. Zones are given by their index.
@@ -168,7 +169,7 @@
     }
 }
 
-/// The events that wait for the server thread, and how it is woken.
+/// The events that wait for the server thread, and the eventfd that wakes it.
 struct QueueState {
     pending: Mutex<VecDeque<ServerEvent>>,
     asleep: AtomicBool,
@@ -190,7 +191,7 @@
     pub fn push(&self, event: ServerEvent) {
         lock(&self.0.pending).push_back(event);
         if self.0.asleep.swap(false, Ordering::SeqCst) {
-            // The write fails only where the counter is full, and then the event is readable already.
+            // The write fails only if the eventfd's counter is full, and then the eventfd is readable already.
             let _ = self.0.wakeup.write(1);
         }
     }
@@ -352,7 +353,7 @@
         let counters = server.counters();
         // The sockets are closed before the exit is reported, so that the addresses can be bound again.
         drop(server);
-        // Nobody may be waiting for the exit.
+        // The receiver may have been dropped by whoever started the server.
         let _ = exit_sender.send(ServerExit { counters, counts_consistent });
     };
     std::thread::Builder::new()
@@ -364,7 +365,7 @@
 
 type Sockets = (Vec<Arc<UdpSocket>>, Vec<TcpListener>, Vec<SocketAddr>);
 
-/// How many ports are tried where the system chooses one: the UDP port that it gives may be taken for TCP.
+/// How many ports are tried if the system chooses the port: the port that it chooses for UDP may be in use for TCP.
 const PORT_ATTEMPTS: usize = 16;
 
 /// Opens a UDP and a TCP socket on the same port for each address of the settings.
@@ -397,7 +398,8 @@
     DirectoryStorage::new(state).map_err(|fault| format!("{}: {fault}", state.display()))
 }
 
-/// The file name stem of a zone's log: its apex, with characters other than letters, digits and `-` as `_`.
+/// The stem of the names of a zone's log files: the apex, with all characters other than letters, digits and `-` replaced
+/// by `_`.
 pub fn journal_name(zone: &settings::ZoneSettings) -> String {
     let text = zone.apex.to_string();
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
@@ -431,7 +433,7 @@
     let path = folder.join(name).canonicalize().map_err(|fault| fault.to_string())?;
     let folder = folder.canonicalize().map_err(|fault| fault.to_string())?;
     if !path.starts_with(&folder) {
-        return Err("it is not within the zone's folder".to_owned());
+        return Err("the included file is not within the zone file's folder".to_owned());
     }
     std::fs::read(path).map_err(|fault| fault.to_string())
 }
@@ -477,7 +479,8 @@
         Some(octets) => {
             let snapshot: Snapshot = decode(&octets).map_err(|fault| format!("{name}: {fault}"))?;
             let base = read_base(folder, &snapshot.base);
-            let base = base.ok_or_else(|| format!("{}: the base is missing or damaged", snapshot.base))?;
+            let base =
+                base.ok_or_else(|| format!("{}: the base file is missing or damaged", snapshot.base))?;
             let restored = ZoneStore::restore(now, base, snapshot, limits);
             Some(restored.map_err(|misfit| format!("{name}: {misfit}"))?)
         }
@@ -559,7 +562,8 @@
     }
 }
 
-/// Deletes base files that no remaining snapshot or log names. The last two snapshots and the logs after them remain.
+/// Deletes base files that are referenced by no remaining snapshot or log. The last two snapshots and the logs after them
+/// remain.
 fn remove_unreferenced_bases(state: &Path, folder: &mut DirectoryStorage, name: &str) {
     let Ok(files) = folder.list() else { return };
     let mut referenced = Vec::new();
@@ -575,7 +579,7 @@
         }
     }
     for file in files.iter().filter(|file| file.starts_with(&format!("{name}.")) && file.ends_with(".base")) {
-        // A recent base file may be named by an entry that is not yet written to the log.
+        // A recent base file may be referenced by an entry that is not yet written to the log.
         let written = std::fs::metadata(state.join(file)).and_then(|found| found.modified());
         let recent = written.is_ok_and(|modified| modified.elapsed().unwrap_or_default() < MIN_BASE_AGE);
         if !recent && !referenced.iter().any(|text| text.contains(file.as_str())) {
@@ -632,7 +636,8 @@
         self.responses.flush();
     }
 
-    /// Has the engine decide on what was received until nothing is left, then sends log batches and responses.
+    /// Lets the engine decide, and reports to it what has ended, until nothing new is requested or ended. Then sends log
+    /// batches and responses.
     fn run_engine(&mut self) {
         let now = self.executor.now;
         while let Some(due) = self.engine.expire_timers(now, &mut self.executor) {
@@ -810,7 +815,7 @@
                     Err(why) => {
                         warn!(
                             zone = %apex, why,
-                            "zone file not reloaded; the current version of the zone stays in force"
+                            "zone file not reloaded; the current version of the zone is still served"
                         );
                         control::error(&why)
                     }
--- a/crates/frontends/dns/src/settings.rs
+++ b/crates/frontends/dns/src/settings.rs
@@ -59,10 +59,11 @@
     /// The server's limits.
     #[serde(default)]
     pub limits: Limits,
-    /// How long after the signal to stop the program is killed, in milliseconds.
+    /// The time from the signal to stop until the server is killed, in milliseconds. The server stops by itself shortly
+    /// before.
     #[serde(default = "stop_ms")]
     pub stop_ms: u64,
-    /// Requests that arrive later than this after the signal to stop are not run, in milliseconds.
+    /// The time from the signal to stop until arriving requests are no longer run, in milliseconds.
     #[serde(default = "grace_ms")]
     pub grace_ms: u64,
 }
@@ -97,7 +98,7 @@
     /// Who may update which records.
     #[serde(default)]
     pub updates: Vec<RawGrant>,
-    /// A zone file with more refused records than this is not used.
+    /// The most refused records in a zone file; a file with more is not used.
     #[serde(default = "refused_most")]
     pub refused_most: usize,
 }
@@ -285,12 +286,12 @@
     pub policy: Settings,
     /// The server's limits.
     pub limits: Limits,
-    /// How long after the signal to stop the program is killed.
+    /// The time from the signal to stop until the server is killed. The server stops by itself shortly before.
     pub stop_timeout: Duration,
 }
 
-/// The number of cores told to the scheduler, and so of requests that run at once. The one real core counts as so many
-/// slower ones, so that the scheduler decides once for a batch of requests and not once for each.
+/// The number of cores reported to the scheduler, and so of requests that run at once. The one real core is reported as
+/// this many slower ones, so that the scheduler decides once for a batch of requests and not once for each.
 pub const VIRTUAL_CORES: u32 = 32;
 /// The memory of a running request, as a multiple of that of a queued one.
 const RUNNING_MEMORY_FACTOR: f64 = 2.0;
@@ -374,7 +375,8 @@
         });
         let mut classes = classes.to_vec();
         for at in [class::UPDATE, class::TRANSFER] {
-            // Updates and transfers wait for the disk or the client, can't be executed twice, and are of use also when late.
+            // Updates and transfers wait for the disk or the client, can't be executed twice, and are still useful after
+            // their latency objective.
             (classes[at].calls_downstream, classes[at].effect, classes[at].late_utility_fraction) =
                 (true, Effect::NonIdempotent, 0.5);
         }
@@ -386,7 +388,8 @@
             cold_start: false,
             cold_capacity_fraction: 1.0,
             warmup_time: Span::from_millis(1),
-            // A request that waits for the disk or a client occupies no core; memory limits how many there are.
+            // Practically no limit: a request that waits for the disk or a client occupies no core, and memory limits the
+            // number of such requests.
             max_running_per_core: 4096.0,
             drain_grace: Span::from_millis(self.grace_ms),
             classes,
--- a/crates/frontends/dns/src/udp.rs
+++ b/crates/frontends/dns/src/udp.rs
@@ -8,8 +8,9 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::os::fd::AsRawFd;
 
-/// The datagrams in one batch, and the longest datagram that is accepted.
+/// The largest number of datagrams in one batch.
 const DATAGRAMS_PER_BATCH: usize = 32;
+/// The longest datagram that is accepted.
 const MAX_DATAGRAM_BYTES: usize = 4096;
 /// The socket's receive buffer. It holds about as many small requests as are read within their latency objective; the
 /// kernel drops what does not fit.
--- a/crates/frontends/dns/tests/server.rs
+++ b/crates/frontends/dns/tests/server.rs
@@ -31,7 +31,7 @@
         "www CNAME a\na A 192.0.2.2\nbig TXT (\n\"0123456789012345678901234567890123456789\"\n\"x\" )\n",
     );
     let mut settings = primary(&folder);
-    // Without a cookie the response would be truncated, and the other library does not retry over TCP by itself.
+    // Without a cookie the response would be truncated, and the client of `hickory` does not retry over TCP by itself.
     settings.limits.proof = false;
     let server = TestServer::start(settings);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -54,7 +54,7 @@
             60,
             RData::A(hickory_proto::rr::rdata::A::new(192, 0, 2, 77)),
         );
-        // The other library verifies the signature of the response.
+        // The client of `hickory` verifies the signature of the response.
         let done = client.create(record.clone(), other("example.org.")).await.expect("answered");
         assert_eq!(u16::from(done.metadata.response_code), 0);
         let again = client.create(record, other("example.org.")).await.expect("answered");
--- a/crates/frontends/dns/tests/test_server/mod.rs
+++ b/crates/frontends/dns/tests/test_server/mod.rs
@@ -82,7 +82,7 @@
         kinds: kinds.iter().map(|kind| (*kind).to_owned()).collect(),
     };
     RawSettings {
-        // A loopback address of its own, so that no client's ephemeral port can occupy the server's.
+        // Each server has its own loopback address, so that no client's ephemeral port can occupy the server's port.
         listen: vec![(address(), 0).into()],
         state: folder.0.join("state"),
         zones: vec![RawZoneSettings {
