--- a/crates/frontends/dns/src/connection.rs
+++ b/crates/frontends/dns/src/connection.rs
@@ -135,7 +135,7 @@
         let Ok(socket) = net::Connection::new(stream) else { return };
         let handle = ConnectionHandle(Arc::default());
         let Ok(Inserted { number, evicted }) = self.table.insert(handle.clone()) else {
-            return debug!(%from, "connection refused: the table is full of busy connections");
+            return debug!(%from, "connection refused: the connection table is full and no connection is idle");
         };
         if let Some(evicted) = evicted {
             evicted.0.push(ConnectionCommand::Close(CloseReason::Evicted));
--- a/crates/frontends/dns/src/server.rs
+++ b/crates/frontends/dns/src/server.rs
@@ -433,7 +433,7 @@
     let path = folder.join(name).canonicalize().map_err(|fault| fault.to_string())?;
     let folder = folder.canonicalize().map_err(|fault| fault.to_string())?;
     if !path.starts_with(&folder) {
-        return Err("the included file is not within the zone file's folder".to_owned());
+        return Err("it is not within the zone's folder".to_owned());
     }
     std::fs::read(path).map_err(|fault| fault.to_string())
 }
--- a/crates/frontends/stream/src/body_pipe.rs
+++ b/crates/frontends/stream/src/body_pipe.rs
@@ -81,7 +81,7 @@
         self.complete && self.out.is_empty()
     }
 
-    /// Bytes held here, decoded or not, without the copy for a retry.
+    /// The bytes that the pipe holds, decoded or not, without the copy for a retry.
     pub fn buffered_bytes(&self) -> u64 {
         (self.out.len() + self.undecoded.len()) as u64
     }
@@ -243,8 +243,8 @@
         self.decoder = BodyDecoder::new(from);
     }
 
-    /// Starts the output again, for another receiver: drops waiting output, and appends `head` and then the
-    /// copy of the body in the framing `to`.
+    /// Restarts the output for another receiver: drops the waiting output, and appends `head` and then the copy
+    /// of the body in the framing `to`.
     pub fn replay(&mut self, head: &[u8], to: Framing) {
         self.out = OutputBuffer::default();
         self.out.append_to().extend_from_slice(head);
--- a/crates/frontends/stream/src/content_coder.rs
+++ b/crates/frontends/stream/src/content_coder.rs
@@ -37,7 +37,7 @@
     ZstdDecode(ZstdDecoder),
 }
 
-/// Encodes or decodes the content coding of one body.
+/// Encodes one body in a content coding, decodes it, or passes it through unchanged.
 pub struct ContentCoder {
     transform: Transform,
     growth_limit: GrowthLimit,
@@ -93,7 +93,8 @@
         matches!(self.transform, Transform::Identity)
     }
 
-    /// Codes some of `data`, appends the result to `out`, and returns how many bytes of `data` were taken.
+    /// Encodes or decodes a part of `data`, appends the result to `out`, and returns how many bytes of `data` were
+    /// taken.
     ///
     /// # Errors
     /// [`MessageError::CorruptCoding`] if the data is not valid in its coding,
--- a/crates/frontends/stream/src/proxy/client_connection.rs
+++ b/crates/frontends/stream/src/proxy/client_connection.rs
@@ -41,7 +41,7 @@
         };
         let proxy = self.clone();
         let failed = move |panic: Panic| {
-            warn!(%panic, "the coroutine of a client connection panicked");
+            warn!(%from, %panic, "client connection closed: its coroutine panicked");
             proxy.connections.remove(number);
         };
         if spawn(STACK_WORDS, work, failed).is_err() {
--- a/crates/frontends/stream/src/proxy/request_direction.rs
+++ b/crates/frontends/stream/src/proxy/request_direction.rs
@@ -62,8 +62,8 @@
         transferred
     }
 
-    /// Decodes more of the body that waits for room. Returns 1 if that changed the buffered bytes, and 0 if
-    /// not.
+    /// Decodes more of the received body, as far as there is room. Returns 1 if that changed the number of
+    /// buffered bytes, and 0 if not.
     fn decode_waiting_body(&self, state: &mut ExchangeState, room: usize) -> usize {
         if room == 0 {
             return 0;
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Transfers bytes from the upload archive to the upstream, and returns how many.
+    /// Passes bytes that were read from the upload archive to the proxied request, and returns how many. Starts
+    /// the next read of the archive if none are waiting.
     pub(super) fn read_archived_body(
         &self,
         exchange: &Exchange,
