--- a/crates/frontends/dns/src/executor.rs
+++ b/crates/frontends/dns/src/executor.rs
@@ -26,7 +26,7 @@
 
 /// How a response reaches its client.
 pub trait Transport: Clone {
-    /// Starts a transfer on the client's TCP connection. Returns false if there is no such connection.
+    /// Starts a transfer on the client's TCP connection. Returns false if there is no open one.
     fn start_transfer(&self, transfer: Box<OutgoingTransfer>) -> bool;
     /// Closes the connection at once, because a transfer on it can't be completed.
     fn abort(&self);
@@ -657,7 +657,8 @@
                     codec::TransferWriter::new(&work.request, version, from, changes, work.signer.clone());
                 work.streaming.store(true, Ordering::Relaxed);
                 self.counts.transfers += 1;
-                // If the connection has closed, its `Closed` event follows.
+                // If the connection has closed, the call fails now, although the connection's `Closed` event may not have been
+                // handled yet.
                 work.peer.start_transfer(Box::new(OutgoingTransfer { request_id, call_number, writer }))
                     || self.fail_call(request_id, call_number)
             }
--- a/crates/frontends/dns/src/tsig.rs
+++ b/crates/frontends/dns/src/tsig.rs
@@ -240,8 +240,8 @@
 pub struct Keys(pub Vec<Arc<Key>>);
 
 impl Keys {
-    /// Verifies a request's signature (RFC 8945 section 5.2); `now` is in Unix seconds. The signer that is returned, also
-    /// with an error, signs the response.
+    /// Verifies a request's signature (RFC 8945 section 5.2); `now` is in Unix seconds. The returned signer signs the
+    /// response; an error comes with a signer too.
     pub fn verify(&self, octets: &[u8], tsig: &TsigRecord, now: u64) -> Result<Signer, (TsigError, Signer)> {
         let names_match = |key: &&Arc<Key>| key.name == tsig.key && key.algorithm.name() == tsig.algorithm;
         let keys: Vec<&Arc<Key>> = self.0.iter().filter(names_match).collect();
@@ -274,10 +274,10 @@
     }
 }
 
-/// Signs the responses to one request, or one request; then verifies the responses to it.
+/// In a server, signs the responses to one request. In a client, signs one request and verifies the responses to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Signer {
-    /// `None` if the response carries an empty MAC.
+    /// The key; `None` if the message is sent with an empty MAC.
     key: Option<Arc<Key>>,
     record_names: (Name, Name),
     /// The MAC of the request or of the previous message, which the next MAC covers.
@@ -308,7 +308,7 @@
         }
     }
 
-    /// A signer for a request of this client.
+    /// Creates a signer for a request that this process sends as a client.
     pub fn for_request(key: Arc<Key>, now: u64) -> Self {
         let record_names = (key.name.clone(), key.algorithm.name());
         Self {
--- a/crates/frontends/stream/src/output_buffer.rs
+++ b/crates/frontends/stream/src/output_buffer.rs
@@ -1,6 +1,6 @@
 //! A buffer for bytes that wait to be written to a socket.
 
-/// The least capacity that is worth giving back.
+/// The least capacity, in bytes, that is worth releasing.
 const MIN_RELEASED_BYTES: usize = 4096;
 
 /// A queue of bytes: they are appended at its end and written to a socket from its front.
@@ -12,7 +12,7 @@
 }
 
 impl OutputBuffer {
-    /// All bytes that wait, the next one to be written first.
+    /// All bytes that wait to be written, in order.
     pub fn front(&self) -> &[u8] {
         &self.bytes[self.consumed..]
     }
@@ -33,8 +33,8 @@
         if self.consumed == self.bytes.len() {
             self.consumed = 0;
             self.bytes.clear();
-            // An empty buffer keeps no memory, so that a body whose receiver keeps up takes no memory
-            // between writes.
+            // An empty buffer keeps at most `MIN_RELEASED_BYTES`, so that a body whose receiver keeps up takes
+            // hardly any memory between writes.
             if self.bytes.capacity() > MIN_RELEASED_BYTES {
                 self.bytes = Vec::new();
             }
--- a/crates/frontends/stream/src/settings.rs
+++ b/crates/frontends/stream/src/settings.rs
@@ -453,8 +453,8 @@
     /// that waits for a peer occupies none. The memory of a request is its two floors.
     fn scheduling(&self) -> Settings {
         let mut classes: Vec<RequestClass> = self.stages.iter().map(ClassFile::request_class).collect();
-        // The class of requests that only query the state of an upload, which take practically no time. Its latency objective also
-        // bounds the interval of the scheduler's timer.
+        // The class of requests that only query the state of an upload, which take practically no time. Its latency
+        // objective also bounds the interval of the scheduler's timer.
         classes.push(RequestClass {
             utility: self.stages.iter().map(|stage| stage.utility).fold(0.0, f64::max),
             late_utility_fraction: 0.0,
