--- a/crates/frontends/stream/src/proxy/client_connection.rs
+++ b/crates/frontends/stream/src/proxy/client_connection.rs
@@ -41,7 +41,7 @@
         };
         let proxy = self.clone();
         let failed = move |panic: Panic| {
-            warn!(%panic, "the coroutine of a client connection panicked");
+            warn!(%from, %panic, "client connection closed: its coroutine panicked");
             proxy.connections.remove(number);
         };
         if spawn(STACK_WORDS, work, failed).is_err() {
@@ -85,7 +85,7 @@
     /// Waits for the head of a request.
     ///
     /// # Errors
-    /// `Ok` with the reason why the connection ended, or `Err` with what is wrong with the head.
+    /// `Err(Ok(_))` with the reason if the connection ended, and `Err(Err(_))` if the head is not valid.
     pub(super) fn read_head(
         &self,
         socket: &Arc<Socket>,
