--- a/crates/core/coordination/src/budgets/division.rs
+++ b/crates/core/coordination/src/budgets/division.rs
@@ -8,7 +8,7 @@
 /// Thousandths of a unit per unit.
 pub const MILLIUNITS_PER_UNIT: u64 = 1000;
 /// The largest part of the surplus that a holder gets, as a multiple of the square root of its demand. The rest of the
-/// surplus stays free for newcomers.
+/// surplus stays free for new holders.
 const MAX_SURPLUS_ROOTS: u128 = 3;
 
 /// Divides `capacity`, which is in whole units, among holders with the given demands.
--- a/crates/core/coordination/src/budgets/mod.rs
+++ b/crates/core/coordination/src/budgets/mod.rs
@@ -183,7 +183,7 @@
                 let with_turn = target + u64::from(self.rotation.has_turn(incarnation));
                 with_turn.max(immediate)
             }
-            // A newcomer gets at least one unit to start with.
+            // A new holder gets at least one unit to start with.
             None => immediate.max(self.terms.min_per_node).max(1),
         }
     }
--- a/crates/core/membership/src/lib.rs
+++ b/crates/core/membership/src/lib.rs
@@ -1,7 +1,8 @@
 //! Membership of a fleet, without I/O.
 //!
-//! - [`Membership`] derives the state of each member from observations. A member whose silence is too unlikely for the
-//!   [`PhiAccrualDetector`] becomes suspect; limits prevent that too many members are ejected at the same time.
+//! - [`Membership`] derives the state of each member from observations. A member becomes suspect when it is silent for
+//!   so long that the [`PhiAccrualDetector`] considers a healthy member's silence of that length too unlikely. Limits
+//!   prevent too many members from being ejected at the same time.
 //! - [`ViewPublisher`] publishes numbered membership views ([`MembershipView`]). A new view is published only if it
 //!   differs from the last one, the difference has lasted for some time, and enough members are kept.
 
--- a/crates/core/membership/src/member.rs
+++ b/crates/core/membership/src/member.rs
@@ -80,7 +80,7 @@
     HeartbeatAfterDrain,
     /// The slow start of the member ended.
     SlowStartEnded,
-    /// The silence of the member was too unlikely for the failure detector.
+    /// The member was silent for so long that phi exceeded the threshold of the failure detector.
     Silent {
         /// How long the member had been silent.
         silence: Span,
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Makes the member suspect, because its silence became too unlikely.
+    /// Makes the member suspect, because phi of its silence exceeded the threshold.
     pub fn suspect(&mut self, now: Instant, phi: f64, kept_in_view: Option<KeptReason>) {
         let silence = self.detector.silence(now);
         self.overdue_since = None;
--- a/crates/core/membership/src/membership.rs
+++ b/crates/core/membership/src/membership.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Makes members suspect whose silence is too unlikely for the failure detector. If many fall silent together, it is
+    /// Makes the members suspect for whose silence phi exceeds the threshold. If many fall silent together, it is
     /// more likely that the observer receives nothing than that all of them failed, so they are kept in the view.
     fn suspect_silent_members(&mut self, now: Instant) {
         let limits = self.limits;
@@ -225,7 +225,7 @@
                 MemberState::Draining if member.detector.silence(now) >= limits.removal_time => {
                     member.set_state(now, MemberState::Removed, StateReason::Drained);
                 }
-                // The member has been ready for long, so earlier suspicions no longer prolong its recovery time.
+                // The member has been ready for a long time, so earlier suspicions no longer prolong its recovery time.
                 MemberState::Ready if age >= limits.removal_time => member.recent_suspicions = 0,
                 _ => {}
             }
--- a/crates/core/wal/src/recovery.rs
+++ b/crates/core/wal/src/recovery.rs
@@ -5,8 +5,8 @@
 //! distinguished from a torn tail, so that entry is truncated too.
 //!
 //! Anything else that is unreadable in the log files is damage. Reading ends there, and nothing may be appended until an
-//! operator has examined the files. If a snapshot is damaged, an older one is used, provided that the log files since then
-//! still exist.
+//! operator has examined the files. If a snapshot is damaged, an older one is used, provided that all log files after
+//! it still exist.
 
 use crate::files::{file_name, generations, is_snapshot, FileKind};
 use crate::frame::{any_frame, decode_checksummed_file, read_frame, LOG_MAGIC};
@@ -140,7 +140,7 @@
                 self.recovered.snapshot = Some(snapshot.content.to_vec());
                 return Ok(generation);
             }
-            // An older snapshot can replace this one if all log files since then exist.
+            // The state can still be restored from an older snapshot, if all log files after that snapshot exist.
             self.recovered.damage.push(DamagedFile { file, offset: 0, damage: Damage::Snapshot });
         }
         Ok(0)
--- a/crates/frontends/net/src/coroutine.rs
+++ b/crates/frontends/net/src/coroutine.rs
@@ -34,8 +34,8 @@
     catch_unwind(AssertUnwindSafe(function)).map_err(|payload| Panic::from_payload(&*payload))
 }
 
-/// Starts a coroutine with a stack of `stack_words` machine words. If it panics, `on_panic` is called; otherwise the
-/// panic would end the coroutine without a trace.
+/// Starts a coroutine with a stack of `stack_words` machine words. If it panics, `on_panic` is called; without
+/// it, the panic would end the coroutine and not be reported.
 ///
 /// # Errors
 /// The stack could not be allocated.
--- a/crates/frontends/net/src/lib.rs
+++ b/crates/frontends/net/src/lib.rs
@@ -1,8 +1,8 @@
 //! The input and output that all frontends share.
 //!
 //! Contains sockets and connections, reasons for closing a connection, listeners, the table of open connections, the
-//! timer, the clock, a directory as storage, and what the `main` functions have in common. It knows no protocol and makes
-//! no scheduling decisions.
+//! timer, the clock, a directory as storage, and what the `main` functions have in common. It implements no
+//! protocol and makes no scheduling decisions.
 
 pub mod clock;
 pub mod close_reason;
--- a/crates/frontends/net/src/listener.rs
+++ b/crates/frontends/net/src/listener.rs
@@ -15,7 +15,7 @@
 /// The pause after a failed `accept`. Without it the loop would spin when no file descriptor is left, because each
 /// `accept` then fails at once.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How many pauses [`ListenerSet::close`] waits at most until all listeners are closed.
+/// The longest time that [`ListenerSet::close`] waits until all listeners are closed, in pauses.
 const MAX_CLOSE_PAUSES: usize = 10;
 
 /// The listeners of a frontend, which are closed together.
--- a/crates/lynxtally-adapter/src/fleet.rs
+++ b/crates/lynxtally-adapter/src/fleet.rs
@@ -44,7 +44,7 @@
 #[derive(Default)]
 struct Fleet {
     backends: BTreeMap<u64, Backend>,
-    /// Backends that were started or got an event in the current batch, in the order of the first of these.
+    /// Backends that were started or got an event in the current batch, in the order of the first message for each.
     pending: Vec<u64>,
     /// The time of the current batch; `None` between batches.
     batch_time: Option<Instant>,
--- a/crates/lynxtally-coordinator/src/net/mod.rs
+++ b/crates/lynxtally-coordinator/src/net/mod.rs
@@ -14,7 +14,7 @@
 /// The maximum length of a message between coordinators, in bytes.
 pub(crate) const MAX_PEER_MESSAGE_BYTES: usize = 32 << 20;
 
-/// The request of a coordinator that starts: how much of the log did it acknowledge?
+/// The request of a coordinator that starts, for the highest log index that it acknowledged before.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct StartupCheck {
--- a/crates/lynxtally-coordinator/src/startup.rs
+++ b/crates/lynxtally-coordinator/src/startup.rs
@@ -1,6 +1,6 @@
 //! The check before a replica takes part in the replication: its log must not be shorter than what it acknowledged.
 //!
-//! Safety rule: a replica must not vote with an older copy of its folder. It has forgotten entries and votes that it
+//! Safety rule: a replica must not vote with an older copy of its folder. It lacks entries and votes that it
 //! acknowledged, so its vote could form a majority that undoes committed entries. Each tick therefore records in the
 //! replicated state how much of the log each replica acknowledged, and a replica asks the other coordinators for this when
 //! it starts. With an older copy the coordinator ends with the error "this is an older copy".
@@ -19,7 +19,7 @@
 /// After this many rounds of requests, responses from a majority suffice. Until then all other coordinators have to respond.
 /// A round takes up to one election timeout.
 const ROUNDS_FOR_ALL_RESPONSES: u32 = 10;
-/// The number of delays between rounds that make one election timeout.
+/// The delay between two rounds is the election timeout divided by this.
 const ROUND_DELAYS_PER_ELECTION_TIMEOUT: u32 = 5;
 
 /// Checks that the log reaches the highest index that another coordinator reports for this one. Waits without limit for
--- a/crates/lynxtally-node/src/event_loop/executor.rs
+++ b/crates/lynxtally-node/src/event_loop/executor.rs
@@ -37,7 +37,7 @@
 pub(super) struct NodeExecutor {
     link: Arc<ExecutorHandle>,
     downstream: Arc<DownstreamClient>,
-    /// Whether the current link is up and caught up, so that commands can be sent on it.
+    /// Whether commands can be sent on the current link: it is up, and the executor has reported all earlier events.
     is_linked: bool,
     /// How many `ReportGauges` commands have been sent. The count is the number of the last one.
     gauges_requested: u64,
--- a/crates/lynxtally-node/src/event_loop/requests.rs
+++ b/crates/lynxtally-node/src/event_loop/requests.rs
@@ -43,10 +43,11 @@
 
     /// Answers a request that the engine rejected.
     ///
-    /// The response `Rejected` guarantees that the request was not executed. The guarantee holds if the executor is
-    /// not up yet. If the id is in use, the client can't distinguish this request from the open one with the same id,
-    /// which may be running. A request with effects is then answered with `Failed`, because the client could apply
-    /// the guarantee to the open request.
+    /// The response `Rejected` guarantees that the request was not executed. It is given if the engine is not ready,
+    /// because it then executes nothing. If the id is in use, the client can't distinguish this request from the open
+    /// one with the same id, which may be running. Unless the request is idempotent, it is then answered with `Failed`,
+    /// because the client could apply the guarantee to the open request. For a similar reason, `Failed` is the answer
+    /// if the idempotency key belongs to another request.
     fn respond_to_rejection(&self, id: &str, effect: Effect, rejection: &Rejection<ConnectionHandle>) {
         let reason = rejection.reason;
         if self.counters.requests_refused.get() == 0 {
--- a/crates/lynxtally-node/src/listener/connection.rs
+++ b/crates/lynxtally-node/src/listener/connection.rs
@@ -359,6 +359,6 @@
 enum CloseTiming {
     /// Now, even though the client has not read its last response.
     Immediate,
-    /// After the responses are written, or not at all if the command is ignored.
+    /// Once all responses are written. If the command is ignored, the connection stays open.
     Deferred,
 }
--- a/crates/lynxtally-node/tests/races.rs
+++ b/crates/lynxtally-node/tests/races.rs
@@ -173,7 +173,7 @@
     let start = Instant::now();
     assert_eq!(half.read_to_end().expect("connection closed without a reset"), b"");
     let Exit { succeeded, .. } = node.wait();
-    // The kill would come at 5000 ms.
+    // The process would be killed 5000 ms after SIGTERM.
     assert!(succeeded && start.elapsed() < Duration::from_millis(5000), "{:?}", start.elapsed());
 }
 
@@ -190,7 +190,7 @@
     node.reload(&node.config_text.replace("\"stop_ms\":3000", "\"stop_ms\":60000"));
     let start = Instant::now();
     assert_eq!(open.response().0, 500, "a failure before the kill that follows the first SIGTERM");
-    // The limit is far below the 60 s of the reloaded configuration, and suffices on slow machines.
+    // The limit is far below the shutdown timeout of the reloaded configuration (60 s), and suffices on slow machines.
     assert!(node.wait().succeeded && start.elapsed() < Duration::from_secs(20), "{:?}", start.elapsed());
 }
 
--- a/src/outbox.rs
+++ b/src/outbox.rs
@@ -1,5 +1,5 @@
 //! Turns state changes into actions: compares what the policy wants with what the host was last told. A request gets
-//! at most an action for its key, its final response and its change of state, in this order.
+//! at most one action each for its key, its final response and its change of state, in this order.
 
 use crate::action::Action;
 use crate::request::{Request, RequestState};
@@ -25,7 +25,8 @@
 }
 
 impl Outbox {
-    /// An outbox for a host that was told nothing yet and has to set the timer.
+    /// Creates the outbox of a new backend. The host knows neither the backend's health nor its capacity yet, and has
+    /// not set the timer.
     pub fn new(timer_period: Span) -> Self {
         Self {
             notified_health: None,
@@ -122,9 +123,9 @@
             }
             (RequestState::AwaitingCall, RequestState::Running) => actions.push(Action::Degrade(id)),
             (RequestState::Running, RequestState::Finishing) => actions.push(Action::Stop(id)),
-            // The host knows all other changes. If a request gets its final response while its run waits for a call or
-            // makes one, no action is needed: the executor gives no call result to a request that has ended, and ends
-            // the run.
+            // All other changes follow from an event or from another action, so the host knows them. If a request gets
+            // its final response while its run waits for a call or makes one, no action is needed: the executor gives
+            // no call result to a request that has ended, and ends the run.
             _ => {}
         }
     }
--- a/src/pcg.rs
+++ b/src/pcg.rs
@@ -1,4 +1,4 @@
-//! The random number generator of the decisions, which are the only random part of the library.
+//! The random number generator of the policy. Nothing else in the library is random.
 
 /// A permuted congruential generator (PCG-XSH-RR 64/32, after O'Neill).
 #[derive(Clone, Debug)]
--- a/src/policy/advertise.rs
+++ b/src/policy/advertise.rs
@@ -1,8 +1,8 @@
 //! Advertised capacity, health check result and Retry-After.
 //!
 //! The advertised capacity follows the target concurrency: the number of requests that keeps the cores and
-//! the downstream calls busy without a long queue, less as the receive delay grows. Retry-After is the time
-//! to drain the queue, randomized so that rejected callers don't return at the same moment. During a
+//! the downstream calls busy without a long queue. It falls as the receive delay grows. Retry-After is the
+//! time to drain the queue, randomized so that rejected callers don't return at the same moment. During a
 //! shutdown health checks fail, no capacity is advertised, and Retry-After has its maximum.
 
 use super::Policy;
--- a/src/policy/arrival.rs
+++ b/src/policy/arrival.rs
@@ -11,7 +11,7 @@
 use crate::request::{Request, RequestState, RequestTimer};
 use crate::*;
 
-/// Fraction of the latency objective left at each further tier; its callers are backends that used the rest.
+/// Fraction of the latency objective that a tier leaves to the tier below it; it uses the rest itself.
 const TIER_OBJECTIVE_FRACTION: f64 = 1.0 / 3.0;
 /// Lower bound of the expected work, in seconds.
 const MIN_EXPECTED_WORK_SECS: f64 = 1e-6;
--- a/src/policy/call_budget.rs
+++ b/src/policy/call_budget.rs
@@ -46,9 +46,9 @@
             }
             _ => (f64::INFINITY, None, Span::ZERO),
         };
-        // The calls of earlier processes are unknown, so the budget counts as spent, evenly over the last
-        // window. After a cold start several processes may have run within it; else one call may still
-        // start.
+        // The calls of earlier processes are unknown, so the budget is assumed to be spent, evenly over the
+        // last window. Without a cold start, one call may start at once. With one, none may, as several
+        // processes may have run within the window.
         let unobserved_call_secs = lag.secs() + mean_objective_secs * UNOBSERVED_COST_FRACTION;
         let allowance_secs = if settings.cold_start { 0.0 } else { unobserved_call_secs };
         let window = averaging_window.unwrap_or(Span::ZERO);
@@ -59,7 +59,7 @@
         Self { mean_calls, averaging_window, lease: None, usage }
     }
 
-    /// The bound on calls in flight now. A lease holds at each moment, so cancelled calls are counted one by
+    /// The bound on calls in flight now. A lease bounds each moment, so cancelled calls are counted one by
     /// one; the settings' share is a mean, for which the expected number of cancelled calls is enough.
     pub fn concurrency(&mut self, now: Instant) -> Concurrency {
         match self.lease {
--- a/src/policy/call_retry.rs
+++ b/src/policy/call_retry.rs
@@ -42,7 +42,8 @@
     pub(super) fn call_timeout(&self, id: RequestId) -> Span {
         let request = &self.requests[id];
         let time_left = self.time_for_call(id);
-        // Twice the slow-call limit at the first attempt, doubled at each further one.
+        // At the first attempt, twice the time after which a failed call is a sign of overload; doubled at
+        // each further attempt.
         let growth = f64::from(2 << request.call.attempts);
         let usual_secs = self.call_window.usual_call_secs;
         let attempt_timeout = Span::from_secs(usual_secs * SLOW_CALL_FACTOR * growth);
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -37,7 +37,7 @@
         now < self.paused_until
     }
 
-    /// Moves the mean call time by a fraction of the difference; the first call sets it.
+    /// Moves the mean call time by a fraction of a call's difference from it; the first call sets the mean.
     fn learn_call_secs(&mut self, difference_secs: f64) {
         let gain = if self.usual_call_secs > 0.0 { LEARNING_GAIN } else { 1.0 };
         self.usual_call_secs += difference_secs * gain;
--- a/src/policy/deadline.rs
+++ b/src/policy/deadline.rs
@@ -29,7 +29,7 @@
     }
 
     /// Expected wait for a call of this class in the call queue, in seconds. A run that can't make its call
-    /// in time wastes its core time, so this wait counts like that in the run queue.
+    /// in time wastes its core time, so this wait counts like the wait in the run queue.
     fn call_queue_secs(&self, class: usize) -> f64 {
         let may_call = self.settings.classes[class].calls_downstream;
         let queued_calls = if may_call { self.requests.call_queue().len() } else { 0.0 };
@@ -42,7 +42,8 @@
         self.requests.set_timer(id, self.now, self.now + until_latest_start * FULL_RATE_FRACTION);
     }
 
-    /// Rejects requests that are behind a long queue or can't respond in time, while another backend may.
+    /// Rejects requests that are behind a long queue or can't get a response in time here, as long as another
+    /// backend may still respond in time.
     /// Without this, slow cores and backlogs of any cause lead to late responses. Drawback: rejects too many
     /// requests if the expected cost is too high.
     pub(super) fn reject_infeasible(&mut self) {
@@ -111,9 +112,9 @@
         }
     }
 
-    /// Rejects a queued request at its latest start. Before that, lowers its rate once, so that a similar new
-    /// request starts first: this one may respond late and waste its run. Without this, long queues of any
-    /// cause lead to runs that end at their deadline. Drawback: loses utility where costs hardly vary.
+    /// Rejects a queued request at its latest start. Before that, lowers its rate once, so that similar new
+    /// requests start first: the run of the older one may end too late. Without the lower rate, long queues
+    /// of any cause lead to runs that end at their deadline. Drawback: loses utility where costs hardly vary.
     fn check_queued(&mut self, id: RequestId) {
         let latest_start = self.latest_start(&self.requests[id]);
         if latest_start <= self.now {
--- a/src/policy/learning.rs
+++ b/src/policy/learning.rs
@@ -12,7 +12,7 @@
 use crate::tenant_rates::TenantRates;
 use crate::*;
 
-/// Gain of the averages for each run (cost, throughput), call (usual call time) and arrival (callers).
+/// Gain of the averages that a run (cost, throughput), a call (call time) or an arrival (callers) updates.
 pub(super) const LEARNING_GAIN: f64 = 1.0 / 16.0;
 /// Gain of the learned cost for the first run of a class.
 const FIRST_RUN_GAIN: f64 = 0.5;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -60,7 +60,7 @@
     /// The mean latency objective of all classes, in seconds.
     mean_objective_secs: f64,
     /// Whether one class has far more utility than the mean. Callers that are told to hold off reject
-    /// requests of every class; then that loses more utility than it costs to read all requests here.
+    /// requests of every class. With a dominant class, that loses more utility than reading them all costs.
     has_dominant_class: bool,
 }
 
--- a/src/request.rs
+++ b/src/request.rs
@@ -55,7 +55,8 @@
     pub core_secs: f64,
 }
 
-/// A retained idempotency key, or response that may serve other requests, and whether the host was told.
+/// Until when the request's idempotency key, or its response for coalescable requests, is retained, and whether the
+/// host was told.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct RetainedKey {
     pub until: Option<Instant>,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -82,7 +82,7 @@
     pub running_memory_factor: f64,
     /// The memory of a retained idempotency key, in kilobytes.
     pub idempotency_key_kb: f64,
-    /// Whether this backend starts cold.
+    /// Whether this backend starts cold, that is, slower than at its full speed.
     pub cold_start: bool,
     /// The smallest fraction of its full speed at which a cold backend starts.
     pub cold_capacity_fraction: f64,
--- a/tests/policy/arrival.rs
+++ b/tests/policy/arrival.rs
@@ -68,8 +68,9 @@
     assert!(host.actions.contains(&Action::ReleaseId(first)));
 }
 
-/// A duplicate of an executed request arrives after the grace of a shutdown, or is not prepaid. When these were
-/// checked before duplicates, it was rejected, which tells the caller that it was never executed.
+/// A duplicate of an executed request arrives after the grace of a shutdown, or is not prepaid. When the shutdown and
+/// the prepayment were checked first, the duplicate was rejected, which tells the caller that the request was never
+/// executed.
 #[test]
 fn a_duplicate_of_an_executed_request_is_not_rejected_in_a_shutdown_or_without_prepayment() {
     let mut settings = two_core_settings();
--- a/tests/policy/call_budget.rs
+++ b/tests/policy/call_budget.rs
@@ -133,8 +133,8 @@
     }
 }
 
-/// All backends restart at once while the dependency is slow. The calls of the earlier processes are still running,
-/// and have to count as the whole share, spent evenly.
+/// All backends restart at once while the dependency is slow. The calls of the earlier processes are still running, so
+/// each new process has to assume that its whole share is spent, evenly over the window.
 #[test]
 fn a_process_that_starts_leaves_room_for_the_calls_of_the_one_before_it() {
     let share = 0.41;
