--- a/crates/frontends/net/src/fair_yield.rs
+++ b/crates/frontends/net/src/fair_yield.rs
@@ -49,7 +49,7 @@
         spawn(
             STACK_WORDS,
             work,
-            |panic| error!(%panic, "fair-yield coroutine panicked; connections that yield may stall"),
+            |panic| error!(%panic, "coroutine that wakes yielding connections panicked; they may stall"),
         )?;
         Ok(fair_yield)
     }
--- a/crates/lynxtally-coordinator/src/leader.rs
+++ b/crates/lynxtally-coordinator/src/leader.rs
@@ -167,7 +167,7 @@
             let leads = self.leading_term().is_some();
             if leads != was_leading {
                 was_leading = leads;
-                info!(leads, "this coordinator's leadership changed; `leads` is whether it leads now");
+                info!(leads, "this coordinator gained or lost the leadership");
                 self.reset_suspicion(leads);
             }
             if !leads || !self.state.read(|state| state.needs_ticks()) {
