--- a/tests/policy/selection.rs
+++ b/tests/policy/selection.rs
@@ -21,8 +21,8 @@
     assert_eq!(started, [true, true, false, false], "one request a core until the throughput is learned");
 }
 
-/// By a rough estimate, a request takes longer than the time that it has left. Such a request was rejected although cores
-/// were idle.
+/// By a rough estimate, a request takes longer than the time that it has left. Such a request was rejected although
+/// cores were idle.
 #[test]
 fn a_request_that_is_expected_to_be_late_starts_while_a_core_is_free() {
     let mut host = FakeHost::new(two_core_settings());
