--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -10,7 +10,7 @@
 /// Commands for experiments.
 #[derive(Subcommand)]
 pub enum Verb {
-    /// Run an experiment on the emulated fleet; runs whose records exist already are not repeated
+    /// Run an experiment on the simulated fleet; runs whose records exist already are not repeated
     Run {
         /// The experiment's specification, a template
         file: PathBuf,
@@ -28,11 +28,11 @@
         /// Records of the second build
         other: PathBuf,
     },
-    /// Print what happened to one task of a run
+    /// Print what happened to one client request of a run
     Explain {
         /// The experiment's specification
         file: PathBuf,
-        /// The task's number
+        /// The number of the client request
         task: u32,
         /// The scheduling policy
         #[arg(long, default_value = "module")]
@@ -52,8 +52,8 @@
     },
     /// Search for the scenario in which the first policy loses most against the best of the others
     Search {
-        /// The specification: its fleet, stages, policies and seeds apply; loads between its lowest and its
-        /// highest are tried
+        /// The experiment's specification, which sets the fleet, the request classes (`stages`), the policies and the
+        /// seeds; the search varies the load between the lowest and the highest of the specification
         file: PathBuf,
         /// Number of starting points
         #[arg(long, default_value_t = 16)]
@@ -71,7 +71,7 @@
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Check the emulator's models against known results
+    /// Check the simulator against closed-form results of queueing theory
     Check,
 }
 
@@ -119,7 +119,7 @@
             let cell = Cell { policy, nodes, load, script, seed: seed.unwrap_or(spec.seeds[0]) };
             let lines = explain(&spec, &cell, task);
             if lines.is_empty() {
-                return Err(Failed::Error(format!("the run has no task {task}")));
+                return Err(Failed::Error(format!("the run has no client request {task}")));
             }
             lines.iter().for_each(|line| println!("{line}"));
             Ok(())
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -47,7 +47,7 @@
     /// Proxy for long requests and responses between clients and upstreams
     #[command(subcommand)]
     Stream(streams::Verb),
-    /// Experiments on an emulated fleet
+    /// Experiments on a simulated fleet
     #[command(subcommand)]
     Lab(lab::Verb),
     /// Settings templates
--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -34,7 +34,7 @@
         /// Apex of the zone; by default the owner of the SOA
         #[arg(long)]
         apex: Option<Name>,
-        /// Maximum number of refused records in a usable file
+        /// Maximum number of refused records; a file with more of them is unusable
         #[arg(long, default_value_t = usize::MAX)]
         refused_most: usize,
     },
@@ -323,7 +323,7 @@
         .transfer(zone, soa.as_ref(), usize::MAX / 2, rand::rng().random())
         .map_err(|fault| failure(format!("{}: {fault}", client.server)))?;
     match brought {
-        TransferResult::UpToDate(serial) => println!("; up to date: the server has serial {serial}"),
+        TransferResult::UpToDate(serial) => println!("; no changes: the server has serial {serial}"),
         TransferResult::Incremental(changes) => changes.iter().for_each(print_change),
         TransferResult::Full(records) => {
             let version =
--- a/crates/cli/src/streams.rs
+++ b/crates/cli/src/streams.rs
@@ -17,7 +17,7 @@
         #[arg(long)]
         settings: PathBuf,
     },
-    /// Check settings; with a path, also print the stage of a request
+    /// Check settings; with a path, also print the request class (`stages`) of requests with this method and path
     Check {
         /// The server's settings
         #[arg(long)]
--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -43,8 +43,8 @@
 }
 
 impl Steps {
-    /// Parses and adds a step: `add NAME TTL KIND DATA`, `del NAME [KIND [DATA]]`, `need NAME [KIND [DATA]]` or
-    /// `need-not NAME [KIND]`.
+    /// Parses a step and appends it. An operation is `add NAME TTL KIND DATA` or `del NAME [KIND [DATA]]`. A prerequisite is
+    /// `need NAME [KIND [DATA]]`, records that must exist, or `need-not NAME [KIND]`, records that must not exist.
     pub fn add(&mut self, text: &str, zone: &Name) -> Result<(), String> {
         let words = words(text)?;
         let word = |n: usize| words.get(n).map(|word| String::from_utf8_lossy(word.text).into_owned());
--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -60,13 +60,13 @@
     decayed_at: Instant,
     /// The longest lease duration since the table was last empty; counts decay over this time.
     typical_duration: Span,
-    /// When addresses of a name were removed, for one lease duration back.
+    /// The times at which addresses of each name were removed; times older than one lease duration are dropped.
     recent_removals: BTreeMap<Name, Vec<Instant>>,
     /// When the path to the clients became suspect; none if it is not.
     suspect_since: Option<Instant>,
 }
 
-/// The consequences of expired leases.
+/// What happens to the records whose leases expired.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LeaseExpiry {
     /// Records to remove.
@@ -160,9 +160,10 @@
         }
     }
 
-    /// Decides whether the path to the clients is suspect: many leases expired that were due for renewal. This
-    /// detects a broken network path, a stopped local clock and a restart during renewals. The downside: if most
-    /// clients leave together without deregistering, their records are retained until others renew.
+    /// Decides whether the path to the clients is suspect: at least `suspect_min_expired` leases expired recently,
+    /// and they are more than the fraction `suspect_fraction` of all leases that were due for renewal. This rule
+    /// detects a broken network path, a stopped local clock and a restart during renewals. Its downside: if most
+    /// clients leave together without deregistering, their records are retained until other clients renew.
     fn update_suspicion(&mut self, now: Instant) -> Option<bool> {
         let missing = self.expired >= self.limits.suspect_min_expired as f64;
         let share = self.expired / (self.expired + self.renewed).max(1e-9);
--- a/crates/core/zones/src/lib.rs
+++ b/crates/core/zones/src/lib.rs
@@ -3,7 +3,8 @@
 //! belong to the DNS frontend.
 //!
 //! [`zone_store::ZoneStore`] holds one zone; [`lookup::lookup`] answers a query from one version of it;
-//! [`secondary`] keeps a zone in step with its primaries; [`rate_limit`] finds the clients that exceed their share of requests.
+//! [`secondary`] decides when a secondary zone queries its primaries and transfers the zone; [`rate_limit`] finds the prefixes of
+//! client addresses that exceed their share of requests.
 
 #![forbid(unsafe_code)]
 
--- a/crates/core/zones/src/lookup.rs
+++ b/crates/core/zones/src/lookup.rs
@@ -11,7 +11,8 @@
 
 /// Maximum number of CNAME and DNAME steps that one response follows.
 const MAX_ALIASES: usize = 16;
-/// Maximum number of targets whose addresses are added to one response.
+/// Maximum number of names in a record set, such as the servers in an NS, MX or SRV set, whose addresses are added
+/// to the additional section.
 const MAX_TARGETS: usize = 16;
 
 /// A record set in a response.
@@ -181,7 +182,7 @@
     }
 }
 
-/// Adds the addresses of the targets in a record set, including glue.
+/// Adds the addresses, including glue, of the names that a record set such as NS, MX or SRV refers to.
 fn add_target_addresses<'a>(zone: &'a Zone, set: &'a RecordSet, found: &mut LookupResult<'a>) {
     for target in set.records().filter_map(|data| set.kind.additional_name(data)).take(MAX_TARGETS) {
         if set.kind == RecordType::CNAME || set.kind == RecordType::PTR {
--- a/crates/core/zones/src/name.rs
+++ b/crates/core/zones/src/name.rs
@@ -43,7 +43,7 @@
             Self::EmptyLabel => "a name with an empty label",
             Self::LongLabel => "a label of over 63 octets",
             Self::Long => "a name of over 255 octets",
-            Self::Escape => "a backslash that begins no escape",
+            Self::Escape => "a backslash that does not start a valid escape",
             Self::Relative => "a relative name, and no origin is set",
             Self::Short => "a name that is cut short or followed by more octets",
             Self::LabelKind => "a label of an unknown kind",
--- a/crates/core/zones/src/name_tree.rs
+++ b/crates/core/zones/src/name_tree.rs
@@ -13,8 +13,8 @@
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// Hash bits used per level, and the number of levels. Labels whose used hash bits are all equal share a list
-/// below the last level.
+/// Number of bits of a label's hash that select a slot on each level, and number of levels. Labels whose bits are equal
+/// on all levels share a list below the last level.
 const HASH_BITS_PER_LEVEL: u32 = 5;
 const LEVELS: u32 = 60 / HASH_BITS_PER_LEVEL;
 
--- a/crates/core/zones/src/rate_limit.rs
+++ b/crates/core/zones/src/rate_limit.rs
@@ -7,7 +7,7 @@
 use std::hash::Hasher;
 use std::net::IpAddr;
 
-/// Number of cells per prefix; the smallest one is the estimate.
+/// Number of rows. A prefix has one cell in each row, and the smallest of its cells is the estimate of its count.
 const ROWS: usize = 4;
 
 /// Approximate counts by prefix that decay exponentially.
@@ -23,7 +23,7 @@
     total_period: u32,
 }
 
-/// Part of a count that remains after each period; a count thus covers about two periods.
+/// Fraction of a count that remains after each period. A count thus covers about two periods.
 const REMAINDER_PER_PERIOD: f32 = 0.5;
 
 /// The prefix by which clients are counted: 24 bits of an IPv4 address, 56 bits of an IPv6 address.
--- a/crates/core/zones/src/record_data.rs
+++ b/crates/core/zones/src/record_data.rs
@@ -18,7 +18,7 @@
 /// Why a text is not valid record data.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InvalidRecordData {
-    /// The index of the faulty token; past the last one if something is missing.
+    /// The index of the invalid token; the number of tokens if a field is missing at the end.
     pub token_index: usize,
     /// A description of the error.
     pub reason: String,
@@ -84,7 +84,7 @@
 impl fmt::Display for FieldError {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Self::Escape => f.write_str("a backslash that begins no escape"),
+            Self::Escape => f.write_str("a backslash that does not start a valid escape"),
             Self::LongString => f.write_str("a string of over 255 octets"),
             Self::Name(fault, word) => write!(f, "{fault}: {word:?}"),
             Self::InvalidValue(word, what) => write!(f, "{word:?} is not a valid {what}"),
@@ -332,7 +332,8 @@
         text
     }
 
-    /// The name in the data whose addresses belong into the additional section (RFC 1035 section 3.3, RFC 2782).
+    /// The name that the data refers to; none if the type has no such name. A response that contains the record may hold
+    /// the addresses of this name in its additional section (RFC 1035 section 3.3, RFC 2782).
     pub fn additional_name(self, data: &[u8]) -> Option<&[u8]> {
         let at = match self {
             Self::NS | Self::CNAME | Self::DNAME | Self::PTR => 0,
--- a/crates/core/zones/src/secondary/transfer.rs
+++ b/crates/core/zones/src/secondary/transfer.rs
@@ -12,7 +12,8 @@
 /// The content of a completed transfer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TransferResult {
-    /// The primary has nothing newer than the requested serial; this is the primary's serial.
+    /// The primary sent its serial and no changes. The secondary is up to date, unless this serial is newer than its
+    /// own; then the full zone has to be requested.
     UpToDate(Serial),
     /// All records of the zone (AXFR, or an IXFR that the primary answered with the full zone).
     Full(Vec<Record>),
@@ -187,8 +188,9 @@
         self.state = TransferState::Removed;
     }
 
-    /// Handles the end of a message. If the first message of an IXFR holds a single SOA, the requested version is
-    /// up to date or the full zone must be requested (RFC 1995 section 2).
+    /// Handles the end of a message. If the first message of an IXFR response holds nothing but one SOA, the primary
+    /// sends no changes (RFC 1995 section 2). The caller compares the returned serial with its own: if it is newer,
+    /// the caller has to request the full zone.
     pub fn message_ended(&mut self) -> Option<TransferResult> {
         if matches!(self.state, TransferState::First) && self.asked_from.is_some() {
             let serial = self.newest.as_ref().map(Self::serial)?;
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -24,9 +24,9 @@
     NameExists,
     /// A record set that must exist is missing or has other records.
     SetMissing,
-    /// A record set that must not exist does.
+    /// A record set that must not exist does exist.
     SetExists,
-    /// The key of the update is not permitted to make this change.
+    /// The key of the update is not permitted to make this change, or the zone would get too many records.
     NotAllowed,
     /// The zone accepts no updates at present.
     Frozen,
@@ -359,8 +359,8 @@
     })
 }
 
-/// The serial of a zone file that was read again: its own if that is newer than the one in force, else the next
-/// one.
+/// The serial that a zone gets when its file was read again: the file's serial if that is newer than the zone's serial
+/// in force, else the successor of the serial in force.
 pub fn reload_serial(in_force: Serial, file: Serial) -> Serial {
     if file.newer_than(in_force) {
         file
--- a/crates/core/zones/src/zone_file/mod.rs
+++ b/crates/core/zones/src/zone_file/mod.rs
@@ -35,7 +35,7 @@
 /// Limits for parsing a zone file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneFileLimits {
-    /// Maximum number of refused records in a usable file.
+    /// Maximum number of refused records; a file with more of them is unusable.
     pub max_refused: usize,
     /// Maximum depth of nested `$INCLUDE` directives.
     pub max_include_depth: usize,
--- a/crates/core/zones/src/zone_store/reload.rs
+++ b/crates/core/zones/src/zone_store/reload.rs
@@ -48,7 +48,10 @@
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
             Self::SerialNotNewer { file, before } => {
-                write!(f, "the file's serial {file} is not newer than {before}, which was read before")
+                write!(
+                    f,
+                    "the file's serial {file} is not newer than {before}, the serial of the file read before"
+                )
             }
             Self::Unchanged => f.write_str("the file's records did not change"),
         }
@@ -79,7 +82,7 @@
 
 impl ReloadInput {
     /// Prepares a new base. The cost grows with the size of the file, so callers run it in the background.
-    /// [`super::ZoneStore::reload`] applies the changes that are accepted in the meantime.
+    /// [`super::ZoneStore::reload`] then applies the changes that were accepted during the preparation.
     pub fn prepare(&self, base: Zone) -> Result<PreparedReload, ReloadError> {
         let (file, before) = (base.serial(), self.base.serial());
         if file != before && !file.newer_than(before) {
@@ -128,7 +131,8 @@
         (ZoneLogEntry::Based { base: base_file, serial, since }, conflicts, retired)
     }
 
-    /// Makes a prepared base the base and applies the changes accepted since its preparation to the new version.
+    /// Installs a prepared base. The newest version becomes the prepared one with the changes in `since` applied,
+    /// which were accepted after the preparation began.
     pub(super) fn install_base(
         &mut self,
         file: String,
@@ -140,8 +144,8 @@
         let PreparedReload { base, mut merged, change, .. } = ready;
         merge_changes(&mut merged, &since, None, conflicts);
         merged.set_serial(serial);
-        // The prepared change stays valid except at names that were changed since, which are compared again. The
-        // apex always belongs to them, because its SOA holds the serial.
+        // The prepared change stays valid except at names that were changed since its preparation. The versions are
+        // compared again at these names and at the apex, whose SOA holds the new serial.
         let mut touched: BTreeSet<&Name> = since.names().collect();
         touched.insert(merged.apex());
         let same = |record: &Record| !touched.contains(&record.name);
@@ -181,8 +185,9 @@
     }
 }
 
-/// Applies accepted changes to another version. Where the file changed the same record set, the accepted change is
-/// applied to the file's records and the conflict is reported.
+/// Applies changes from accepted updates to `zone`, a version made from the new zone file. `bases` are the old
+/// and the new base. Where both an update and the file changed a record set, the update's change is applied to the
+/// file's records and the conflict is reported. Without `bases`, only records that can't be added are reported.
 pub(super) fn merge_changes(
     zone: &mut Zone,
     change: &Change,
--- a/crates/testing/benchmarks/src/dns.rs
+++ b/crates/testing/benchmarks/src/dns.rs
@@ -1,5 +1,5 @@
-//! Benchmarks of the DNS server. The same run measures a simple alternative for comparison: standard maps for the trie, a
-//! plain queue for the scheduling policy.
+//! Benchmarks of the DNS server. For comparison, the same run measures simple alternatives: standard maps instead of the trie,
+//! and a plain queue instead of the scheduling policy.
 
 use hdrhistogram::Histogram;
 use lynxtally::Pcg;
@@ -470,7 +470,7 @@
             })?;
         }
         if rate == 0.0 && outstanding >= WINDOW {
-            // Lost queries would keep the window closed, so they are dropped from it after the deadline.
+            // Lost queries would fill the window and stop the generator, so they leave the window after the deadline.
             let is_overdue = |sent_at: &Instant| sent_at.elapsed() > RESPONSE_DEADLINE;
             for sent_at in sent_at.iter_mut().filter(|sent_at| sent_at.as_ref().is_some_and(is_overdue)) {
                 *sent_at = None;
--- a/crates/testing/experiment/src/report.rs
+++ b/crates/testing/experiment/src/report.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::path::Path;
 
-/// The service of each run of a policy at one combination of levels, in the order of the seeds.
+/// The service ([`Record::service`]) of each run of a policy at one combination of levels, in the order of the seeds.
 fn services(records: &[Record], policy: &str, script: &str, nodes: usize, load: f64) -> Vec<f64> {
     let matches = |record: &&Record| {
         let cell = &record.cell;
--- a/crates/testing/experiment/src/search.rs
+++ b/crates/testing/experiment/src/search.rs
@@ -1,6 +1,8 @@
 //! Searches for the scenario on which the first policy loses most against the best of the others: hill climbing with
-//! restarts over loads, load balancing, retry budgets and scripts of faults. Faults that the loss doesn't depend on are then
-//! removed. A scenario in which service stays low after the faults have ended is marked as a metastable failure.
+//! restarts. The search varies the load, the load balancing, the retry budget and the script of faults. Faults that the loss
+//! doesn't depend on are then removed. A scenario in which service stays low after the faults have ended is marked as a
+//! metastable failure. *Service* is [`crate::Record::service`], the earned fraction of the offered utility; *loss* is
+//! [`FoundScenario::loss`].
 
 use crate::spec::{Cell, Script, Spec, StepSpec};
 use crate::stats::bootstrap_interval;
@@ -42,7 +44,7 @@
 
 /// Service below this fraction of the service before the faults counts as a metastable failure.
 const METASTABLE_RATIO: f64 = 0.7;
-/// Fraction of the loss that the removal of one fault may cost when a script is minimized.
+/// When a script is minimized, a fault is removed if the loss shrinks by at most this fraction without it.
 const TOLERATED_LOSS_REDUCTION: f64 = 0.1;
 /// Maximum number of fault episodes in a candidate.
 const MAX_EPISODES: usize = 4;
@@ -228,7 +230,8 @@
     all
 }
 
-/// Climbs from a random candidate to the one of the largest loss, then removes the faults that the loss doesn't depend on.
+/// Hill climbing from a random candidate: of `steps` neighbors, moves to each one with a larger loss. Then removes the faults
+/// that the loss doesn't depend on.
 fn climb(spec: &Spec, steps: usize, seed: u64) -> FoundScenario {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut candidate = Candidate::draw(spec, &mut random);
@@ -240,7 +243,7 @@
             (candidate, best) = (other, evaluated);
         }
     }
-    // Removes each episode whose removal keeps most of the loss.
+    // Removes each episode without which most of the loss remains (see TOLERATED_LOSS_REDUCTION).
     let mut index = 0;
     while index < candidate.episodes.len() {
         let mut other = candidate.clone();
--- a/crates/testing/experiment/src/spec/mod.rs
+++ b/crates/testing/experiment/src/spec/mod.rs
@@ -11,7 +11,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An experiment: every combination of its levels is run once with each seed.
+/// An experiment. Its factors are the fleet size, the load, the policy and the script of faults; every combination of their
+/// levels is run once with each seed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Spec {
@@ -26,7 +27,7 @@
     /// Names of the schedulers: `module` (lynxtally's policy) or a baseline (`pool`, `cap`, `aimd`, `gradient`, `age`,
     /// `split-0.5`, `early`). Reports compare the first one with the others.
     pub policies: Vec<String>,
-    /// Scripts of faults, each run as a level of its own. A script `calm` without faults is always run as well.
+    /// Scripts of faults. Each is one level of the factor "script"; a script `calm` without faults is always added.
     #[serde(default)]
     pub scripts: Vec<Script>,
     /// The request classes and their fractions of the load.
@@ -93,7 +94,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Script {
-    /// Name of the script, as a level of the experiment.
+    /// Name of the script; [`Cell::script`] and the result tables refer to it.
     pub name: String,
     /// The faults.
     pub steps: Vec<StepSpec>,
--- a/crates/testing/model-check/src/wallets.rs
+++ b/crates/testing/model-check/src/wallets.rs
@@ -276,7 +276,8 @@
         }
     }
 
-    /// Settles the accounts whose requests have all ended and whose units have been in doubt for [`IN_DOUBT_STEPS`].
+    /// Settles the accounts that expired at least [`IN_FLIGHT_STEPS`] + [`IN_DOUBT_STEPS`] ago: their requests have all ended, and
+    /// their units have been in doubt for long enough. [`Defect::NoInFlightTime`] settles them at expiry.
     fn settle_expired(&self, state: &mut State) {
         let wait_steps =
             if self.defect == Defect::NoInFlightTime { 0 } else { IN_FLIGHT_STEPS + IN_DOUBT_STEPS };
--- a/crates/testing/test-doubles/src/lib.rs
+++ b/crates/testing/test-doubles/src/lib.rs
@@ -1,4 +1,5 @@
-//! Test doubles for the programs and devices around lynxtally. They follow the published formats.
+//! Test doubles for what lynxtally's servers talk to: DNS resolvers and updaters, HTTP upstreams and clients, and the disk.
+//! The DNS and HTTP doubles follow the formats of the RFCs.
 //! The HTTP side of [`stream`] shares no code with the stream server, so that a mistake in one can't hide in the other.
 
 #![forbid(unsafe_code)]
--- a/crates/testing/test-doubles/src/storage.rs
+++ b/crates/testing/test-doubles/src/storage.rs
@@ -33,7 +33,8 @@
     durable_bytes: usize,
 }
 
-/// A directory in memory. Each operation that changes it counts as a step; `replace` counts as three.
+/// A directory in memory. Each operation that changes it counts as a step; `replace` counts as three: write a temporary file,
+/// sync it, rename it.
 #[derive(Clone, Debug)]
 pub struct MemoryStorage {
     files: BTreeMap<String, File>,
--- a/crates/testing/test-doubles/src/stream.rs
+++ b/crates/testing/test-doubles/src/stream.rs
@@ -346,7 +346,7 @@
             next = reset_offset.map_or(next, |reset_offset| next.min(reset_offset.max(offset)));
             if next == offset {
                 self.state.reset_downloads.fetch_add(1, Ordering::Relaxed);
-                // A reset discards unsent data; the wait lets the bytes before it reach the proxy.
+                // A reset discards unsent data. Wait, so that the bytes written so far reach the proxy first.
                 std::thread::sleep(Duration::from_millis(20));
                 reset_on_close(writer);
                 return Ok(());
