--- a/crates/cli/src/names.rs
+++ b/crates/cli/src/names.rs
@@ -319,10 +319,10 @@
         data.extend([0; 16]);
         Record { name: zone.clone(), kind: RecordType::SOA, ttl: 0, data }
     });
-    let brought = client
+    let transferred = client
         .transfer(zone, soa.as_ref(), usize::MAX / 2, rand::rng().random())
         .map_err(|fault| failure(format!("{}: {fault}", client.server)))?;
-    match brought {
+    match transferred {
         TransferResult::UpToDate(serial) => println!("; no changes: the server has serial {serial}"),
         TransferResult::Incremental(changes) => changes.iter().for_each(print_change),
         TransferResult::Full(records) => {
--- a/crates/core/zones/src/lease.rs
+++ b/crates/core/zones/src/lease.rs
@@ -165,9 +165,9 @@
     /// detects a broken network path, a stopped local clock and a restart during renewals. Its downside: if most
     /// clients leave together without deregistering, their records are retained until other clients renew.
     fn update_suspicion(&mut self, now: Instant) -> Option<bool> {
-        let missing = self.expired >= self.limits.suspect_min_expired as f64;
+        let enough_expired = self.expired >= self.limits.suspect_min_expired as f64;
         let share = self.expired / (self.expired + self.renewed).max(1e-9);
-        let suspect = missing && share > self.limits.suspect_fraction;
+        let suspect = enough_expired && share > self.limits.suspect_fraction;
         if suspect == self.suspect_since.is_some() {
             return None;
         }
@@ -194,8 +194,8 @@
         for record in due_records {
             let span = self.by_record.get(&record).map_or(self.typical_duration, |lease| lease.span);
             let (name, kind, data) = &record;
-            let there = zone.set(name, *kind).is_some_and(|set| set.has(data));
-            if !there {
+            let exists = zone.set(name, *kind).is_some_and(|set| set.has(data));
+            if !exists {
                 self.by_record.remove(&record);
             } else if self.suspect_since.is_none()
                 && self.may_remove(now, zone, name, *kind, span, &removed_now)
@@ -233,13 +233,13 @@
         recent.retain(|at| now - *at < span);
         let removed_count = removed_now.get(name).copied().unwrap_or(0);
         let of = |kind| zone.set(name, kind).map_or(0, |set| set.count());
-        let there = of(RecordType::A) + of(RecordType::AAAA);
-        let left = there - removed_count;
+        let address_count = of(RecordType::A) + of(RecordType::AAAA);
+        let remaining = address_count - removed_count;
         // Recently removed addresses still count for the total. Otherwise the fraction would apply again to each
         // remainder, and the name would shrink to one address within one lease duration.
-        let whole = there + recent.len() - removed_count;
-        let max_removed = (whole as f64 * self.limits.max_removed_fraction).floor().max(1.0) as usize;
-        left > 1 && recent.len() < max_removed
+        let total = address_count + recent.len() - removed_count;
+        let max_removed = (total as f64 * self.limits.max_removed_fraction).floor().max(1.0) as usize;
+        remaining > 1 && recent.len() < max_removed
     }
 
     /// Starts every lease anew after a restart, because clients could not renew while the server was down.
--- a/crates/core/zones/src/name_tree.rs
+++ b/crates/core/zones/src/name_tree.rs
@@ -345,8 +345,8 @@
     }
 }
 
-/// Changes the node at the end of a path, outermost label first. Missing nodes on the path are created; nodes
-/// without records and children are removed afterwards.
+/// Calls `change` with the node at the end of `path`, whose labels come outermost first, and `before` with the same node
+/// before it. Missing nodes on the path are created first; nodes without records and children are removed afterwards.
 pub(crate) fn edit<R>(
     node: &mut Arc<Node>,
     path: &[&[u8]],
--- a/crates/core/zones/src/rate_limit.rs
+++ b/crates/core/zones/src/rate_limit.rs
@@ -115,8 +115,8 @@
     }
 }
 
-/// Finds the prefixes that exceed their fraction of all requests. Such a request is not rejected: the caller gives
-/// it the lowest utility, so it is only answered with capacity that other requests leave free.
+/// Finds the prefixes that exceed their fraction of all requests. A request from such a prefix is not rejected: the
+/// caller gives it the lowest utility, so it is only answered with capacity that other requests leave free.
 #[derive(Clone, Debug)]
 pub struct RequestRateLimit {
     sketch: CountMinSketch,
--- a/crates/core/zones/src/secondary/notify.rs
+++ b/crates/core/zones/src/secondary/notify.rs
@@ -4,7 +4,8 @@
 use crate::serial::Serial;
 use lynxtally::{Instant, Pcg};
 
-/// Sends NOTIFY (RFC 1996) for a new serial to each secondary and repeats it until it is acknowledged.
+/// Schedules NOTIFY messages (RFC 1996) that announce a new serial to each secondary. They are repeated until the secondary
+/// acknowledges one or the maximum number is sent.
 #[derive(Clone, Debug)]
 pub struct NotifySender {
     targets: Vec<NotifyTarget>,
@@ -63,7 +64,8 @@
         all
     }
 
-    /// Called when a secondary acknowledged the NOTIFY. An acknowledgement for another serial is ignored.
+    /// Called when a secondary acknowledged a NOTIFY. An acknowledgement of another serial is ignored; one without a serial
+    /// counts.
     pub fn acknowledged(&mut self, target: usize, serial: Option<Serial>) {
         if let Some(target) =
             self.targets.get_mut(target).filter(|_| serial.is_none() || serial == self.serial)
--- a/crates/core/zones/src/secondary/refresh.rs
+++ b/crates/core/zones/src/secondary/refresh.rs
@@ -98,7 +98,8 @@
         Some(SecondaryAction::QuerySerial(self.primary))
     }
 
-    /// Handles a NOTIFY. Without a serial, the primary is queried for it.
+    /// Handles a NOTIFY. It is ignored if its serial is not newer than the zone's. Otherwise a query is due now, or right
+    /// after the query or transfer in progress.
     pub fn notified(&mut self, now: Instant, serial: Option<Serial>) {
         let old = |serial: Serial| self.soa.is_some_and(|soa| !serial.newer_than(soa.serial));
         if serial.is_some_and(old) {
--- a/crates/core/zones/src/update.rs
+++ b/crates/core/zones/src/update.rs
@@ -152,12 +152,12 @@
         if !name.is_within(apex) {
             return Err(UpdateError::OutOfZone);
         }
-        let plain = kind.is_meta();
+        let is_meta = kind.is_meta();
         let prerequisite = match class {
             UpdateClass::Any | UpdateClass::None if !data.is_empty() => return Err(UpdateError::Malformed),
             UpdateClass::Any if *kind == RecordType::ANY => Prerequisite::NameInUse(name.clone()),
             UpdateClass::None if *kind == RecordType::ANY => Prerequisite::NameNotInUse(name.clone()),
-            _ if plain => return Err(UpdateError::Malformed),
+            _ if is_meta => return Err(UpdateError::Malformed),
             UpdateClass::Any => Prerequisite::SetExists(name.clone(), *kind),
             UpdateClass::None => Prerequisite::SetMissing(name.clone(), *kind),
             UpdateClass::Zone => {
--- a/crates/testing/benchmarks/src/dns.rs
+++ b/crates/testing/benchmarks/src/dns.rs
@@ -77,7 +77,7 @@
     start.elapsed().as_secs_f64() * 1e9 / count as f64
 }
 
-/// Draws `count` host names at random, so that no cache holds the next name ahead of its lookup.
+/// Draws `count` host names at random, so that CPU caches rarely hold the data of the next lookup.
 fn random_names(records: usize, count: usize) -> Vec<Name> {
     let mut random = Pcg::new(3);
     (0..count).map(|_| host_name((random.unit() * records as f64) as usize)).collect()
