--- a/crates/cli/src/updates.rs
+++ b/crates/cli/src/updates.rs
@@ -20,10 +20,10 @@
 }
 
 /// Splits a step into tokens; blanks within quotes do not separate tokens.
-fn words(text: &str) -> Result<Vec<Token<'_>>, String> {
+fn tokens(text: &str) -> Result<Vec<Token<'_>>, String> {
     let (mut all, mut rest) = (Vec::new(), text.trim_start());
     while !rest.is_empty() {
-        let (word, after, quoted) = if let Some(inner) = rest.strip_prefix('"') {
+        let (token, after, quoted) = if let Some(inner) = rest.strip_prefix('"') {
             let mut escaped = false;
             let end = inner.find(|c| {
                 let end = c == '"' && !escaped;
@@ -36,7 +36,7 @@
             let end = rest.find(char::is_whitespace).unwrap_or(rest.len());
             (&rest[..end], &rest[end..], false)
         };
-        all.push(Token { text: word.as_bytes(), quoted });
+        all.push(Token { text: token.as_bytes(), quoted });
         rest = after.trim_start();
     }
     Ok(all)
@@ -46,38 +46,38 @@
     /// Parses a step and appends it. An operation is `add NAME TTL KIND DATA` or `del NAME [KIND [DATA]]`. A prerequisite is
     /// `need NAME [KIND [DATA]]`, records that must exist, or `need-not NAME [KIND]`, records that must not exist.
     pub fn add(&mut self, text: &str, zone: &Name) -> Result<(), String> {
-        let words = words(text)?;
-        let word = |n: usize| words.get(n).map(|word| String::from_utf8_lossy(word.text).into_owned());
-        let verb = word(0).ok_or("an empty step")?;
-        let name = words.get(1).ok_or("a name is missing")?;
+        let tokens = tokens(text)?;
+        let token = |n: usize| tokens.get(n).map(|token| String::from_utf8_lossy(token.text).into_owned());
+        let verb = token(0).ok_or("an empty step")?;
+        let name = tokens.get(1).ok_or("a name is missing")?;
         let name = Name::parse(name.text, Some(zone)).map_err(|error| error.to_string())?;
         let kind = |n: usize| {
-            word(n)
+            token(n)
                 .map(|text| RecordType::parse(&text).ok_or_else(|| format!("{text:?} is not a record type")))
                 .transpose()
         };
         let data = |kind: RecordType, from: usize| {
-            kind.parse_data(&words[from..], Some(zone)).map_err(|error| error.reason)
+            kind.parse_data(&tokens[from..], Some(zone)).map_err(|error| error.reason)
         };
         let raw =
             |kind: RecordType, class, ttl, data| UpdateRecord { name: name.clone(), kind, class, ttl, data };
         match verb.as_str() {
             "add" => {
-                let ttl = words
+                let ttl = tokens
                     .get(2)
-                    .and_then(|word| read_time(word.text))
+                    .and_then(|token| read_time(token.text))
                     .ok_or("the TTL is missing or invalid")?;
                 let kind = kind(3)?.ok_or("the record type is missing")?;
                 self.operations.push(raw(kind, UpdateClass::Zone, ttl, data(kind, 4)?));
             }
             "del" => self.operations.push(match kind(2)? {
                 None => raw(RecordType::ANY, UpdateClass::Any, 0, Vec::new()),
-                Some(kind) if words.len() == 3 => raw(kind, UpdateClass::Any, 0, Vec::new()),
+                Some(kind) if tokens.len() == 3 => raw(kind, UpdateClass::Any, 0, Vec::new()),
                 Some(kind) => raw(kind, UpdateClass::None, 0, data(kind, 3)?),
             }),
             "need" => self.prerequisites.push(match kind(2)? {
                 None => raw(RecordType::ANY, UpdateClass::Any, 0, Vec::new()),
-                Some(kind) if words.len() == 3 => raw(kind, UpdateClass::Any, 0, Vec::new()),
+                Some(kind) if tokens.len() == 3 => raw(kind, UpdateClass::Any, 0, Vec::new()),
                 Some(kind) => raw(kind, UpdateClass::Zone, 0, data(kind, 3)?),
             }),
             "need-not" => self.prerequisites.push(raw(
--- a/crates/core/zones/src/record_data.rs
+++ b/crates/core/zones/src/record_data.rs
@@ -86,8 +86,8 @@
         match self {
             Self::Escape => f.write_str("a backslash that does not start a valid escape"),
             Self::LongString => f.write_str("a string of over 255 octets"),
-            Self::Name(fault, word) => write!(f, "{fault}: {word:?}"),
-            Self::InvalidValue(word, what) => write!(f, "{word:?} is not a valid {what}"),
+            Self::Name(fault, token) => write!(f, "{fault}: {token:?}"),
+            Self::InvalidValue(token, what) => write!(f, "{token:?} is not a valid {what}"),
         }
     }
 }
@@ -106,8 +106,8 @@
 
 impl Field {
     /// Parses one token and appends its wire form to `out`.
-    fn read(self, word: Token, origin: Option<&Name>, out: &mut Vec<u8>) -> Result<(), FieldError> {
-        let text = word.text;
+    fn read(self, token: Token, origin: Option<&Name>, out: &mut Vec<u8>) -> Result<(), FieldError> {
+        let text = token.text;
         let token_text = || String::from_utf8_lossy(text).into_owned();
         let invalid = |what: &'static str| FieldError::InvalidValue(token_text(), what);
         match self {
@@ -227,10 +227,10 @@
 
 impl RecordType {
     /// Parses record data from text. Relative names in it are completed with the origin.
-    pub fn parse_data(self, words: &[Token], origin: Option<&Name>) -> Result<Vec<u8>, InvalidRecordData> {
-        let bad = |word: usize, what: String| InvalidRecordData { token_index: word, reason: what };
-        if words.first().is_some_and(|word| word.text == b"\\#" && !word.quoted) {
-            return self.read_opaque(words);
+    pub fn parse_data(self, tokens: &[Token], origin: Option<&Name>) -> Result<Vec<u8>, InvalidRecordData> {
+        let bad = |token_index: usize, what: String| InvalidRecordData { token_index, reason: what };
+        if tokens.first().is_some_and(|token| token.text == b"\\#" && !token.quoted) {
+            return self.read_opaque(tokens);
         }
         let Some(fields) = self.fields() else {
             let what = format!("data of type {self} is written as \\# LENGTH HEX (RFC 3597)");
@@ -242,7 +242,7 @@
             let missing = || bad(at, format!("{self} data is incomplete"));
             match field {
                 Field::Base64 | Field::Hex => {
-                    let text: Vec<u8> = words[at..].iter().flat_map(|word| word.text).copied().collect();
+                    let text: Vec<u8> = tokens[at..].iter().flat_map(|token| token.text).copied().collect();
                     let text = if *field == Field::Hex { text.to_ascii_uppercase() } else { text };
                     let coding =
                         if *field == Field::Hex { &data_encoding::HEXUPPER } else { &data_encoding::BASE64 };
@@ -250,28 +250,30 @@
                     if text.is_empty() {
                         return Err(missing());
                     }
-                    out.extend(coding.decode(&text).map_err(|_| bad(at, format!("not valid {name}")))?);
-                    at = words.len();
+                    out.extend(
+                        coding.decode(&text).map_err(|_| bad(at, format!("the data is not valid {name}")))?,
+                    );
+                    at = tokens.len();
                 }
                 Field::Texts => {
-                    if at == words.len() {
+                    if at == tokens.len() {
                         return Err(missing());
                     }
-                    while at < words.len() {
+                    while at < tokens.len() {
                         field
-                            .read(words[at], origin, &mut out)
+                            .read(tokens[at], origin, &mut out)
                             .map_err(|fault| bad(at, fault.to_string()))?;
                         at += 1;
                     }
                 }
                 _ => {
-                    let word = *words.get(at).ok_or_else(missing)?;
-                    field.read(word, origin, &mut out).map_err(|fault| bad(at, fault.to_string()))?;
+                    let token = *tokens.get(at).ok_or_else(missing)?;
+                    field.read(token, origin, &mut out).map_err(|fault| bad(at, fault.to_string()))?;
                     at += 1;
                 }
             }
         }
-        if at < words.len() {
+        if at < tokens.len() {
             return Err(bad(at, format!("too many fields in {self} data")));
         }
         if out.len() > MAX_DATA_LENGTH {
@@ -280,14 +282,14 @@
         Ok(out)
     }
 
-    fn read_opaque(self, words: &[Token]) -> Result<Vec<u8>, InvalidRecordData> {
-        let bad = |word: usize, what: &str| InvalidRecordData { token_index: word, reason: what.to_owned() };
-        let length: u16 = words
+    fn read_opaque(self, tokens: &[Token]) -> Result<Vec<u8>, InvalidRecordData> {
+        let bad = |token_index: usize, what: &str| InvalidRecordData { token_index, reason: what.to_owned() };
+        let length: u16 = tokens
             .get(1)
-            .and_then(|word| number(word.text))
+            .and_then(|token| number(token.text))
             .ok_or_else(|| bad(1, "\\# is not followed by a length"))?;
-        let text: Vec<u8> = words[2..].iter().flat_map(|word| word.text.to_ascii_uppercase()).collect();
-        let data = data_encoding::HEXUPPER.decode(&text).map_err(|_| bad(2, "not valid hex"))?;
+        let text: Vec<u8> = tokens[2..].iter().flat_map(|token| token.text.to_ascii_uppercase()).collect();
+        let data = data_encoding::HEXUPPER.decode(&text).map_err(|_| bad(2, "the data is not valid hex"))?;
         if data.len() != usize::from(length) {
             return Err(bad(1, &format!("the length says {length}, the data has {} octets", data.len())));
         }
--- a/crates/core/zones/src/zone_file/reader.rs
+++ b/crates/core/zones/src/zone_file/reader.rs
@@ -47,13 +47,13 @@
     pub(super) fn text(&mut self, file: &Arc<str>, text: &[u8], depth: usize) {
         let text = text.strip_prefix(b"\xef\xbb\xbf").unwrap_or(text);
         let mut scanner = Scanner::new(text);
-        let (mut words, mut positions) = (Vec::new(), Vec::new());
-        while let Some(entry) = scanner.entry(&mut words, &mut positions) {
+        let (mut tokens, mut positions) = (Vec::new(), Vec::new());
+        while let Some(entry) = scanner.entry(&mut tokens, &mut positions) {
             let result = match entry {
-                Ok(LineStart::Owner) if words[0].text.first() == Some(&b'$') && !words[0].quoted => {
-                    self.directive(&words, &positions, depth)
+                Ok(LineStart::Owner) if tokens[0].text.first() == Some(&b'$') && !tokens[0].quoted => {
+                    self.directive(&tokens, &positions, depth)
                 }
-                Ok(line_start) => self.record(file, line_start, &words, &positions),
+                Ok(line_start) => self.record(file, line_start, &tokens, &positions),
                 Err(fault) => Err(fault),
             };
             if let Err(fault) = result {
@@ -62,36 +62,41 @@
         }
     }
 
-    fn directive(&mut self, words: &[Token], positions: &[Position], depth: usize) -> Result<(), EntryError> {
+    fn directive(
+        &mut self,
+        tokens: &[Token],
+        positions: &[Position],
+        depth: usize,
+    ) -> Result<(), EntryError> {
         let position_of = |n: usize| positions.get(n).or(positions.last()).copied().unwrap_or(positions[0]);
-        let word = |n: usize, what: &str| {
-            words
+        let token = |n: usize, what: &str| {
+            tokens
                 .get(n)
-                .map(|word| word.text)
+                .map(|token| token.text)
                 .ok_or_else(|| EntryError::new(position_of(n), format!("{what} is missing")))
         };
-        let too_many = |most: usize| match words.len() > most {
+        let too_many = |most: usize| match tokens.len() > most {
             true => {
                 Err(EntryError::new(position_of(most), "too many arguments for the directive".to_owned()))
             }
             false => Ok(()),
         };
-        match words[0].text.to_ascii_uppercase().as_slice() {
+        match tokens[0].text.to_ascii_uppercase().as_slice() {
             b"$ORIGIN" => {
                 too_many(2)?;
-                let name = Name::parse(word(1, "the origin")?, self.origin.as_ref());
+                let name = Name::parse(token(1, "the origin")?, self.origin.as_ref());
                 self.origin = Some(name.map_err(|error| EntryError::new(position_of(1), error.to_string()))?);
             }
             b"$TTL" => {
                 too_many(2)?;
-                let ttl = read_time(word(1, "the time")?);
+                let ttl = read_time(token(1, "the time")?);
                 self.ttl_default = Some(ttl.ok_or_else(|| {
                     EntryError::new(position_of(1), "not a valid time in seconds".to_owned())
                 })?);
             }
             b"$INCLUDE" => {
                 too_many(3)?;
-                let path = String::from_utf8_lossy(word(1, "the file")?).into_owned();
+                let path = String::from_utf8_lossy(token(1, "the file")?).into_owned();
                 let outside = path.starts_with('/') || path.split('/').any(|part| part == "..");
                 if outside {
                     return Err(EntryError::new(
@@ -107,7 +112,7 @@
                 }
                 let origin_before = self.origin.clone();
                 let owner_before = self.owner.clone();
-                if let Some(origin) = words.get(2) {
+                if let Some(origin) = tokens.get(2) {
                     let name = Name::parse(origin.text, self.origin.as_ref());
                     self.origin =
                         Some(name.map_err(|error| EntryError::new(position_of(2), error.to_string()))?);
@@ -135,7 +140,7 @@
         &mut self,
         file: &Arc<str>,
         line_start: LineStart,
-        words: &[Token],
+        tokens: &[Token],
         positions: &[Position],
     ) -> Result<(), EntryError> {
         let position_of = |n: usize| positions.get(n).or(positions.last()).copied().unwrap_or(positions[0]);
@@ -158,27 +163,27 @@
             }
         } else {
             n = 1;
-            let name = Name::parse(words[0].text, self.origin.as_ref());
+            let name = Name::parse(tokens[0].text, self.origin.as_ref());
             self.owner = name.as_ref().map_or(LastOwner::Refused, |name| LastOwner::Known(name.clone()));
             name.map_err(|error| EntryError::new(position_of(0), error.to_string()))?
         };
         let (mut ttl, mut class) = (None, false);
         let kind = loop {
-            let Some(word) = words.get(n) else {
+            let Some(token) = tokens.get(n) else {
                 return Err(EntryError::new(position_of(n), "the record type is missing".to_owned()));
             };
-            if ttl.is_none() && word.text.first().is_some_and(u8::is_ascii_digit) {
-                let time = read_time(word.text);
+            if ttl.is_none() && token.text.first().is_some_and(u8::is_ascii_digit) {
+                let time = read_time(token.text);
                 ttl = Some(time.ok_or_else(|| {
                     EntryError::new(position_of(n), "not a valid time in seconds".to_owned())
                 })?);
-            } else if !class && is_class(word.text) {
-                if !word.text.eq_ignore_ascii_case(b"IN") {
+            } else if !class && is_class(token.text) {
+                if !token.text.eq_ignore_ascii_case(b"IN") {
                     return Err(EntryError::new(position_of(n), "the class is not IN".to_owned()));
                 }
                 class = true;
             } else {
-                let text = String::from_utf8_lossy(word.text);
+                let text = String::from_utf8_lossy(token.text);
                 break RecordType::parse(&text).ok_or_else(|| {
                     EntryError::new(position_of(n), format!("{text:?} is not a record type"))
                 })?;
@@ -190,7 +195,7 @@
             return Err(EntryError::new(position_of(n - 1), RecordError::Meta(kind).to_string()));
         }
         let data = kind
-            .parse_data(&words[n..], self.origin.as_ref())
+            .parse_data(&tokens[n..], self.origin.as_ref())
             .map_err(|error| EntryError::new(position_of(n + error.token_index), error.reason))?;
         if kind == RecordType::SOA {
             self.minimum = Soa::parse(&data).map(|soa| soa.minimum);
--- a/crates/core/zones/src/zone_file/scanner.rs
+++ b/crates/core/zones/src/zone_file/scanner.rs
@@ -105,10 +105,10 @@
     /// Reads the tokens of the next entry and how its line starts; none at the end of the text.
     pub(super) fn entry(
         &mut self,
-        words: &mut Vec<Token<'a>>,
+        tokens: &mut Vec<Token<'a>>,
         positions: &mut Vec<Position>,
     ) -> Option<Result<LineStart, EntryError>> {
-        words.clear();
+        tokens.clear();
         positions.clear();
         let mut line_start = self.line_start_kind();
         let mut paren: Option<Paren> = None;
@@ -119,7 +119,7 @@
                     self.recover(paren);
                     return Some(Err(EntryError::new(open.position, "a parenthesis that is not closed")));
                 }
-                return (!words.is_empty()).then_some(Ok(line_start));
+                return (!tokens.is_empty()).then_some(Ok(line_start));
             };
             match octet {
                 b' ' | b'\t' | b'\r' => self.at += 1,
@@ -131,7 +131,7 @@
                 b'\n' => {
                     self.newline();
                     if paren.is_none() {
-                        if !words.is_empty() {
+                        if !tokens.is_empty() {
                             return Some(Ok(line_start));
                         }
                         line_start = self.line_start_kind();
@@ -176,7 +176,7 @@
                             Some(_) => self.at += 1,
                         }
                     }
-                    words.push(Token { text: &self.text[start..self.at], quoted: true });
+                    tokens.push(Token { text: &self.text[start..self.at], quoted: true });
                     positions.push(position);
                     self.at += 1;
                 }
@@ -189,7 +189,7 @@
                             _ => self.at += 1,
                         }
                     }
-                    words.push(Token { text: &self.text[start..self.at], quoted: false });
+                    tokens.push(Token { text: &self.text[start..self.at], quoted: false });
                     positions.push(position);
                 }
             }
