--- a/crates/core/zones/tests/secondary.rs
+++ b/crates/core/zones/tests/secondary.rs
@@ -201,7 +201,8 @@
     }
     let over: Vec<f64> = exact.iter().map(|(who, count)| sketch.count(at(1), *who) - count).collect();
     assert!(over.iter().all(|over| *over >= 0.0), "an estimate is never below the true count");
-    // The paper's bound: the estimate exceeds the count by more than e/width of the total with probability e^-4.
+    // The bound of Cormode and Muthukrishnan (2005) for four rows: with a probability of at most e^-4, an estimate exceeds
+    // the true count by more than e/width of the total.
     let bound = 50_000.0 * std::f64::consts::E / 1024.0;
     let bad = over.iter().filter(|over| **over > bound).count() as f64 / over.len() as f64;
     assert!(bad < 0.02, "{bad}");
--- a/crates/testing/experiment/src/report.rs
+++ b/crates/testing/experiment/src/report.rs
@@ -65,8 +65,8 @@
     out
 }
 
-/// How often the first policy is better than, worse than or not distinguishable from another policy, over all levels and all
-/// other policies; the comparison in which it loses most; and the number of runs that violated an invariant.
+/// A line of text: in how many comparisons (of all levels, with all other policies) the first policy is better, worse or not
+/// distinguishable; the comparison in which it loses most; and the number of runs that violated an invariant.
 pub fn summary(spec: &Spec, records: &[Record]) -> String {
     let (mut counts, mut worst) = ([0; 3], (f64::INFINITY, String::new()));
     let first_policy = &spec.policies[0];
