--- a/crates/testing/baselines/src/baseline.rs
+++ b/crates/testing/baselines/src/baseline.rs
@@ -19,8 +19,8 @@
     /// Rejects a request when the concurrency limit is reached. The limit follows the ratio of the shortest run time seen
     /// to the current mean.
     Gradient,
-    /// CoDel: while requests at the head of the queue have waited too long, they are rejected at an increasing rate. Source: K. Nichols, V. Jacobson,
-    /// "Controlling Queue Delay" (2012).
+    /// CoDel: while requests at the head of the queue have waited too long, they are rejected at an increasing rate.
+    /// Source: K. Nichols, V. Jacobson, "Controlling Queue Delay" (2012).
     ControlledDelay,
     /// Reserves this fraction of the slots for the favored class; all classes share the rest.
     StaticPartition(f64),
--- a/crates/testing/model-check/src/wallets.rs
+++ b/crates/testing/model-check/src/wallets.rs
@@ -1,10 +1,10 @@
 //! A model of wallets: two nodes admit requests against units that a replicated coordinator reserves for them from a wallet of
 //! two units. Messages can be lost, duplicated and delayed; a node can stop reporting and report again late.
 //!
-//! Safety: no more requests are served than units were bought. The exception is requests that a node had completed but not
-//! reported when its reservation was settled: their units were returned to the tenant. No more is charged than was served, and
-//! each unit is in exactly one place: the balance, a reservation or the charges. Reachability: a charge can be reported and recorded, and a unit that was in doubt
-//! can be served by the other node.
+//! Safety: no more requests are served than units were bought. Requests are excepted that a node had completed but
+//! not reported when its reservation was settled: their units were returned to the tenant. No more is charged than was served, and
+//! each unit is in exactly one place: the balance, a reservation or the charges. Reachability: a charge can be reported and
+//! recorded, and a unit that was in doubt can be served by the other node.
 
 use stateright::{Model, Property};
 
