--- a/crates/core/zones/src/name_tree.rs
+++ b/crates/core/zones/src/name_tree.rs
@@ -13,8 +13,8 @@
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// Hash bits used per level, and the number of levels. Labels whose used hash bits are all equal share a list
-/// below the last level.
+/// Number of bits of a label's hash that select a slot on each level, and number of levels. Labels whose bits are equal
+/// on all levels share a list below the last level.
 const HASH_BITS_PER_LEVEL: u32 = 5;
 const LEVELS: u32 = 60 / HASH_BITS_PER_LEVEL;
 
@@ -345,8 +345,8 @@
     }
 }
 
-/// Changes the node at the end of a path, outermost label first. Missing nodes on the path are created; nodes
-/// without records and children are removed afterwards.
+/// Calls `change` with the node at the end of `path`, whose labels come outermost first, and `before` with the same node
+/// before it. Missing nodes on the path are created first; nodes without records and children are removed afterwards.
 pub(crate) fn edit<R>(
     node: &mut Arc<Node>,
     path: &[&[u8]],
--- a/crates/testing/experiment/src/report.rs
+++ b/crates/testing/experiment/src/report.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::path::Path;
 
-/// The service of each run of a policy at one combination of levels, in the order of the seeds.
+/// The service ([`Record::service`]) of each run of a policy at one combination of levels, in the order of the seeds.
 fn services(records: &[Record], policy: &str, script: &str, nodes: usize, load: f64) -> Vec<f64> {
     let matches = |record: &&Record| {
         let cell = &record.cell;
@@ -65,8 +65,8 @@
     out
 }
 
-/// How often the first policy is better than, worse than or not distinguishable from another policy, over all levels and all
-/// other policies; the comparison in which it loses most; and the number of runs that violated an invariant.
+/// A line of text: in how many comparisons (of all levels, with all other policies) the first policy is better, worse or not
+/// distinguishable; the comparison in which it loses most; and the number of runs that violated an invariant.
 pub fn summary(spec: &Spec, records: &[Record]) -> String {
     let (mut counts, mut worst) = ([0; 3], (f64::INFINITY, String::new()));
     let first_policy = &spec.policies[0];
--- a/crates/testing/model-check/src/wallets.rs
+++ b/crates/testing/model-check/src/wallets.rs
@@ -1,10 +1,10 @@
 //! A model of wallets: two nodes admit requests against units that a replicated coordinator reserves for them from a wallet of
 //! two units. Messages can be lost, duplicated and delayed; a node can stop reporting and report again late.
 //!
-//! Safety: no more requests are served than units were bought, except those that a node had completed but not reported when its
-//! reservation was settled in the tenant's favor; no more is charged than was served; and each unit is in exactly one place:
-//! the balance, a reservation or the charges. Reachability: a charge can be reported and recorded, and a unit that was in doubt
-//! can be served by the other node.
+//! Safety: no more requests are served than units were bought. Requests are excepted that a node had completed but
+//! not reported when its reservation was settled: their units were returned to the tenant. No more is charged than was served, and
+//! each unit is in exactly one place: the balance, a reservation or the charges. Reachability: a charge can be reported and
+//! recorded, and a unit that was in doubt can be served by the other node.
 
 use stateright::{Model, Property};
 
@@ -276,7 +276,8 @@
         }
     }
 
-    /// Settles the accounts whose requests have all ended and whose units have been in doubt for [`IN_DOUBT_STEPS`].
+    /// Settles the accounts that expired at least [`IN_FLIGHT_STEPS`] + [`IN_DOUBT_STEPS`] ago: their requests have all ended, and
+    /// their units have been in doubt for long enough. [`Defect::NoInFlightTime`] settles them at expiry.
     fn settle_expired(&self, state: &mut State) {
         let wait_steps =
             if self.defect == Defect::NoInFlightTime { 0 } else { IN_FLIGHT_STEPS + IN_DOUBT_STEPS };
