--- a/crates/lynxtally-adapter/src/error.rs
+++ b/crates/lynxtally-adapter/src/error.rs
@@ -28,7 +28,7 @@
     Json(serde_json::Error),
     /// A batch starts before the previous one ended.
     BatchInsideBatch,
-    /// A message other than the start of a batch, outside a batch.
+    /// A message other than the start of a batch came while no batch was open.
     EventOutsideBatch,
     /// The message concerns an instance that was never started.
     UnknownInstance(u64),
--- a/crates/lynxtally-settings/tests/documents.rs
+++ b/crates/lynxtally-settings/tests/documents.rs
@@ -3,7 +3,7 @@
 use lynxtally::{CapacityFormat, Downstream, Effect, RequestClass, Settings, Span};
 use serde_json::{json, Value};
 
-/// An object with every key, and an unknown one.
+/// A settings document that has every known key and one unknown key.
 fn document() -> Value {
     json!({
         "lanes": [
--- a/crates/testing/simulator/src/coordination/node.rs
+++ b/crates/testing/simulator/src/coordination/node.rs
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Processes everything due by `now`, then starts as many waiting calls as the lease in force allows. If `equal_share` is
-    /// given, that fixed amount counts instead of the lease.
+    /// Processes everything due by `now`, then starts as many waiting calls as the leased number of calls allows. If
+    /// `equal_share` is given, this fixed number of calls in flight is allowed instead, and the lease is ignored.
     pub fn step(&mut self, now: Instant, equal_share: Option<u64>) -> StepOutput {
         self.client.advance(now);
         self.call_ends.retain(|end| *end > now);
--- a/crates/testing/simulator/src/coordination/simulation.rs
+++ b/crates/testing/simulator/src/coordination/simulation.rs
@@ -1,4 +1,5 @@
-//! The event loop of the lease simulation. Its time is real time, from which the clocks of nodes and coordinators drift.
+//! The event loop of the lease simulation. Events are ordered by simulated real time; the clocks of nodes and coordinators
+//! drift from it.
 
 use super::clock::DriftingClock;
 use super::coordinators::{AddressedResponse, Coordinators, Sender};
--- a/crates/testing/simulator/src/cores.rs
+++ b/crates/testing/simulator/src/cores.rs
@@ -94,7 +94,7 @@
     pub started_runs: Vec<StartedRun>,
     /// Calls that were started and not yet taken by the simulation.
     pub started_calls: Vec<StartedCall>,
-    /// Numbers of cancelled calls not yet taken by the simulation.
+    /// The call numbers of calls that were cancelled and not yet taken by the simulation.
     pub cancelled_calls: Vec<u64>,
 }
 
@@ -143,7 +143,7 @@
         shared * warmth * self.speed / (1.0 + self.machine.crowding_slope * excess)
     }
 
-    /// Credits the running requests with the work done until `now`.
+    /// Advances the time to `now`, and adds the work done since the last update to the progress of each running request.
     pub fn advance(&mut self, now: Instant) {
         if now <= self.now {
             return;
--- a/crates/testing/simulator/src/dependency.rs
+++ b/crates/testing/simulator/src/dependency.rs
@@ -75,7 +75,8 @@
         self.speed / (per_slot.max(1.0) * (1.0 + self.model.crowding_slope * excess))
     }
 
-    /// Credits the calls in flight with the work done until `now`, and moves the averaging window to end at `now`.
+    /// Advances the time to `now`, adds the work done since the last update to the progress of each call in flight, and moves
+    /// the averaging window to end at `now`.
     pub fn advance(&mut self, now: Instant) {
         if now <= self.now {
             return;
--- a/crates/testing/simulator/src/scenario.rs
+++ b/crates/testing/simulator/src/scenario.rs
@@ -95,8 +95,8 @@
     pub faults: Vec<FaultStep>,
 }
 
-/// Settings of a simulated node that only its cores limit: warm from the start, without quotas, downstream calls and
-/// capacity advertisement. A scenario overrides the settings that it tests.
+/// Settings of a simulated node whose cores are its only limit. The node is warm from the start, and has no quotas,
+/// no downstream calls and no capacity advertisement. A scenario overrides the settings that it tests.
 pub fn unconstrained_settings(
     cores: u32,
     classes: Vec<RequestClass>,
--- a/crates/testing/simulator/src/world/calls.rs
+++ b/crates/testing/simulator/src/world/calls.rs
@@ -63,8 +63,8 @@
         self.update_calls(n, Vec::new(), numbers);
     }
 
-    /// Sends the ends of calls that are done back to their nodes, checks that the dependency isn't overloaded, and schedules
-    /// the next check.
+    /// Notifies the nodes of the calls that are done, records a violation if the dependency is overloaded, and schedules the
+    /// next check.
     pub(super) fn check_dependency(&mut self) {
         let Some(dependency) = &mut self.dependency else { return };
         let done = dependency.take_done(instant_of(self.now));
--- a/crates/testing/simulator/src/world/mod.rs
+++ b/crates/testing/simulator/src/world/mod.rs
@@ -94,7 +94,8 @@
     DependencyCheck { number: u32 },
     /// The end of a downstream call reaches its node.
     CallEnds { instance: NodeInstance, request: RequestId, number: u64, succeeded: bool },
-    /// A run that waits to make its call ends, because no client waits for its response.
+    /// A run that waits to make its downstream call is ended, because no response is owed for its request any more. The event
+    /// is ignored if the run doesn't wait for its call.
     RunAbandoned { instance: NodeInstance, request: RequestId },
 }
 
--- a/crates/testing/simulator/src/world/nodes.rs
+++ b/crates/testing/simulator/src/world/nodes.rs
@@ -24,9 +24,9 @@
     pub drops_outgoing: bool,
     /// Time of the next timer wake-up, in microseconds; `u64::MAX` if none is scheduled.
     timer_at: u64,
-    /// Number of that wake-up. Wake-ups with an older number are ignored.
+    /// Sequence number of the latest timer wake-up. Wake-ups with a lower number are ignored.
     timer_wakeup: u32,
-    /// Number of the wake-up for the next end of a run. Wake-ups with an older number are ignored.
+    /// Sequence number of the latest wake-up scheduled for the end of a run. Wake-ups with a lower number are ignored.
     pub run_wakeup: u32,
     /// End of the drain grace period, in microseconds; set once a graceful shutdown begins. Requests that arrive later must
     /// not be started.
@@ -174,7 +174,7 @@
     fn send_response(&mut self, n: u16, sent: SentResponse) {
         let SentResponse { attempt, response } = sent;
         let sent_for = self.attempts[attempt as usize];
-        // If the scheduler failed the request, its run ends if it waits to make its call.
+        // If the scheduler failed the request, a run of it that waits to make its call is ended.
         if let Some(request) = sent_for.request.filter(|_| response == FinalResponse::Failed) {
             let instance = NodeInstance { node: n, incarnation: sent_for.instance.incarnation };
             self.queue.push(self.now, Event::RunAbandoned { instance, request });
--- a/src/policy/advertise.rs
+++ b/src/policy/advertise.rs
@@ -59,7 +59,7 @@
     }
 
     /// The number of requests that this backend should have (Little's law). It falls as the receive delay
-    /// grows: reading costs core time even for rejected requests, so unread ones show that callers send too
+    /// grows: reading costs core time even for rejected requests, so a growing delay shows that callers send too
     /// many, whatever the cause. Drawback: a short pause reduces it until the advertised capacity expires.
     fn target_concurrency(&self) -> f64 {
         let cores = self.profile.cores;
--- a/src/policy/call_budget.rs
+++ b/src/policy/call_budget.rs
@@ -2,8 +2,8 @@
 //!
 //! The dependency can take a given mean of concurrent calls over the averaging window. The call time of the
 //! last window plus that of the calls in flight, each counted to its latest possible end downstream, stays
-//! within this backend's share of that mean, and only a part of it may be used in a burst. A lease bounds
-//! the calls in flight at each moment and the length of each instead, which bounds every mean as well.
+//! within this backend's share of that mean. Only a part of this share may be used in a burst. A lease
+//! instead bounds the number of calls in flight and the length of each call, which bounds every mean too.
 //!
 //! Without this, a dependency that slows down for all backends at once, even during calls, is overloaded by
 //! the calls that time out at every backend. As each backend keeps to its share, so does their sum, whatever
@@ -91,7 +91,7 @@
         let spent_secs = self.usage.recent_call_secs(now) + committed_secs;
         let mut left_secs = budget_secs - spent_secs;
         if spent_secs <= 0.0 {
-            // A budget smaller than one call admits one after a whole window without any call.
+            // A budget smaller than one call still admits one call after a whole window without calls.
             left_secs = left_secs.max(call_secs);
         }
         let timeout = wanted.min(Span::from_secs(left_secs) - lag);
--- a/src/policy/call_retry.rs
+++ b/src/policy/call_retry.rs
@@ -2,9 +2,9 @@
 //!
 //! A call that may be retried times out after a multiple of the usual call time, doubled at each attempt;
 //! any other call gets all the time that its request has. A failed call is retried if its request is
-//! idempotent or the call was not executed, up to the attempt limit. A rejected call does not
-//! count as an attempt: it costs far less than the run that would be lost. If a call can't be made, its
-//! request is degraded or fails.
+//! idempotent or the call was not executed, up to the attempt limit. A rejected call does not count as
+//! an attempt: repeating it costs far less than failing the request, which would waste the work of its
+//! run so far. If a call can't be made, its request is degraded or fails.
 
 use super::call_window::SLOW_CALL_FACTOR;
 use super::Policy;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Goes on to a degraded response without a call that can't be made, or fails if the class allows none.
+    /// Skips a call that can't be made: the request gets a degraded response, or fails if its class has none.
     pub(super) fn skip_call(&mut self, id: RequestId) {
         let class = &self.settings.classes[self.requests[id].class];
         if class.degraded_utility_fraction > 0.0 {
--- a/src/policy/call_window.rs
+++ b/src/policy/call_window.rs
@@ -1,7 +1,7 @@
 //! Limits concurrent downstream calls by additive increase, multiplicative decrease (AIMD).
 //!
-//! A whole window of successful calls widens it by one. A sign of overload downstream, a call that was
-//! rejected or failed after far more than the usual time, narrows it, once per generation of calls.
+//! A whole window of successful calls widens the window by one. A call that was rejected, or that failed
+//! after far more than the usual time, narrows it, unless the call started before the last narrowing.
 
 use super::learning::LEARNING_GAIN;
 use crate::*;
--- a/src/policy/deadline.rs
+++ b/src/policy/deadline.rs
@@ -68,7 +68,7 @@
 
     /// Whether an infeasible request should be retried elsewhere. If the receive delay is high here, it most
     /// likely is at other backends too, and each has to read the retry. This covers any cause of growing
-    /// receive delays. Drawback: needless if only this backend is affected.
+    /// receive delays. Drawback: prevents useful retries if only this backend is slow to read.
     fn retry_advice(&mut self, id: RequestId) -> RetryAdvice {
         let retry_is_pointless = self.profile.has_dominant_class
             || self.requests[id].is_retry
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -9,7 +9,7 @@
 //! | Ranking of arrivals, and duplicates | `arrival` |
 //! | Starting queued requests | `selection` |
 //! | Capacity of the machine | `capacity` |
-//! | Rejections and the end of runs by deadline | `deadline` |
+//! | Rejecting requests that can't respond in time, and ending late runs | `deadline` |
 //! | Starting downstream calls | `downstream_calls`, `call_window`, `call_budget` |
 //! | Timeouts and retries of downstream calls | `call_retry` |
 //! | Final responses | `final_response` |
--- a/src/resource_usage.rs
+++ b/src/resource_usage.rs
@@ -15,7 +15,7 @@
     pub started: f64,
     /// Downstream calls in flight.
     pub calls: f64,
-    /// Sum of the latest ends of those calls downstream, in seconds since the policy's start.
+    /// Sum over those calls of the latest time at which each ends downstream, in seconds since the policy's start.
     pub call_end_secs: f64,
 }
 
--- a/tests/host/mod.rs
+++ b/tests/host/mod.rs
@@ -54,12 +54,12 @@
     }
 }
 
-/// A host without I/O: a clock in milliseconds, a policy, and the actions of the last moment.
+/// A host without I/O: a clock in milliseconds, a policy, and the actions of the policy's latest decision.
 pub struct FakeHost {
     policy: Policy,
     now_ms: u64,
     next_id: u32,
-    /// The actions that the policy returned for the last moment.
+    /// The actions of the policy's latest decision.
     pub actions: Vec<Action>,
     /// The last capacity that the policy advertised.
     pub advertised_capacity: Option<f64>,
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -5,8 +5,8 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-/// A fake cargo that records its arguments. Its tests fail (`red...`), pass (`green`), exist in two targets (`twice`),
-/// don't compile (`broken`), or fail with one seed only (`seeded`).
+/// A fake cargo that records its arguments. It simulates tests by name: `red...` fails, `green` passes, `twice` fails and
+/// exists in two targets, `broken` doesn't compile, `seeded` fails with one seed only, and `none` doesn't exist.
 const CARGO: &str = r#"#!/usr/bin/env bash
 echo "cargo $*" >> "$CALLS"
 name=${*: -1}
@@ -23,7 +23,8 @@
 esac
 "#;
 
-/// Runs `.ci/tests` with a list. Returns whether it succeeded, its output, and the last cargo command.
+/// Runs `.ci/tests` with a list of known failing tests, or without one. Returns whether it succeeded, its output, and the
+/// last cargo command.
 fn run_ci_tests(name: &str, list: Option<&str>) -> (bool, String, String) {
     let folder = std::env::temp_dir().join(format!("lynxtally-red-{}-{name}", std::process::id()));
     fs::create_dir_all(&folder).expect("the folder should be created");
--- a/tests/policy/deadline.rs
+++ b/tests/policy/deadline.rs
@@ -1,4 +1,4 @@
-//! Rejections and the end of runs by deadline.
+//! Rejection of queued requests that can't respond in time, and the end of late runs.
 
 use crate::host::{two_core_settings, FakeHost};
 use lynxtally::*;
--- a/tests/policy/final_response.rs
+++ b/tests/policy/final_response.rs
@@ -12,8 +12,8 @@
     assert!(!requests.iter().any(|&request| host.rejected(request) || host.failed(request)));
 }
 
-/// The receive delay is high at all backends. When rejections didn't advise against a retry, each request was sent to
-/// and read by four backends in turn.
+/// If the receive delay is high at all backends and rejections don't advise against a retry, each request is sent to four
+/// backends in turn, and each of them spends work on reading it.
 #[test]
 fn with_a_high_receive_delay_a_rejection_advises_against_a_retry() {
     let no_retry_after_delay = |receive_delay_ms| {
