--- a/crates/testing/simulator/src/dependency.rs
+++ b/crates/testing/simulator/src/dependency.rs
@@ -9,7 +9,7 @@
 /// Parameters of the dependency.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DependencyModel {
-    /// Number of calls that can be in flight at full speed.
+    /// Number of calls that can be in flight before they slow each other down.
     pub slots: f64,
     /// Slowdown for each further `slots` calls, on top of the equal sharing: the speed is divided by 1 + slope x excess.
     pub crowding_slope: f64,
