--- a/src/policy/advertise.rs
+++ b/src/policy/advertise.rs
@@ -59,8 +59,8 @@
     }
 
     /// The number of requests that this backend should have (Little's law). It falls as the receive delay
-    /// grows: reading costs core time even for rejected requests, so a growing delay shows that callers send
-    /// too many, whatever the cause. Drawback: a short pause reduces it until the advertised capacity expires.
+    /// grows: reading costs core time even for rejected requests, so a rising delay means callers send too
+    /// many, whatever the cause. Drawback: a short pause reduces it until the advertised capacity expires.
     fn target_concurrency(&self) -> f64 {
         let cores = self.profile.cores;
         let cost_secs = self.learned.costs.mean_cost_secs();
