--- a/crates/testing/simulator/src/dependency.rs
+++ b/crates/testing/simulator/src/dependency.rs
@@ -9,7 +9,7 @@
 /// Parameters of the dependency.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DependencyModel {
-    /// Number of calls that can be in flight at full speed.
+    /// Number of calls that can be in flight before they slow each other down.
     pub slots: f64,
     /// Slowdown for each further `slots` calls, on top of the equal sharing: the speed is divided by 1 + slope x excess.
     pub crowding_slope: f64,
@@ -75,7 +75,8 @@
         self.speed / (per_slot.max(1.0) * (1.0 + self.model.crowding_slope * excess))
     }
 
-    /// Credits the calls in flight with the work done until `now`, and moves the averaging window to end at `now`.
+    /// Advances the time to `now`, adds the work done since the last update to the progress of each call in flight, and moves
+    /// the averaging window to end at `now`.
     pub fn advance(&mut self, now: Instant) {
         if now <= self.now {
             return;
